--- a/include/lanemoor/jobs/owner/job_retirement.h
+++ b/include/lanemoor/jobs/owner/job_retirement.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Removes finished jobs from the store once their status need not be shown any more.
+/// Removes finished jobs from the store once their status retention time has passed.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
@@ -17,7 +17,7 @@
 class OwnershipKeeper;
 class StoreMirror;
 
-/// What a retirement works with. All of it outlives the retirement.
+/// Dependencies and settings of JobRetirement. The objects must outlive it.
 struct JobRetirementOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
@@ -25,13 +25,13 @@
     const JobCatalog* catalog = nullptr;
     const OwnershipKeeper* ownership = nullptr;
     EventLog* log = nullptr;
-    Millis statusTime { 120'000 }; ///< A finished job's status is shown at least this long.
+    Millis statusTime { 120'000 }; ///< Minimum retention of a finished job's status.
 };
 
-/// \brief Forgets finished jobs, so that neither the store nor the copies grow for ever.
+/// \brief Removes finished jobs, which bounds the size of the store and of its replicas.
 ///
-/// Every instance counts the time since it heard of a job's end; only the owner removes, under
-/// the ownership's condition. A new owner that heard late removes late.
+/// Every instance measures the time since it was notified of a job's end. Only the owner removes jobs, under the
+/// condition of its ownership. A new owner that was notified late removes late.
 class JobRetirement {
 public:
     explicit JobRetirement(JobRetirementOptions options);
@@ -39,13 +39,13 @@
     JobRetirement(const JobRetirement&) = delete;
     JobRetirement& operator=(const JobRetirement&) = delete;
 
-    /// \brief Begins to look for jobs to remove.
+    /// \brief Starts the periodic scan for jobs to remove.
     void start();
 
-    /// \brief Takes in that the catalog changed.
+    /// \brief Handles a change of a job in the catalog.
     void onJobChanged(const std::string& id);
 
-    /// \brief Forgets all jobs: the catalog has been cleared.
+    /// \brief Drops all tracked jobs after the catalog has been cleared.
     void clear();
 
 private:
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Runs the jobs of a shard while this instance owns it.
+/// Runs the jobs of a shard while this instance holds its ownership.
 
 #include "lanemoor/jobs/model/entry_demand.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -40,7 +40,7 @@
 struct AdmissionGrants;
 struct FleetInstance;
 
-/// What a scheduler works with. All of it outlives the scheduler.
+/// Dependencies and settings of a scheduler. The objects must outlive it.
 struct JobSchedulerOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
@@ -54,10 +54,10 @@
     EventLog* log = nullptr;
     WorkMeter* meter = nullptr; ///< Null: work is not measured.
     std::function<std::shared_ptr<const ServiceConfiguration>()> configuration;
-    std::function<void(const AdmissionGrants& grants)> publishGrants; ///< For all entry instances together; null: everything is admitted.
-    std::function<bool()> isConfigurationCurrent; ///< Whether quotas may be relied on; null: always.
+    std::function<void(const AdmissionGrants& grants)> publishGrants; ///< Receives the grants for all entry instances together; null: every job is admitted.
+    std::function<bool()> isConfigurationCurrent; ///< Whether the quotas are up to date; null: always.
     Millis ownershipTime { 1'000 }; ///< Lease time of the ownership.
-    Millis workerLeaseTime { 5'000 }; ///< The same for all owners, since a successor reckons with it.
+    Millis workerLeaseTime { 5'000 }; ///< Must be equal for all owners: a successor waits for leases of this length.
     PlacementOptions placement;
     CrashOptions crashes;
     CheckpointMoveCost checkpointMove;
@@ -67,62 +67,62 @@
     bool seesRises = true; ///< See CapacityOptions.
 };
 
-/// A worker's use, for those who decide on instances.
+/// Usage of a worker, as input for decisions on instances.
 struct WorkerUse {
     Resources free;
-    std::uint32_t attempts = 0; ///< Not over.
-    std::uint32_t longRunning = 0; ///< Of them.
-    std::uint32_t pinned = 0; ///< Of the long-running ones, those that require a label.
-    MonotonicInstant emptyBy; ///< When the other ones should have ended, by their declared times and what is observed.
-    bool known = false; ///< What runs there is known: it was met in this term, or every lease there is over.
-    bool sound = false; ///< Listed, answering, not draining, not ejected.
+    std::uint32_t attempts = 0; ///< Unfinished attempts.
+    std::uint32_t longRunning = 0; ///< Long-running attempts among them.
+    std::uint32_t pinned = 0; ///< Long-running attempts that require a label.
+    MonotonicInstant emptyBy; ///< Expected end of all other attempts, from declared and observed run times.
+    bool known = false; ///< The running attempts are known: the worker reported in this term, or every lease on it has expired.
+    bool sound = false; ///< Healthy: listed, responsive, not draining, not ejected.
     bool evacuating = false;
-    MonotonicInstant evacuatingSince; ///< Meaningful while evacuating.
+    MonotonicInstant evacuatingSince; ///< Valid while `evacuating`.
 };
 
-/// Uses by the id of the worker.
+/// Usage by worker id.
 using WorkerUses = std::unordered_map<std::string, WorkerUse>;
 
-/// What tasks wait for, that could start if there were room.
+/// Demand of tasks that could start if there were room.
 struct WaitingTasks {
-    std::int64_t milliCpu = 0; ///< Of jobs that can meet their objective, or have begun.
-    std::int64_t backlogMilliCpu = 0; ///< Of the others.
-    Resources largest; ///< Of the tasks, the largest need of each resource.
+    std::int64_t milliCpu = 0; ///< Demand of jobs that can meet their objective or have started.
+    std::int64_t backlogMilliCpu = 0; ///< Demand of all other jobs.
+    Resources largest; ///< Per resource, the largest need of any waiting task.
 };
 
-/// What tasks of one requirement class ask of their pool; memory and accelerators count by their
-/// share of an instance.
+/// Demand of one requirement class on its pool. Memory and accelerators count by their share of an
+/// instance.
 struct ClassDemand {
     WaitingTasks waiting;
     std::int64_t runningMilliCpu = 0;
-    std::int64_t runningBacklogMilliCpu = 0; ///< Of it, what jobs take that end late whatever is done.
-    std::uint32_t leastInstances = 0; ///< For steps whose tasks must not share an instance.
-    std::int64_t forecastMilliCpu = 0; ///< What jobs arriving as they do now will keep busy.
+    std::int64_t runningBacklogMilliCpu = 0; ///< The part used by jobs that can no longer meet their objective.
+    std::uint32_t leastInstances = 0; ///< Minimum for steps whose tasks must not share an instance.
+    std::int64_t forecastMilliCpu = 0; ///< Expected usage at the current arrival rate.
 };
 
-/// What a pool's jobs ask for, by requirement class.
+/// Demand of a pool's jobs, by requirement class.
 using PoolDemand = std::map<Requirement, ClassDemand>;
 
-/// Counts of one process since its start.
+/// Event counts since the start of the process.
 struct SchedulerCounts {
     std::uint64_t terms = 0;
     std::uint64_t starts = 0;
     std::uint64_t successes = 0;
     std::uint64_t failures = 0;
-    std::uint64_t lapses = 0;
-    std::uint64_t doubts = 0; ///< Starts without a usable answer.
-    std::uint64_t refusals = 0; ///< Starts that a worker refused.
+    std::uint64_t lapses = 0; ///< Attempts that ended because their lease expired.
+    std::uint64_t doubts = 0; ///< Starts whose outcome is unknown.
+    std::uint64_t refusals = 0; ///< Starts refused by a worker.
     std::uint64_t jobsSucceeded = 0;
     std::uint64_t jobsFailed = 0;
     std::uint64_t jobsCancelled = 0;
-    std::uint64_t suspicions = 0; ///< How many times the loss of a worker was counted against a task.
-    std::uint64_t givenUp = 0; ///< Tasks that ended worker after worker.
-    std::uint64_t passes = 0; ///< Over the tasks that could start.
-    std::uint64_t ejections = 0; ///< Of workers.
-    std::uint64_t sitesInspected = 0; ///< By all passes: how many times a worker was looked at for a task.
+    std::uint64_t suspicions = 0; ///< Worker crashes attributed to a task.
+    std::uint64_t givenUp = 0; ///< Poison tasks that failed permanently.
+    std::uint64_t passes = 0; ///< Placement passes.
+    std::uint64_t ejections = 0; ///< Worker ejections.
+    std::uint64_t sitesInspected = 0; ///< Workers inspected for a task, summed over all passes.
 };
 
-/// \brief Places tasks, renews leases and stores endings, for one term after another.
+/// \brief Places tasks, renews leases and stores results during each term of ownership.
 class JobScheduler {
 public:
     explicit JobScheduler(JobSchedulerOptions options);
@@ -130,76 +130,77 @@
     JobScheduler(const JobScheduler&) = delete;
     JobScheduler& operator=(const JobScheduler&) = delete;
 
-    /// \brief Begins a term; the mirror has heard every change up to its epoch.
+    /// \brief Begins a term. The mirror must contain every change up to the term's epoch.
     void activate(const Ownership& ownership);
 
-    /// \brief Ends the term: nothing is ordered any more.
+    /// \brief Ends the term. No command is sent afterwards.
     void deactivate();
 
     [[nodiscard]] bool isActive() const noexcept;
 
-    /// \name News
+    /// \name Notifications
     ///@{
     void onJobChanged(const std::string& id);
     void onWorkerChanged(const std::string& id);
     void onConfigurationChanged();
 
-    /// \returns Changes of jobs that are not in the store yet; none where nothing is owned.
+    /// \returns Job changes that are not in the store yet; none without ownership.
     [[nodiscard]] UnsavedChanges unsaved() const;
 
-    /// \brief Takes in what an entry instance was asked for: submissions that were refused are load to come.
+    /// \brief Adds an entry instance's demand to the forecast: refused submissions are likely to return.
     void noteDemand(const EntryDemand& demand);
     void onEvacuationsChanged();
     ///@}
 
-    /// \name For those who decide on instances
+    /// \name Input for decisions on instances
     ///@{
-    /// \returns The use of each worker, by its id.
+    /// \returns The usage of each worker, by id.
     [[nodiscard]] WorkerUses uses() const;
 
-    /// \returns What is known of each data hall, evacuations included.
+    /// \returns The state of each data hall, including requested evacuations.
     [[nodiscard]] std::shared_ptr<const FailureDomainStatus> failureDomains() const;
 
-    /// \returns Data halls that do not serve, with what remains there.
+    /// \returns Data halls out of service, with the tasks that remain there.
     [[nodiscard]] std::vector<HallReport> closedHalls() const;
 
-    /// \brief Reckons anew what jobs ask for; placement goes by it too.
-    /// \returns It by pool; pools that nobody asks anything of may be missing.
+    /// \brief Recomputes the demand of all jobs, which placement also uses.
+    /// \returns Demand by pool; a pool without demand may be missing.
     std::map<std::string, PoolDemand> demands();
 
-    /// \brief Empties a worker, or lets it have work again.
+    /// \brief Starts or ends the evacuation of a worker.
     void setEvacuating(const std::string& worker, bool evacuating);
 
-    /// \brief Takes in the platform's list: it names lives whose entries may be missing in the
-    /// store, and that may run what an earlier owner started.
-    /// \param askedAt When the list was asked for.
+    /// \brief Handles the platform's instance list. The list names incarnations whose entries may be missing in the
+    /// store and that may run tasks of an earlier owner.
+    /// \param askedAt Time when the list was requested.
     void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt);
 
-    /// \returns Whether every worker that might run what an earlier owner started has been met,
-    /// or its lease is over; also if this instance is not the owner.
+    /// \returns Whether every worker that may run tasks of an earlier owner has reported or its lease has expired;
+    /// true if this instance is not the owner.
     [[nodiscard]] bool isSettled() const;
 
-    /// \brief The worker's life is over, as the platform proves.
-    /// \param ordered By an act of this owner.
+    /// \brief Notes that the worker's incarnation has ended, as proved by the platform.
+    /// \param ordered Whether an action of this owner ended the incarnation.
     void noteLifeOver(const std::string& worker, bool ordered = false);
 
-    /// \brief Notes that the platform's list has named a life no more since then. A later life under the same id is not meant.
+    /// \brief Notes that the platform's list has not named an incarnation since the given time. A later incarnation under
+    /// the same id is not affected.
     void noteLifeUnlisted(const std::string& worker, MonotonicInstant since);
     ///@}
 
-    /// \returns The job's steps, as the owner knows them; nothing if it does not run the job.
+    /// \returns The job's steps; none if this instance does not run the job.
     [[nodiscard]] std::optional<std::vector<StepReport>> report(const std::string& job) const;
 
-    /// \returns The configured organisations and those that have jobs; none while this instance does not own.
+    /// \returns The configured organisations and those with jobs; none without ownership.
     [[nodiscard]] std::vector<OrganisationReport> organisations() const;
 
-    /// \returns All workers, as this owner judges them; none while this instance does not own.
+    /// \returns The state and health of all workers; none without ownership.
     [[nodiscard]] std::vector<WorkerReport> workers() const;
 
-    /// \returns How many workers are ejected or probing, by pool; a pool without any may be missing.
+    /// \returns Number of ejected or probing workers by pool; a pool without any may be missing.
     [[nodiscard]] std::map<std::string, std::uint32_t> ejectedByPool() const;
 
-    /// \brief Calls `stored` once all that is known has been stored, or the term is over.
+    /// \brief Calls `stored` once all current changes are in the store, or when the term ends.
     void whenStored(std::function<void()> stored);
 
     [[nodiscard]] const SchedulerCounts& counts() const noexcept;
--- a/include/lanemoor/jobs/owner/queue_counts_writer.h
+++ b/include/lanemoor/jobs/owner/queue_counts_writer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Publishes counts of waiting jobs for entry instances without a copy of the jobs.
+/// Publishes counts of waiting jobs for entry instances without a replica of the jobs.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
@@ -13,18 +13,18 @@
 
 class OwnershipKeeper;
 
-/// What a writer of counts works with. All of it outlives the writer.
+/// Dependencies and settings of a QueueCountsWriter. The objects must outlive it.
 struct QueueCountsWriterOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
     const JobCatalog* catalog = nullptr;
     const OwnershipKeeper* ownership = nullptr;
     std::function<std::shared_ptr<const ServiceConfiguration>()> configuration;
-    std::function<bool()> isCurrent; ///< Whether the copy of the jobs is fresh enough to count.
-    Millis writeEvery { 1'000 }; ///< Half of the age that a count may have.
+    std::function<bool()> isCurrent; ///< Whether the replica of the jobs is fresh enough to count.
+    Millis writeEvery { 1'000 }; ///< Half of the maximum age of a count.
 };
 
-/// \brief Writes the counts of all queues to the store while this instance owns the jobs.
+/// \brief Writes the counts of all queues to the store while this instance holds the ownership.
 class QueueCountsWriter {
 public:
     explicit QueueCountsWriter(QueueCountsWriterOptions options);
@@ -32,7 +32,7 @@
     QueueCountsWriter(const QueueCountsWriter&) = delete;
     QueueCountsWriter& operator=(const QueueCountsWriter&) = delete;
 
-    /// \brief Starts to write whenever the ownership is held.
+    /// \brief Starts periodic writing; counts are written only while the ownership is held.
     void start();
 
 private:
--- a/src/jobs/owner/admission_desk.cpp
+++ b/src/jobs/owner/admission_desk.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr double milli = 1'000;
-/// A queue under pressure stays named for so long after the last refusal was due: refused callers come back within some seconds, and
-/// would all be admitted at once.
+/// A queue stays in the grants for this time after its budget last ran short. Refused callers retry within some seconds and
+/// would otherwise all be admitted at once.
 constexpr Millis pressureLasts { 5'000 };
-constexpr double newestCounts = 0.05; // Of a job in the means of its queue: the last twenty or so count.
+constexpr double newestCounts = 0.05; // Weight of the newest job in the moving averages of its queue: about the last 20 jobs count.
 
-/// \returns Declared work of a job that is not done, thousandths of a core times ms.
+/// \returns Declared work of the job's unfinished tasks, in thousandths of a core times ms.
 std::int64_t workLeft(const JobState& job)
 {
     std::int64_t work = 0;
@@ -25,7 +25,7 @@
     return work;
 }
 
-/// \returns Processor time that its attempts take, thousandths of a core.
+/// \returns Processor share of the job's live attempts, in thousandths of a core.
 std::int64_t milliCpuRunning(const JobState& job)
 {
     std::int64_t running = 0;
@@ -70,7 +70,7 @@
     });
 }
 
-/// Grants are published when they change, and again before they expire.
+/// Publishes the grants when they change, and again before they expire.
 void AdmissionDesk::tick()
 {
     m_timer = 0;
@@ -114,7 +114,7 @@
     return all;
 }
 
-/// Work that ends late counts too: left out, as much as becomes late would be admitted again.
+/// Jobs that end late count too: without them, an equal amount of work would be admitted in addition.
 AdmissionDesk::ByPool AdmissionDesk::acceptedByPool() const
 {
     ByPool accepted;
@@ -158,7 +158,7 @@
     return { .workMillis = static_cast<std::int64_t>(usual.workMillis * correction), .chain = Millis(static_cast<std::int64_t>(usual.chainMillis * correction)), .allowed = Millis(static_cast<std::int64_t>(usual.allowedMillis)) };
 }
 
-/// A pool can have what the fleet has beyond what the others ask for; it has at least what it has now.
+/// The supply of a pool is the fleet's capacity minus the demand of the other pools, and at least its present capacity.
 std::map<std::string, std::int64_t> AdmissionDesk::supplies(const ByPool& accepted) const
 {
     std::map<std::string, std::int64_t> present;
--- a/src/jobs/owner/admission_desk.h
+++ b/src/jobs/owner/admission_desk.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Computes what entry instances may admit, while this instance owns.
+/// Computes the admission budgets of the entry instances while this instance holds the ownership.
 
 #include "lanemoor/jobs/model/admission_grants.h"
 #include "lanemoor/jobs/policy/expected_service.h"
@@ -14,7 +14,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Compares what was accepted of each organisation with what its pools can serve, four times a second, and publishes grants.
+/// \brief Compares each organisation's accepted work with the capacity of its pools, four times a second, and publishes grants.
 class AdmissionDesk : public std::enable_shared_from_this<AdmissionDesk> {
 public:
     explicit AdmissionDesk(const OwnerState& state)
@@ -25,17 +25,17 @@
     void start();
     void close();
 
-    /// \brief Notes a job of this term: it tells what a usual job of its queue is like.
+    /// \brief Adds a job of this term to the averages that describe a typical job of its queue.
     void noteArrival(const OwnerJob& job);
 
-    /// \returns The latest budgets, over all entry instances.
+    /// \returns The last published budgets, for all entry instances together.
     [[nodiscard]] const std::vector<AdmissionBudget>& budgets() const noexcept { return m_published.budgets; }
 
 private:
     using Name = std::pair<std::string, std::string>; // Queue and organisation.
     using ByPool = std::map<std::string, std::map<Name, AcceptedWork>>;
 
-    /// Declared sums over the last jobs of a queue, older ones counting less.
+    /// Moving averages of declared values over the latest jobs of a queue.
     struct Usual {
         double workMillis = 0;
         double chainMillis = 0;
@@ -54,7 +54,7 @@
     const OwnerState& m_state;
     TimerId m_timer = 0;
     std::map<std::string, Usual> m_usual; ///< By queue.
-    std::map<Name, MonotonicInstant> m_pressedUntil; ///< Those that are named in grants until then.
+    std::map<Name, MonotonicInstant> m_pressedUntil; ///< Queues and organisations that stay in the grants until the given time.
     AdmissionGrants m_published;
     MonotonicInstant m_publishedAt;
 };
--- a/src/jobs/owner/advice_desk.cpp
+++ b/src/jobs/owner/advice_desk.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::size_t mostWorkersAsked = 30; // Each one named costs the advisor time.
-constexpr std::size_t mostAnswersKept = 2'000; // Some 100 bytes each beside the tickets.
+constexpr std::size_t mostWorkersAsked = 30; // The advisor's response time grows with each worker.
+constexpr std::size_t mostAnswersKept = 2'000; // About 100 bytes each, not counting the tickets.
 constexpr Millis pauseAfterNoAnswer { 100 };
-constexpr Millis ticketMargin { 150 }; // For the start to reach the worker.
+constexpr Millis ticketMargin { 150 }; // Time for the start to reach the worker before the ticket expires.
 
 } // namespace
 
--- a/src/jobs/owner/advice_desk.h
+++ b/src/jobs/owner/advice_desk.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Asks the placement advisor, one call at a time, and keeps its answers.
+/// Queries the placement advisor, one call at a time, and caches its answers.
 
 #include "owner_state.h"
 
@@ -9,16 +9,16 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Tickets for the steps of queues that need advice.
+/// \brief Provides the tickets for steps of queues that require advice.
 class AdviceDesk : public std::enable_shared_from_this<AdviceDesk> {
 public:
     explicit AdviceDesk(OwnerState& state);
 
-    /// \brief Finds the tickets of a step; asks for them if there are none that last.
-    /// \returns Tickets by worker, or null if there is no answer yet.
+    /// \brief Looks up the tickets of a step, and queries the advisor if there are no valid ones.
+    /// \returns Tickets by worker, or null if there is no valid answer yet.
     const std::map<std::string, std::string>* ticketsFor(const std::string& job, const StepId& step, const std::vector<std::string>& workers);
 
-    /// \brief Forgets the answers for a step, after a worker refused one.
+    /// \brief Drops the cached answer for a step, after a worker refused one of its tickets.
     void forget(const std::string& job, const StepId& step);
 
     void close() { m_closed = true; }
@@ -41,7 +41,7 @@
     OwnerState& m_state;
     std::map<Key, Answer> m_answers;
     std::deque<Question> m_questions;
-    std::set<Key> m_asked; ///< Waiting or under way.
+    std::set<Key> m_asked; ///< Queued or in flight.
     bool m_asking = false;
     bool m_closed = false;
 };
--- a/src/jobs/owner/fair_placement.cpp
+++ b/src/jobs/owner/fair_placement.cpp
@@ -128,7 +128,7 @@
 
 void FairPlacement::placeAll(std::vector<Source> sources)
 {
-    // A heap of the heads: the first one in the order of placement is drawn next.
+    // A heap of the sources' heads: the first head in placement order is taken next.
     const auto comesLater = [](const Source& a, const Source& b) { return b.head.front().order() < a.head.front().order(); };
     std::make_heap(sources.begin(), sources.end(), comesLater);
     while (!sources.empty()) {
@@ -160,7 +160,7 @@
         m_begun.push_back(&job);
 }
 
-/// Takes the next job of a group for its head. \returns Whether there is one that the pass looks at.
+/// Makes the group's next job the head of the source. \returns False at the end of the group or at its limit of misses.
 bool FairPlacement::advance(Source& source) const
 {
     source.head.clear();
--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The order of placement in a pool that organisations share.
+/// Placement order in a pool that organisations share.
 
 #include "lanemoor/jobs/policy/organisation_share.h"
 #include "placement_candidate.h"
@@ -14,59 +14,59 @@
 
 namespace lanemoor::jobs {
 
-/// What a pool has for organisations.
+/// Capacity of a pool, and its usage by organisations.
 struct PoolRoom {
     Resources capacity;
     std::map<std::string, Resources> used; ///< By organisation.
 };
 
-/// What the order is carried out with.
+/// Callbacks that place or hold a candidate.
 struct FairPlacementActions {
-    std::function<void(const PlacementCandidate&)> place; ///< Starts what it can and tells of each start.
-    std::function<void(const PlacementCandidate&)> hold; ///< Counts tasks that wait though there may be room.
+    std::function<void(const PlacementCandidate&)> place; ///< Starts as many tasks as possible and reports each with `noteStarted`.
+    std::function<void(const PlacementCandidate&)> hold; ///< Counts tasks that wait although there may be room.
 };
 
-/// \brief Places candidates of one pool in the order of priority, hopeless, beyond its organisation's share, beyond its rate, objective.
+/// \brief Places candidates of one pool, ordered by priority, hopeless, beyond its organisation's share, beyond its rate, objective.
 ///
-/// Of one priority, organisations start tasks until they have their weighted max-min share. What is left then goes to the others in
-/// their order. Of the waiting jobs of one organisation and queue a few are looked at in vain, and the rest not at all.
+/// Within one priority, each organisation starts tasks up to its weighted max-min share. The remaining capacity then goes to the
+/// deferred candidates in their order. After a few misses, the rest of a group of waiting jobs is not inspected.
 class FairPlacement {
 public:
-    /// Tasks of one step that start together, though their organisation has its share after the first ones: a job that is cut in two
-    /// ends as late as its last task.
+    /// Tasks of one step that may start together even if the first ones use up their organisation's share: a job ends only with its
+    /// last task, so splitting the step would delay the whole job.
     static constexpr std::size_t tasksTogether = 16;
 
-    /// \param room Of the pool, without what the pass starts.
+    /// \param room Capacity and usage of the pool before the pass.
     FairPlacement(OwnerState& state, std::string pool, MonotonicInstant now, const PoolRoom& room, FairPlacementActions actions);
 
-    /// \brief Places all candidates, and the waiting jobs of the pool. Jobs that began wait no more.
-    /// \param candidates Of jobs that have begun, or that wait for themselves.
+    /// \brief Places all candidates and the waiting jobs of the pool. Jobs that started leave their groups.
+    /// \param candidates Steps of jobs that have started or that are in no group.
     void run(std::vector<PlacementCandidate> candidates);
 
-    /// \name While a candidate is placed
+    /// \name Calls while a candidate is placed
     ///@{
-    /// \returns Whether its organisation may start one more task now.
+    /// \returns Whether the candidate's organisation may start one more task now.
     [[nodiscard]] bool mayGoOn(const PlacementCandidate& candidate) const;
 
     void noteStarted(const PlacementCandidate& candidate, const Resources& needs);
 
-    /// \brief Tasks of it found no room.
-    /// \param heldByQuota By their organisation's quota.
+    /// \brief Notes that tasks of the candidate found no room.
+    /// \param heldByQuota Whether the quota of their organisation holds them back.
     void noteUnplaced(const PlacementCandidate& candidate, bool heldByQuota);
 
-    /// \brief Leaves its tasks from `first` on for later, when others have their shares.
+    /// \brief Defers the tasks from index `first` until the other organisations have their shares.
     void defer(const PlacementCandidate& candidate, std::size_t first);
     ///@}
 
-    /// \returns What waits in the pool's groups, by requirement class.
+    /// \returns The demand of the pool's groups, by requirement class.
     [[nodiscard]] std::map<Requirement, WaitingTasks> waiting() const;
 
 private:
-    /// Candidates that come one after the other: of one job that waits, or those of a group.
+    /// A sequence of candidates: one single candidate, or the jobs of a group in order.
     struct Source {
         std::vector<PlacementCandidate> head;
         const WaitingGroup* group = nullptr;
-        WaitingGroup::Jobs::const_iterator next; ///< Of the group, after the head.
+        WaitingGroup::Jobs::const_iterator next; ///< Next job of the group after the head.
         WaitingGroup::Jobs::const_iterator end;
         std::uint32_t misses = 0;
     };
@@ -97,11 +97,11 @@
     std::shared_ptr<const ServiceConfiguration> m_configuration;
     std::vector<PoolGroup> m_groups;
     std::optional<PoolShares> m_shares;
-    bool m_sharesBind = true; ///< False: what is left goes to whoever comes first.
+    bool m_sharesBind = true; ///< False: the remaining capacity is assigned in placement order, regardless of shares.
     std::vector<Source> m_deferred;
-    std::vector<OwnerJob*> m_begun; ///< They wait no more.
-    std::set<std::string> m_unplaced; ///< Organisations of which tasks found no room.
-    std::set<std::string> m_heldByQuota; ///< Organisations whose waiting jobs more instances would not help.
+    std::vector<OwnerJob*> m_begun; ///< Jobs that started in this pass and leave their groups.
+    std::set<std::string> m_unplaced; ///< Organisations with tasks that found no room.
+    std::set<std::string> m_heldByQuota; ///< Organisations whose waiting jobs need quota, not instances.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/job_retirement.cpp
+++ b/src/jobs/owner/job_retirement.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Between two looks: with ten jobs a look, 50 a second. The busiest site hands in 35 in the mean.
+/// With ten jobs per scan, 50 jobs a second are removed. The busiest site submits 35 a second on average.
 constexpr Millis lookEvery { 200 };
-/// For callers whose call is on its way, and for ends heard a little late elsewhere.
+/// Covers calls in flight, and instances that are notified of the end a little later.
 constexpr Millis margin { 5'000 };
-/// Each job takes three removals of a transaction, the ownership's condition one entry.
+/// Each job takes three removals of a transaction, and the ownership's condition takes one entry.
 constexpr std::size_t mostAtOnce = (mostTransactionEntries - 1) / 3;
 
 std::array<std::string, 3> keysOf(const std::string& id)
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Without an answer the same jobs are removed once more, which changes nothing.
+    /// Without an answer the same jobs are removed again, which has no effect.
     void removed(const std::vector<std::string>& ids, const CommitResult& result)
     {
         m_removing = false;
@@ -101,7 +101,7 @@
     }
 
     JobRetirementOptions m_options;
-    std::map<std::string, MonotonicInstant> m_finishedAt; ///< When the end was heard of, by job.
+    std::map<std::string, MonotonicInstant> m_finishedAt; ///< Time when the job's end was observed, by job.
     bool m_removing = false;
 };
 
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -29,28 +29,26 @@
 
 namespace {
 
-/// Attempt numbers of one term: a task is started far less often than this.
+/// Attempt numbers reserved for each term; a task has far fewer attempts in a term.
 constexpr std::uint64_t attemptsPerTerm = 4'096;
-/// A worker's clock may lose 2% of an inherited lease's time; more for its timer.
+/// A worker's clock may be slow by 2% during an inherited lease; the rest allows for its timer.
 constexpr double leaseStretch = 1.03;
-/// Cancels that are not known here count after 3 s: nothing is started on an older copy of the
-/// jobs. A watch that hears nothing is answered each second.
-/// An order without an answer may be carried out some 6 s later, with a lease that the worker cuts at 10 s by a clock that may
-/// lose 2%.
+/// A command without an answer may still be executed about 6 s later, with a lease that the worker limits to 10 s by a clock
+/// that may be slow by 2%.
 constexpr Millis longestLateRun { 18'000 };
-/// Between two passes: ends and arrivals of this time are placed together. A tenth of the least
-/// time from accept to first start.
+/// Minimum time between two passes: events within it are handled by one pass. A tenth of the minimum time from accept to
+/// first start.
 constexpr Millis leastPassGap { 3 };
-/// A pass over a large fleet with many jobs takes some ms: it may take a fifth of the time at the most,
-/// the rest is for calls and answers.
+/// A pass over a large fleet with many jobs takes some ms. Passes take at most a fifth of the time; the rest is left for
+/// calls and answers.
 constexpr int passShare = 5;
-/// Between two looks at what runs on workers that are to be emptied. A turn of load empties hundreds; a stop takes some
-/// hundred ms, and batch tasks are waited for longer than that.
+/// Interval between two scans of evacuating workers. A shift of load evacuates hundreds of workers; a stop takes some hundred
+/// ms, and waiting for batch tasks takes longer.
 constexpr Millis evacuationPause { 50 };
-/// A pass runs at least this often while there are jobs: for what becomes possible by time.
+/// Maximum interval between passes, for changes that only the passage of time causes.
 constexpr Millis idlePass { 200 };
 
-/// \returns Steps of which tasks may have started, if the job is inherited.
+/// \returns Steps of an inherited job whose tasks may have started already.
 std::set<StepId> openSteps(const JobState& job)
 {
     std::set<StepId> open;
@@ -63,14 +61,14 @@
     return open;
 }
 
-/// Notes over how many instances the tasks of open steps must be spread.
+/// Adds the minimum number of instances over which the tasks of unfinished steps must be spread.
 void noteSpread(const JobState& job, PoolDemand& demand)
 {
     for (const auto& [id, step] : job.steps()) {
         const StepSpec& spec = job.spec(id.step);
         const std::uint32_t most = spec.mostPerInstance;
         const auto left = static_cast<std::uint32_t>(step.tasks.size()) - step.succeeded;
-        // Tasks that last need a second instance with their label to move to.
+        // Long-running tasks with a required label need a second instance with the label to move to.
         const std::uint32_t least = most > 0 ? (left + most - 1) / most : 1;
         if (left == 0 || (most == 0 && !(spec.longRunning && !spec.requiredLabel.empty())))
             continue;
@@ -81,7 +79,7 @@
     }
 }
 
-/// Notes what the attempts booked at a worker take. \param hopeless Jobs that end late whatever is done.
+/// Adds the usage of the attempts on a worker. \param hopeless Jobs that can no longer meet their objective.
 void noteRunning(const WorkerBook& book, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
@@ -90,7 +88,7 @@
     Resources usedByAnyInVain;
     for (const auto& [attempt, booking] : book.bookings) {
         const bool isInVain = hopeless.contains(attempt.job);
-        // Most tasks run anywhere.
+        // Fast path: most tasks have no placement requirement.
         if (booking.step->requiredLabel.empty() && booking.step->preferredRack.empty()) {
             usedByAny += footprint(*booking.step);
             if (isInVain)
@@ -125,7 +123,7 @@
     return text;
 }
 
-/// All that lives for one term.
+/// All state of one term.
 struct Term {
     Term(const JobSchedulerOptions& options, const Ownership& ownership, SchedulerCounts& counts)
         : state { .options = options,
@@ -140,7 +138,7 @@
         , load(std::make_shared<OwnerLoad>(options, counts))
         , admission(std::make_shared<AdmissionDesk>(state))
     {
-        // Nobody owned before the first term, so nothing runs.
+        // No owner precedes the first term, so no inherited task runs.
         if (ownership.term == 1)
             state.inheritedLeaseOverBy = options.loop->now();
     }
@@ -165,12 +163,12 @@
     ReportReader reports;
     std::shared_ptr<OwnerLoad> load;
     std::shared_ptr<AdmissionDesk> admission;
-    /// Instances of the platform's list that may run what nobody has looked at; nothing before
-    /// the list was read in this term.
+    /// Number of listed instances that may run tasks and have no known worker; unset until the list was read in this
+    /// term.
     std::optional<std::uint32_t> unknownInstances;
-    bool settledInherited = false; ///< The probations that previous owners left are settled as far as they can be.
+    bool settledInherited = false; ///< The probations that previous owners left are settled as far as possible.
     ListedLives listedLives;
-    std::set<std::string> unmet; ///< Workers that might run inherited tasks and were not asked yet.
+    std::set<std::string> unmet; ///< Workers that may run inherited tasks and have not reported yet.
 };
 
 } // namespace
@@ -217,7 +215,7 @@
             return;
         m_options.log->change("ownership-lost", { { "epoch", static_cast<std::int64_t>(m_term->state.ownership.epoch) } });
         m_term->close();
-        // Its parts may be at work further up the stack.
+        // Functions of the term may still be on the call stack.
         m_options.loop->callAt(m_options.loop->now(), [old = std::move(m_term)] {});
         m_term.reset();
     }
@@ -363,7 +361,7 @@
         for (const FleetInstance& instance : instances) {
             const PoolSettings* pool = configuration->pool(instance.pool);
             const bool runs = instance.state == FleetState::Up && !(pool && pool->reserve);
-            // While its entry is missing from the store, an instance may stand here without a life.
+            // While its entry is missing from the store, the instance may be listed without an incarnation.
             unknown += runs && !m_term->state.worker(instance.worker) ? 1 : 0;
         }
         m_term->unknownInstances = unknown;
@@ -399,7 +397,7 @@
             stored();
     }
 
-    /// \returns Whether every worker that might run inherited tasks has been met or is over.
+    /// \returns Whether every worker that may run inherited tasks has reported or has ended.
     bool isSettled()
     {
         OwnerState& state = m_term->state;
@@ -485,7 +483,7 @@
         return demands;
     }
 
-    /// Notes how much the labels that tasks require are wanted, for the placement of other tasks.
+    /// Updates the demand level of each required label, which keeps other tasks off scarce instances.
     static void noteWanted(OwnerState& state)
     {
         state.wanted.clear();
@@ -542,8 +540,8 @@
             cancel(job);
     }
 
-    /// Counts a new job towards the load to come, as far as its organisation's quota lets it run, and
-    /// against what the organisation may send.
+    /// Adds a new job to the load forecast, as far as its organisation's quota allows, and charges it to the organisation's
+    /// rate.
     void noteArrival(const std::string& id)
     {
         OwnerJob* job = m_term->state.job(id);
@@ -570,11 +568,11 @@
         m_term->orders->stopAll(job);
     }
 
-    /// An entry of a pool that the configuration does not name may come from another writer: calls to its address
-    /// would reach whoever is there.
+    /// An entry whose pool is not in the configuration may come from another writer, and calls to its address could reach an
+    /// unrelated process.
     [[nodiscard]] bool isNamed(const DirectoryEntry& entry) const { return m_options.configuration()->pool(entry.worker.pool) != nullptr; }
 
-    /// A life that the platform lists is a worker's, whatever its pool: it may run what an earlier owner started.
+    /// An incarnation that the platform lists is a worker in any pool, and may run tasks of an earlier owner.
     void meetListed(const std::vector<FleetInstance>& instances)
     {
         for (const FleetInstance& instance : instances) {
@@ -604,16 +602,16 @@
             .leaseTime = m_options.workerLeaseTime,
             .mayOrder = [this] { return m_options.ownership->isHeld(); },
             .overdueAfter = [this] { return m_term ? m_term->state.responses.overdueAfter() : ResponseTime::maxOverdue; } };
-        // What was sent to a former life and reached this one brought a lease on a clock that it doesn't have.
+        // A command to a previous incarnation may have reached this one, with a lease on the previous incarnation's clock.
         if (!book.formerStarts.empty())
             options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + longestLateRun);
         book.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { book.entry.id, book.entry.address, startedAt, book.entry.dataHall }, std::move(options), m_term->reports);
         book.session->start();
-        // Also one whose entry comes later: it may have been missing while its tasks ran on.
+        // Also a worker whose entry arrives late: its tasks may have been running while the entry was missing.
         m_term->unmet.insert(book.entry.id);
     }
 
-    /// Takes in what a worker's entry tells now. The entry of a former life may arrive after the first word of the new one.
+    /// Updates a worker from its entry. The entry of a previous incarnation may arrive after the first report of the new one.
     void noteEntry(WorkerBook& book, const DirectoryEntry& entry) const
     {
         book.listed = entry.listed;
@@ -655,6 +653,8 @@
         const MonotonicInstant begin = m_options.loop->now();
         m_passFrom = begin + leastPassGap;
         HallWatch(term->state).run();
+        // Cancellations take effect within 3 s, so no task starts on an older replica of the jobs. An idle watch is answered
+        // every second.
         const bool knowsCancels = term->state.knowsCancels();
         noteCopy(knowsCancels);
         if (!m_options.ownership->isHeld() || !knowsCancels || !m_options.evacuations->isConfirmed()) {
@@ -684,7 +684,7 @@
         schedulePass(std::max(m_passFrom, wake ? std::min(*wake, end + idlePass) : end + idlePass));
     }
 
-    /// Settles the probations of previous owners before their tasks start again.
+    /// Settles the probations that previous owners left, before the tasks start again.
     void settleInherited()
     {
         if (m_term->settledInherited || !isSettled())
@@ -694,7 +694,7 @@
         m_term->reports.crashes().settleAbsent(m_term->unknownInstances == 0U && m_term->unmet.empty());
     }
 
-    /// One line when starts wait for a newer copy of the jobs, one when they go on.
+    /// Logs when starts begin to wait for a newer replica of the jobs, and when they resume.
     void noteCopy(bool isNew)
     {
         if (std::exchange(m_copyIsNew, isNew) == isNew)
@@ -703,14 +703,14 @@
         m_options.log->change(isNew ? "copy-new-again" : "copy-too-old", { { "copy_age_ms", std::int64_t { age.count() } } });
     }
 
-    /// \returns Whether a worker is still to be asked what it runs for earlier owners.
+    /// \returns Whether a worker has not yet reported which inherited tasks it runs.
     [[nodiscard]] bool isUnmet(const std::string& id) const
     {
         const auto found = m_term->state.workers.find(id);
         return found != m_term->state.workers.end() && !found->second.session->isMet() && !found->second.session->isLifeOver();
     }
 
-    /// A life that a complete list does not name runs nowhere, if it was known before the time that the list shows.
+    /// An incarnation that a complete list does not name runs nowhere, if it was known before the time of the list.
     void noteListedLives(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt, const ServiceConfiguration& configuration)
     {
         ListedLives& lives = m_term->listedLives;
@@ -723,8 +723,8 @@
         }
     }
 
-    /// Ends lives that do not answer and that complete lists do not name. The end of a life that no list ever named is proved in no
-    /// other way.
+    /// Ends unresponsive incarnations that complete lists do not name. This is the only proof of the end of an incarnation that no
+    /// list ever named.
     void endUnlistedLives()
     {
         std::vector<std::string> over;
@@ -739,7 +739,7 @@
             noteLifeOver(id);
     }
 
-    /// Jobs that are over, stored, and run nowhere.
+    /// Drops jobs that have ended, are stored, and have no live attempt.
     void dropFinished()
     {
         OwnerState& state = m_term->state;
@@ -776,8 +776,8 @@
     bool m_copyIsNew = true;
     TimerId m_passTimer = 0;
     MonotonicInstant m_passAt;
-    MonotonicInstant m_passFrom; ///< No pass before this.
-    MonotonicInstant m_cleanAt; ///< When to look for what is over again.
+    MonotonicInstant m_passFrom; ///< Earliest time of the next pass.
+    MonotonicInstant m_cleanAt; ///< Time of the next removal of ended jobs and workers.
 };
 
 JobScheduler::JobScheduler(JobSchedulerOptions options)
--- a/src/jobs/owner/listed_lives.h
+++ b/src/jobs/owner/listed_lives.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Which lives of workers the platform's lists of instances name.
+/// Worker incarnations that the platform's instance lists name.
 
 #include "lanemoor/jobs/model/fleet_control.h"
 
@@ -13,21 +13,23 @@
 
 struct ServiceConfiguration;
 
-/// \brief One list of instances, judged by all earlier ones. Costs a constant time for each instance: lists come some times a second.
+/// \brief The latest instance list, checked for completeness against all earlier lists. Constant time per instance, since lists
+/// arrive several times a second.
 class ListedLives {
 public:
-    /// \brief Takes in a list. \param instances Must outlive the calls of `names`.
+    /// \brief Replaces the current list. \param instances Must outlive all calls of `names`.
     void note(const std::vector<FleetInstance>& instances, const ServiceConfiguration& configuration);
 
-    /// \returns Whether the list has all instances seen before and names the life of each that is up: a life that it does not name runs nowhere.
+    /// \returns Whether the list has all instances seen before and names the incarnation of each that is up. An incarnation that a
+    /// complete list does not name runs nowhere.
     [[nodiscard]] bool isComplete() const noexcept { return m_isComplete; }
 
-    /// \returns Whether the list names the life.
+    /// \returns Whether the list names the incarnation.
     [[nodiscard]] bool names(std::string_view worker) const { return m_named.contains(worker); }
 
 private:
-    std::unordered_set<std::string> m_seen; ///< Instances, by the lists so far.
-    std::unordered_set<std::string_view> m_named; ///< Into the list.
+    std::unordered_set<std::string> m_seen; ///< Instances in any list so far.
+    std::unordered_set<std::string_view> m_named; ///< Views into the current list.
     bool m_isComplete = false;
 };
 
--- a/src/jobs/owner/order_desk.cpp
+++ b/src/jobs/owner/order_desk.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr Millis stopRetry { 300 }; // A stop takes up to some hundred ms at the worker.
-constexpr std::uint32_t maxProbes = 4; // For one start; renewals go on.
+constexpr Millis stopRetry { 300 }; // A worker takes up to some hundred ms for a stop.
+constexpr std::uint32_t maxProbes = 4; // Per start; renewals continue afterwards.
 constexpr std::uint32_t maxBackoff = 3; // Doublings of the pause between stops.
-constexpr Millis probeMargin { 10 }; // A worker's clock may be slow by 2%, and counts whole ms.
-constexpr Millis pauseAfterNoRoom { 200 }; // Until the worker's books and ours agree again.
-constexpr Millis pauseAfterFailedOrder { 400 }; // A worker that takes no orders is left alone a while.
+constexpr Millis probeMargin { 10 }; // A worker's clock may be slow by 2%, and has a resolution of 1 ms.
+constexpr Millis pauseAfterNoRoom { 200 }; // Time until the next reports bring the worker's free resources up to date.
+constexpr Millis pauseAfterFailedOrder { 400 }; // A worker that refuses commands gets none for this time.
 
-/// Renewals wait for an end: without these, a worker that has nothing to tell would be heard of only each second.
+/// Renewals are answered when an attempt ends or after a second: these probes detect sooner whether the worker still runs.
 void probeSoon(WorkerSession& session)
 {
     for (Millis pause = minProbation; pause < maxProbation; pause *= 2)
@@ -34,13 +34,13 @@
 
 bool OrderDesk::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect)
 {
-    // Members of a gang start together or not at all: whoever starts them asks once.
+    // Members of a gang start together or not at all: the caller checks `mayStart` once for the whole gang.
     const bool isMember = job.state.spec(task.step).gang;
     if (!worker.session->leaseForOrder() || !(isMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
         return false;
     const Attempt attempt { job.state.id(), task, number };
     const bool first = job.state.status() == JobStatus::Queued;
-    // The previous owner may have been lost before it recorded a crash, and a gang starts at one time.
+    // The previous owner may have failed before it recorded a crash, and the members of a gang start at the same time.
     const std::uint32_t assumed = isBesideSuspect || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
@@ -56,8 +56,8 @@
     return true;
 }
 
-/// The next owner must know of the start and of all earlier crashes before the worker can crash: a lost owner would otherwise
-/// give the task another start.
+/// The start and all earlier crashes must be stored before the worker can crash. Otherwise each change of owner would give
+/// the task an additional start.
 void OrderDesk::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
 {
     job.state.setPhase(attempt, AttemptPhase::Recording, m_state.now());
@@ -88,7 +88,7 @@
     send(attempt, *book, ticket);
 }
 
-/// A gang starts at one time, and a start of which only the record matters need not wait.
+/// The members of a gang start at the same time, and a start that is recorded without an earlier crash need not wait for an answer.
 bool OrderDesk::needsVerifiedWorker(const Attempt& attempt) const
 {
     const JobState& job = m_state.job(attempt.job)->state;
@@ -96,7 +96,7 @@
     return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspicion() > own;
 }
 
-/// Storing the record took so long that the worker may be gone by now.
+/// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
 void OrderDesk::sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
 {
     m_awaitingAnswer[worker.entry.id].push_back({ attempt, worker.session, ticket });
@@ -122,7 +122,7 @@
         sendRecorded(start.attempt, worker, start.life.lock().get(), start.ticket);
 }
 
-/// The start was never sent.
+/// Releases a start that was never sent.
 void OrderDesk::withdrawRecorded(const Attempt& attempt, const std::string& worker)
 {
     const LiveAttempt* live = findLive(attempt, worker);
@@ -154,14 +154,15 @@
     watchStart(attempt, worker.entry.id, m_state.responses.overdueAfter(), 0);
 }
 
-/// \returns The attempt if it is live at the worker, or null.
+/// \returns The live attempt at the worker, or null.
 const LiveAttempt* OrderDesk::findLive(const Attempt& attempt, const std::string& worker) const
 {
     const TaskState* task = m_state.liveTask(attempt, worker);
     return task ? &*task->live : nullptr;
 }
 
-/// A start whose answer is overdue is looked up at its worker: waiting until the call times out would cost its job most of its objective.
+/// Probes the worker when the answer to a start is overdue: waiting for the call to time out would cost the job most of its
+/// objective.
 void OrderDesk::watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes)
 {
     const MonotonicInstant due = m_state.now() + pause;
@@ -173,7 +174,7 @@
         WorkerBook* book = desk->m_state.worker(worker);
         if (!live || !book || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
             return;
-        // Where the event loop itself is late the answer may wait behind this call.
+        // If the event loop itself is late, the answer may be queued behind this call.
         if (desk->m_state.now() - due > ResponseTime::minOverdue / 2) {
             desk->watchStart(attempt, worker, pause, probes);
             return;
@@ -191,7 +192,8 @@
     });
 }
 
-/// An answer does not say which life gave it: after a restart it tells nothing of the clock, and a start nothing but that it is open.
+/// An answer does not identify the incarnation that sent it: after a restart it gives no clock reading, and the outcome of the
+/// start stays unknown.
 void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result)
 {
     WorkerBook* book = bookOfLife(worker, life);
@@ -217,7 +219,7 @@
     case OrderOutcome::Unknown:
         ++m_counts.doubts;
         m_state.options.log->decision("start-in-doubt", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-        // A stop that was sent meanwhile settles it.
+        // Only in phase Ordered: a stop that was sent meanwhile settles the start.
         if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Ordered)
             job->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
         return;
@@ -272,7 +274,7 @@
         withdrawRecorded(attempt, worker);
         return;
     }
-    // While the store is away the ownership may not be used, and may yet go on.
+    // While the store is unavailable the ownership is not usable, but it may be resumed.
     if (!m_state.options.ownership->isHeld()) {
         stopLater(attempt, worker, stopRetry);
         return;
@@ -289,7 +291,7 @@
     watchStop(attempt, worker, number);
 }
 
-/// A stop whose answer is overdue is sent again: until one is answered the task starts nowhere else.
+/// Sends a stop again when its answer is overdue: the task can start elsewhere only after a stop was answered.
 void OrderDesk::watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number)
 {
     const Millis pause = m_state.responses.overdueAfter() * (1U << std::min(number - 1, maxBackoff));
@@ -300,14 +302,14 @@
         const auto sent = desk->m_stopsSent.find(attempt);
         if (sent == desk->m_stopsSent.end() || sent->second != number)
             return;
-        // A stop that is sent again says nothing new of the worker.
+        // A repeated stop is no new evidence on the worker's health.
         if (WorkerBook* book = desk->m_state.worker(worker); book && number == 1)
             desk->m_health.noteStopOverdue(*book);
         desk->stopLater(attempt, worker, Millis(0));
     });
 }
 
-/// \returns The book of the worker if `life` is still the one that it speaks with, or null.
+/// \returns The worker if `life` is still its current session, or null.
 WorkerBook* OrderDesk::bookOfLife(const std::string& worker, const WorkerSession* life) const
 {
     WorkerBook* book = m_state.worker(worker);
@@ -318,7 +320,7 @@
 {
     WorkerBook* book = bookOfLife(worker, life);
     if (!book) {
-        // A former life may have taken it, which says nothing of the new one.
+        // A previous incarnation may have handled the stop, which does not affect the current one.
         stopLater(attempt, worker, stopRetry);
         return;
     }
@@ -329,7 +331,7 @@
         book->session->noteClock(result.workerClock);
         if (OwnerJob* job = m_state.job(attempt.job))
             job->state.noteStopAnswered(attempt, m_state.now());
-        // If it never ran there no end is reported, and the open renewal tells so only once its wait is over.
+        // An attempt that never ran reports no end, and the pending renewal shows its absence only after its wait time.
         const LiveAttempt* live = findLive(attempt, worker);
         if (live && !live->wasConfirmed())
             book->session->probe();
@@ -360,7 +362,7 @@
             desk->m_stopsSent.erase(attempt);
             return;
         }
-        // Others of its step may have been lost since the first stop, which may not have arrived.
+        // Other tasks of the step may have failed since the first stop, which may not have arrived.
         if (desk->mayStopNow(attempt))
             desk->stop(attempt, worker);
         else
@@ -374,7 +376,8 @@
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
     if (!task)
         return true;
-    // Nothing is at work that was never there; tasks of one step whose starts are open would wait for each other for ever.
+    // An unconfirmed attempt is not running, so a stop disrupts nothing. Otherwise two unacknowledged starts of one step would
+    // block each other's stop permanently.
     if (task->live && task->live->number == attempt.number && !task->live->wasConfirmed())
         return true;
     return isFinal(job->state.status()) || mayDisrupt(m_state, job->state, attempt.task);
@@ -424,7 +427,7 @@
                 const auto desk = self.lock();
                 if (!desk || desk->m_closed || result.outcome == OrderOutcome::Done)
                     return;
-                // Told again with the next report.
+                // The throttle is sent again after the next report.
                 if (WorkerBook* book = desk->m_state.worker(id))
                     book->bookings.noteThrottled(attempt, 100);
             });
--- a/src/jobs/owner/order_desk.h
+++ b/src/jobs/owner/order_desk.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Sends starts, stops and throttles, and takes in their answers.
+/// Sends starts, stops and throttles, and handles their answers.
 
 #include "health_monitor.h"
 #include "owner_state.h"
@@ -9,45 +9,46 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Gives orders to workers while the ownership is held.
+/// \brief Sends commands to workers while the ownership is held.
 ///
 /// A start whose answer is overdue has an unknown outcome: the attempt may run, or may begin later.
-/// A probe tells, or the next renewal; if the attempt is not there a stop settles
-/// it, since a worker starts no attempt that it was told to stop. Stops are sent again until one is answered.
+/// A probe or the next renewal resolves it. If the worker does not report the attempt, a stop settles it, since a worker
+/// never starts an attempt after a stop for it. Stops are sent again until one is answered.
 class OrderDesk : public std::enable_shared_from_this<OrderDesk> {
 public:
     OrderDesk(OwnerState& state, HealthMonitor& health, SchedulerCounts& counts);
 
-    /// \brief Books and sends a start. That of a suspect is sent once it is stored. \returns False if no order may be given now.
-    /// \param isBesideSuspect Another member of its gang is a suspect: all are sent together.
+    /// \brief Reserves resources and sends a start. The start of a suspect is sent once it is stored.
+    /// \param isBesideSuspect Whether another member of its gang is a suspect: the whole gang is sent together.
+    /// \returns False if no command may be sent now.
     bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect = false);
 
-    /// \brief Sends a stop; it is repeated until the attempt is over.
+    /// \brief Sends a stop, and repeats it until it is answered or the attempt is over.
     void stop(const Attempt& attempt, const std::string& worker);
 
-    /// \brief Stops all attempts of a job that a caller cancelled, or that has ended.
+    /// \brief Stops all attempts of a cancelled or finished job.
     void stopAll(OwnerJob& job);
 
-    /// \brief Notes that a job is over, and stops what it still has running.
+    /// \brief Logs and counts the end of a job, and stops its remaining attempts.
     void finish(OwnerJob& job);
 
-    /// \brief Starts a task no more since it ends the workers that start it; see JobState.
+    /// \brief Fails a poison task permanently; see JobState.
     void giveUp(OwnerJob& job, const TaskId& task);
 
-    /// \brief The worker has answered: sends the recorded starts that wait for that.
+    /// \brief Sends the recorded starts that wait for an answer of the worker.
     void noteAnswer(const std::string& worker);
 
     void throttle(WorkerBook& worker, std::uint32_t percent);
 
-    /// \brief Takes an attempt out of the worker's books and drops it from its job, if it is
-    /// the live one. \param retryAt When the task may start again.
+    /// \brief Releases the attempt's reservation at the worker and drops the attempt from its job, if it is the live one.
+    /// \param retryAt Earliest time of the task's next start.
     void release(const Attempt& attempt, const std::string& worker, MonotonicInstant retryAt);
 
-    /// \brief Hears no answers any more.
+    /// \brief Ignores all answers that arrive from now on.
     void close() { m_closed = true; }
 
 private:
-    /// A start that is stored.
+    /// A start that is stored and not sent yet.
     struct RecordedStart {
         Attempt attempt;
         std::weak_ptr<WorkerSession> life;
@@ -73,7 +74,7 @@
     OwnerState& m_state;
     HealthMonitor& m_health;
     SchedulerCounts& m_counts;
-    std::map<Attempt, std::uint32_t> m_stopsSent; ///< Of attempts whose stop is not answered; the newest one is sent again.
+    std::map<Attempt, std::uint32_t> m_stopsSent; ///< Number of stops sent, for attempts with an unanswered stop; only the latest stop is sent again.
     std::map<std::string, std::vector<RecordedStart>> m_awaitingAnswer; ///< By worker.
     bool m_closed = false;
 };
--- a/src/jobs/owner/owner_load.cpp
+++ b/src/jobs/owner/owner_load.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis tickEvery { 100 }; // A hold-up as long as the shortest lease's renewal is seen.
+constexpr Millis tickEvery { 100 }; // Detects a stall as long as the renewal interval of the shortest lease.
 constexpr Millis tellEvery { 1'000 };
 
 std::int64_t millis(std::chrono::microseconds time)
--- a/src/jobs/owner/owner_load.h
+++ b/src/jobs/owner/owner_load.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Tells the log each second what the owner spends its time on.
+/// Logs once a second how much time the owner spends on each kind of work.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/owner/job_scheduler.h"
@@ -9,10 +9,10 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Writes `owner-load` once a second, from its construction to `close`.
+/// \brief Writes an `owner-load` event once a second, from `start` to `close`.
 ///
-/// A timer that is late shows that the thread, or its machine, had no time: work that no kind accounts for
-/// included.
+/// A late timer shows that the thread or its machine was overloaded, also by work that no kind accounts
+/// for.
 class OwnerLoad : public std::enable_shared_from_this<OwnerLoad> {
 public:
     OwnerLoad(const JobSchedulerOptions& options, const SchedulerCounts& counts);
@@ -30,8 +30,8 @@
     TimerId m_timer = 0;
     MonotonicInstant m_dueAt;
     MonotonicInstant m_toldAt;
-    std::chrono::microseconds m_latest {}; ///< Of the timer, since the last line.
-    SchedulerCounts m_told; ///< At the last line.
+    std::chrono::microseconds m_latest {}; ///< Maximum delay of the timer since the last line.
+    SchedulerCounts m_told; ///< Counts at the last line.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/placement_candidate.h
+++ b/src/jobs/owner/placement_candidate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A step whose tasks could start.
+/// A step with tasks that could start.
 
 #include "owner_state.h"
 
@@ -9,22 +9,22 @@
 
 namespace lanemoor::jobs {
 
-/// Tasks of one step that could start now, and where they stand in the order of placement.
+/// Tasks of one step that could start now, with their sort keys for the placement order.
 struct PlacementCandidate {
     std::uint32_t priority = 0;
-    bool hopeless = false; ///< Not begun, and its objective can't be met any more.
-    bool beyondRate = false; ///< Its organisation sent more jobs than it may.
+    bool hopeless = false; ///< The job has not started and can no longer meet its objective.
+    bool beyondRate = false; ///< The job exceeded its organisation's rate.
     MonotonicInstant objective;
     OwnerJob* job = nullptr;
     StepId step;
     const QueueSettings* queue = nullptr;
     std::vector<TaskId> tasks;
-    bool fromGroup = false; ///< It stands in its organisation's group of waiting jobs, whose sums count it.
+    bool fromGroup = false; ///< Taken from its organisation's group of waiting jobs, whose sums include the job.
 
-    /// \returns Whether it still waits in its group.
+    /// \returns Whether the job still waits in its group.
     [[nodiscard]] bool isCountedByGroup() const noexcept { return fromGroup && job->state.status() == JobStatus::Queued; }
 
-    /// \returns What placement goes by where organisations have no shares.
+    /// \returns The sort key of placement in pools without organisation shares.
     [[nodiscard]] auto order() const noexcept { return std::tie(priority, hopeless, beyondRate, objective); }
 };
 
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Millis waitLogPause { 1'000 }; // Between two lines on one step that finds no room.
-/// Steps in one pass of which it is found out why they wait, by a look at each worker of the pool: the log takes 60 lines a
-/// second, and with a thousand steps that wait the others have their turn in the next passes.
+constexpr Millis waitLogPause { 1'000 }; // Minimum time between two log lines on one waiting step.
+/// Maximum steps per pass whose wait is explained, which inspects each worker of the pool. The log accepts 60 lines a second;
+/// with a thousand waiting steps, the others follow in the next passes.
 constexpr std::uint32_t mostWaitsExplained = 16;
-/// Workers asked at once for each suspect that waits: the emptiest one may just have crashed.
+/// Workers probed at once per waiting suspect: the emptiest worker may just have crashed.
 constexpr std::size_t livenessChecksPerSuspect = 2;
 
 } // namespace
@@ -49,7 +49,7 @@
             noteUnseen(job);
             continue;
         }
-        // Most jobs run: a pass looks at those of which something ended, or that wait.
+        // Most jobs only run: a pass inspects just the jobs that changed or wait.
         if (job.quietSince == job.state.changes())
             continue;
         openDue(job);
@@ -137,7 +137,7 @@
 void PlacementPass::collect(OwnerJob& job, const ServiceConfiguration& configuration)
 {
     const QueueSettings* queue = nullptr;
-    std::optional<bool> hopeless; // Looked up once a step of the job can start.
+    std::optional<bool> hopeless; // Determined when the first step of the job can start.
     const MonotonicInstant now = m_now;
     bool startsByTime = job.state.nextDue().has_value();
     for (const auto& [id, step] : job.state.steps()) {
@@ -167,7 +167,7 @@
         job.quietSince.reset();
 }
 
-/// Its tasks may run at workers that nobody has asked yet; until then the quota counts them all.
+/// Charges all idle tasks of an inherited job to the quota: they may run on workers that have not reported yet.
 void PlacementPass::noteUnseen(const OwnerJob& job)
 {
     if (!job.account)
@@ -180,8 +180,8 @@
     }
 }
 
-/// Work that a quota holds back is no demand: more instances would not help it. While the configuration
-/// may be an old one, a quota may have been lowered since.
+/// Work that a quota holds back is not demand, since more instances would not help it. While the configuration may be
+/// outdated, all work with a quota is held: the quota may have been lowered.
 bool PlacementPass::isHeldByQuota(const Candidate& candidate, std::uint32_t tasks) const
 {
     const OwnerJob& job = *candidate.job;
@@ -220,7 +220,7 @@
     return sites;
 }
 
-/// A previous owner was lost while a task was on its last probation: the task does not start again.
+/// Fails a task permanently if a previous owner failed during the task's last probation.
 bool PlacementPass::failExhausted(const Candidate& candidate)
 {
     const auto exhausted = std::find_if(candidate.tasks.begin(), candidate.tasks.end(), [&](const TaskId& id) {
@@ -239,7 +239,7 @@
         return;
     PoolSites& sites = sitesOf(pool);
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
-    // A gang starts whole or not at all.
+    // All members of a gang start together or not at all.
     if (isHeldByQuota(candidate, step.gang ? step.count : 1)) {
         noteHeld(candidate, sites, candidate.tasks.size());
         return;
@@ -280,8 +280,8 @@
     return ticket == m_tickets->end() ? std::string() : ticket->second;
 }
 
-/// A task waits for room near its data as long as the work far from it would take longer: at the
-/// most it then ends twice as late as with the better choice.
+/// A task waits for room near its data for as long as a run far from its data would take in addition. It then ends at most
+/// twice as late as with the better choice.
 bool PlacementPass::mayGoFar(const Candidate& candidate)
 {
     const PlacementOptions& options = m_state.options.placement;
@@ -323,7 +323,7 @@
         if (step.longRunning)
             query.quarantineKey = quarantineKey({ candidate.job->state.id(), task, 0 }, true);
         const std::optional<std::size_t> site = choose(step, query, sites);
-        // Others of its step need no verified worker, and may stand beside what the suspect is kept from.
+        // Other tasks of the step need no verified worker, and may share workers that are closed to the suspect.
         if (!site && query.suspicion > 0) {
             if (!sites.placer->choose(step, query)) {
                 noteWaiting(candidate, pool, 1);
@@ -346,7 +346,7 @@
     }
 }
 
-/// \returns Where the tasks of the step are: as many look-ups as it has tasks, whatever the fleet.
+/// \returns The step's live tasks by data hall. Takes one look-up per task, independent of the fleet's size.
 std::map<std::string, std::uint32_t> PlacementPass::tasksByHall(const Candidate& candidate) const
 {
     std::map<std::string, std::uint32_t> tasks;
@@ -368,7 +368,7 @@
     return verified;
 }
 
-/// \returns The query, narrowed to sites that `admits` lets in and at which the outcome of a suspect's start will be known.
+/// \returns The query, narrowed to sites that pass `admits` and at which the outcome of a suspect's start can be determined.
 PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const
 {
     PlacementQuery narrow = query;
@@ -380,13 +380,13 @@
     return narrow;
 }
 
-/// A suspect that is sent to a worker which is gone already would be blamed for its crash.
+/// Chooses only among probably live workers: the crash of a dead worker would be attributed to the suspect.
 std::optional<std::size_t> PlacementPass::chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const
 {
     return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& book) { return book.isProbablyUp(m_now); }));
 }
 
-/// Asks a few workers for an answer: the suspect starts in the pass that follows the first one.
+/// Probes a few workers. The suspect starts in the pass after the first answer.
 void PlacementPass::checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
     ++sites.waitingSuspects;
@@ -402,7 +402,7 @@
     }
 }
 
-/// \returns Crashes that may be the task's doing, as far as placement goes by them.
+/// \returns Crashes attributed to the task; 0 if placement does not isolate suspects.
 std::uint32_t PlacementPass::suspicionOf(const Candidate& candidate, const TaskId& task) const
 {
     return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspicion() : 0;
@@ -415,7 +415,7 @@
         sites.placer->noteSuspect(site, query.quarantineKey, query.suspicion);
 }
 
-/// Counts what more instances would help: a task too large for any of them waits in vain.
+/// Adds waiting tasks to the demand, unless they are too large for any instance.
 void PlacementPass::noteWaiting(const Candidate& candidate, const std::string& pool, std::size_t tasks)
 {
     if (candidate.isCountedByGroup())
@@ -435,7 +435,7 @@
     }
 }
 
-/// Notes why a step waits, and logs it seldom enough for steps that wait long.
+/// Records and logs why a step waits, at a limited rate.
 void PlacementPass::noteWait(const Candidate& candidate, const PoolSites& sites, const PlacementQuery& query, std::size_t tasks, const std::string& heldByQuotaOf)
 {
     if (m_fair)
@@ -468,7 +468,7 @@
 void PlacementPass::placeGang(const Candidate& candidate, PoolSites& sites, const std::string& pool)
 {
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
-    // All or nothing: while one member is not over, or not yet allowed, none starts.
+    // All or nothing: no member starts while one is still live or not yet startable.
     if (candidate.tasks.size() < step.count)
         return;
     if (step.sameRack) {
@@ -499,7 +499,7 @@
     bool hasSuspect = false;
     query.tasksOfStep = [&](std::size_t index) { return members[index]; };
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
-        // A gang needs all its sites at once: a suspect of it may have to stand beside others.
+        // A gang needs all its sites at once, so its suspects are not isolated from other tasks.
         query.suspicion = std::min(suspicionOf(candidate, candidate.tasks[i]), crashesToIsolate - 1);
         std::optional<std::size_t> site;
         if (query.suspicion > 0)
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One pass over all tasks that could start.
+/// One placement pass over all tasks that could start.
 
 #include "advice_desk.h"
 #include "fair_placement.h"
@@ -11,22 +11,22 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Starts what may start and finds room, pool by pool, the most urgent first.
+/// \brief Starts the tasks that find room, pool by pool, the most urgent first.
 class PlacementPass {
 public:
-    /// \param isSettled Whether tasks of inherited jobs may start in a pool: every worker that
-    /// might run them has been met, or its lease is over.
+    /// \param isSettled Whether tasks of inherited jobs may start: every worker that may run them has reported, or its lease
+    /// has expired.
     PlacementPass(OwnerState& state, OrderDesk& orders, AdviceDesk& advice, std::function<bool()> isSettled);
 
-    /// \returns When the next task or occurrence becomes startable by time alone, if any does.
+    /// \returns The time when the next task or occurrence becomes startable, if only its time is missing.
     std::optional<MonotonicInstant> run();
 
     using Waiting = std::map<std::string, std::map<Requirement, WaitingTasks>>;
 
-    /// \returns What found no room in the last run, by pool and requirement class.
+    /// \returns The demand that found no room in the last run, by pool and requirement class.
     [[nodiscard]] const Waiting& waiting() const noexcept { return m_waiting; }
 
-    /// \returns How many times a worker was looked at for a task in the last run.
+    /// \returns Number of workers inspected in the last run, counted once per task.
     [[nodiscard]] std::uint64_t sitesInspected() const;
 
 private:
@@ -35,8 +35,8 @@
     struct PoolSites {
         std::vector<WorkerBook*> books;
         std::optional<Placer> placer;
-        std::size_t livenessChecks = 0; ///< Whose answer is not overdue.
-        std::size_t waitingSuspects = 0; ///< In this pass.
+        std::size_t livenessChecks = 0; ///< Pending checks whose answer is not overdue.
+        std::size_t waitingSuspects = 0; ///< Suspects that found no verified worker in this pass.
     };
 
     void openDue(OwnerJob& job);
@@ -69,20 +69,20 @@
     void wakeAt(MonotonicInstant when);
 
     OwnerState& m_state;
-    std::shared_ptr<const ServiceConfiguration> m_configuration; ///< Of the pass.
-    bool m_knowsQuotas = true; ///< The configuration is no old one.
+    std::shared_ptr<const ServiceConfiguration> m_configuration; ///< Constant during a pass.
+    bool m_knowsQuotas = true; ///< The configuration is current, so its quotas apply.
     OrderDesk& m_orders;
     AdviceDesk& m_advice;
     std::function<bool()> m_isSettled;
     std::map<std::string, std::vector<Candidate>> m_candidates; ///< By pool.
     std::map<std::string, PoolSites> m_sites;
     Waiting m_waiting;
-    MonotonicInstant m_now; ///< Of the pass: reading the clock for each job and worker would cost more than the rest.
+    MonotonicInstant m_now; ///< Start of the pass. Reading the clock for each job and worker would take more time than the rest of the pass.
     Instant m_timeOfDay;
     std::optional<MonotonicInstant> m_wake;
-    std::uint32_t m_waitsExplained = 0; ///< In this pass.
-    FairPlacement* m_fair = nullptr; ///< Of the pool being placed; null: organisations have no shares of it.
-    const std::map<std::string, std::string>* m_tickets = nullptr; ///< Of the step being placed; null: none needed.
+    std::uint32_t m_waitsExplained = 0; ///< Number of explained waits in this pass.
+    FairPlacement* m_fair = nullptr; ///< Fair placement of the current pool; null: the pool has no organisation shares.
+    const std::map<std::string, std::string>* m_tickets = nullptr; ///< Tickets of the step being placed; null: no tickets required.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/report_reader.cpp
+++ b/src/jobs/owner/report_reader.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// A batch attempt whose percent does not change for this long stands still: the longest tasks
-/// seen take some 10 s, of which a percent is 0.1 s, and reports come every second.
+/// A batch attempt is stalled if its percentage does not change for this time. The longest tasks take about 10 s, so one
+/// percent takes 0.1 s, and reports arrive every second.
 constexpr Millis stuckAfter { 3'000 };
-/// Members of a gang also wait for each other, up to some seconds by the platform's bound.
+/// Members of a gang also wait for each other; the platform limits this wait to some seconds.
 constexpr Millis gangStuckAfter { 7'000 };
-/// A long-running task that stood still so long does not come to work just as it is stopped.
+/// A long-running task that was stalled for this time is not expected to become ready while it is stopped.
 constexpr Millis stuckForGood { 8'000 };
 
-constexpr Millis strayStopPause { 500 }; // Between stops of an attempt that nobody wants.
+constexpr Millis strayStopPause { 500 }; // Minimum time between stops of a stray attempt.
 
 } // namespace
 
@@ -53,7 +53,7 @@
         session.acknowledge(0);
 }
 
-/// The worker may forget its ends once they are stored.
+/// Handles ended attempts, and acknowledges them to the worker once they are stored.
 void ReportReader::readEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
 {
     std::uint64_t last = 0;
@@ -84,7 +84,7 @@
         m_health.noteRunTime(worker, job->state, ended.attempt, observed);
     }
     m_state.endWait(*job);
-    // Whatever the end, the worker has lived to tell it.
+    // Any reported end proves that the worker survived the attempt.
     m_crashes.noteSurvived(worker, *job, ended.attempt);
     const EndEffect effect = job->state.end(ended, worker.entry.id, m_state.mostAttemptsOf(job->state), m_state.now());
     m_state.options.log->decision("task-end",
@@ -118,7 +118,7 @@
         job->state.noteReport(report, m_state.now());
         m_state.options.log->decision("task-adopted", { { "attempt", nameOf(report.attempt) }, { "worker", worker.entry.id } });
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
-        // A member of a gang that failed: its attempt is in vain.
+        // Another member of the gang has failed, so this attempt is useless.
         if (job->state.hasFailed(report.attempt))
             m_desk.stop(report.attempt, worker.entry.id);
         return;
@@ -126,7 +126,7 @@
     stopStray(worker, report.attempt, job);
 }
 
-/// A live attempt is at its worker.
+/// Notes that a worker reported one of its live attempts.
 void ReportReader::confirm(const RunningAttempt& report, std::int64_t workerClock)
 {
     JobState& job = m_state.job(report.attempt.job)->state;
@@ -137,8 +137,8 @@
         m_state.store(report.attempt.job);
 }
 
-/// Reads ends, which stand whatever the order of the answers, and settles starts and stops whose outcome is unknown. The list of what
-/// runs may be older than one that was read before.
+/// Handles ends, which are final in any order of answers, and settles starts and stops whose outcome is unknown. The running
+/// attempts may be older than those of an earlier answer.
 void ReportReader::onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
@@ -169,8 +169,8 @@
         m_state.requestPass();
 }
 
-/// \returns What an attempt takes at its worker until it is over, also if its job was over before this
-/// term; all of the worker, if nobody knows the job any more.
+/// \returns The step of an attempt, also if its job ended before this term. For an unknown job, a step that takes the whole
+/// worker.
 std::shared_ptr<const StepSpec> ReportReader::specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const
 {
     const CatalogEntry* entry = m_state.options.catalog->find(attempt.job);
@@ -184,7 +184,7 @@
     return std::make_shared<const StepSpec>(StepSpec { .count = 1, .needs = worker.entry.capacity });
 }
 
-/// \returns The account that an attempt counts for, also if its job was over before this term; null: not known.
+/// \returns The organisation account of an attempt, also if its job ended before this term; null: unknown.
 OrganisationAccount* ReportReader::accountOf(const Attempt& attempt, const OwnerJob* job) const
 {
     if (job)
@@ -193,7 +193,7 @@
     return entry && entry->record ? m_state.accountOf(*entry->record) : nullptr;
 }
 
-/// Nobody wants the attempt: its job is over, or its task runs elsewhere.
+/// Stops an attempt whose job has ended or whose task runs elsewhere.
 void ReportReader::stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job)
 {
     if (!worker.bookings.contains(attempt))
@@ -239,7 +239,7 @@
     case AttemptPhase::Doubtful:
         if (live.phaseSince > sentAt)
             return;
-        // Confirmed at a time that the clock of this life has not reached: by a former one, with which it is over.
+        // Confirmed at a time that this incarnation's clock has not reached: the attempt ended with a previous incarnation.
         if (live.confirmedOnClock > workerClock)
             m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
         else
@@ -270,8 +270,8 @@
             stuck.push_back(attempt);
     }
     for (const Attempt& attempt : stuck) {
-        // It may come to work just as it is stopped. But others of its step that stand still are away too: they would wait for
-        // each other for ever.
+        // A stalled task may become ready while it is stopped, so the disruption budget applies. After a long stall it does not:
+        // stalled tasks of one step count as unavailable and would block each other's stop permanently.
         const OwnerJob* job = m_state.job(attempt.job);
         const bool standsForGood = now - job->state.find(attempt.task)->live->standsSince() > stuckForGood;
         if (job->state.spec(attempt.task.step).longRunning && !standsForGood && !mayDisrupt(m_state, job->state, attempt.task))
@@ -345,7 +345,7 @@
     m_state.requestPass();
 }
 
-/// What was planned says nothing of the data hall; of a move without an answer only the silence is heard.
+/// A planned end is no evidence of a lost data hall. A move whose answer was lost shows only as an unresponsive worker.
 void ReportReader::noteHallStop(const WorkerBook& worker, bool hasEnded)
 {
     if (worker.endOrdered || worker.entry.draining || worker.evacuating)
@@ -354,8 +354,8 @@
         m_state.hallLosses.noteStop(worker.entry.id, hasEnded, m_state.now());
 }
 
-/// Nothing runs at the worker any more.
-/// \param open Attempts whose start may still reach a new incarnation: these stay booked, outcome unknown.
+/// Releases the attempts of a worker whose incarnation has ended or whose lease has expired.
+/// \param open Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
 /// \param lifeOver False: only the lease has expired.
 void ReportReader::lose(WorkerBook& worker, const std::set<Attempt>& open, bool lifeOver)
 {
@@ -377,15 +377,15 @@
         m_desk.giveUp(*m_state.job(failed->job), failed->task);
 }
 
-/// The lease had expired before the incarnation is proved to be over.
+/// Settles the crashes of an incarnation that is proved to have ended after its lease had expired.
 void ReportReader::settleExpired(WorkerBook& worker)
 {
     if (const std::optional<Attempt> failed = m_crashes.noteOver(worker))
         m_desk.giveUp(*m_state.job(failed->job), failed->task);
 }
 
-/// \returns Live attempts that no report of the worker has shown. An answer to their start does not tell which life gave it, and
-/// without one the start may be carried out later.
+/// \returns Live attempts that no report of the worker has shown. An answer to their start does not identify the incarnation, and
+/// without an answer the start may be executed later.
 std::set<Attempt> ReportReader::openOrders(const WorkerBook& worker) const
 {
     std::set<Attempt> open;
--- a/src/jobs/owner/report_reader.h
+++ b/src/jobs/owner/report_reader.h
@@ -1,16 +1,16 @@
 #pragma once
 /// \file
-/// Takes in what workers report: what runs, what ended, who is silent or gone.
+/// Handles worker reports: running and ended attempts, unresponsive and ended workers.
 
 #include "crash_tracker.h"
 #include "order_desk.h"
 
 namespace lanemoor::jobs {
 
-/// \brief Brings jobs and books in line with the workers' reports.
+/// \brief Reconciles jobs and reservations with the workers' reports.
 ///
-/// An end is stored before the worker is told that it may forget it. An attempt that a report
-/// should show and does not is over without having ended: it never began, or was forgotten.
+/// An end is stored before it is acknowledged to the worker, which may then drop it. An attempt that is missing from a
+/// report that should include it is over without a reported end: it never began, or the worker lost it.
 class ReportReader final : public WorkerSessionObserver {
 public:
     ReportReader(OwnerState& state, HealthMonitor& health, OrderDesk& desk, SchedulerCounts& counts);
@@ -24,7 +24,7 @@
     void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) override;
     void onFenced(WorkerSession& session) override;
 
-    /// \returns What settles the probations of starts.
+    /// \returns The tracker that attributes crashes and settles the probations of starts.
     [[nodiscard]] CrashTracker& crashes() noexcept { return m_crashes; }
 
 private:
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Jobs of organisations of which nothing has begun. A pass looks at the first ones of each organisation and queue.
+/// Jobs of organisations that have not started. A pass inspects the first ones of each organisation and queue.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/requirement.h"
@@ -17,28 +17,28 @@
 
 struct OwnerJob;
 
-/// What a waiting job asks for.
+/// Demand of a waiting job.
 struct WaitingJob {
     OwnerJob* job = nullptr;
-    std::map<Requirement, std::int64_t> milliCpu; ///< Of the tasks that could start, by class.
-    Resources needs; ///< Of the same.
-    Resources largest; ///< Of the same, the largest need of each resource.
-    std::uint32_t tasks = 0; ///< That could start.
-    std::int64_t work = 0; ///< Of the whole job, declared: thousandths of a core times ms.
-    MonotonicInstant hopelessFrom; ///< Its objective can't be met from then on.
+    std::map<Requirement, std::int64_t> milliCpu; ///< Demand of the startable tasks, by class.
+    Resources needs; ///< Sum over the startable tasks.
+    Resources largest; ///< Per resource, the largest need of any startable task.
+    std::uint32_t tasks = 0; ///< Startable tasks.
+    std::int64_t work = 0; ///< Declared work of the whole job, in thousandths of a core times ms.
+    MonotonicInstant hopelessFrom; ///< Time from which the job can no longer meet its objective.
 };
 
 /// \brief Waiting jobs of one organisation and queue, in the order in which they start.
 ///
-/// Those that can still meet their objective come first, of these those within the organisation's rate, then the earliest objective.
-/// Sums are kept up to date, so that nobody has to walk the jobs for them.
+/// Jobs that can still meet their objective come first, then jobs within the organisation's rate, then the earliest objective.
+/// The sums are maintained incrementally, so that reading them is independent of the number of jobs.
 class WaitingGroup {
 public:
-    /// Hopeless, beyond the rate, objective, id.
+    /// Sort key: hopeless, beyond the rate, objective, id.
     using Key = std::tuple<bool, bool, MonotonicInstant, std::string>;
     using Jobs = std::map<Key, WaitingJob>;
 
-    /// What all jobs of one kind ask for together.
+    /// Total demand of the hopeless jobs, or of the others.
     struct Sums {
         std::map<Requirement, std::int64_t> milliCpu;
         Resources needs;
@@ -49,30 +49,30 @@
 
     void add(WaitingJob job, MonotonicInstant now);
 
-    /// \returns Whether the job was there.
+    /// \returns Whether the group contained the job.
     bool remove(const OwnerJob& job);
 
-    /// \brief Puts jobs behind the others whose objective can't be met from now on.
+    /// \brief Moves jobs that can no longer meet their objective behind the others.
     void age(MonotonicInstant now);
 
     [[nodiscard]] bool empty() const noexcept { return m_jobs.empty(); }
     [[nodiscard]] const Jobs& jobs() const noexcept { return m_jobs; }
 
-    /// \returns The first job that is hopeless or not, or the end of what there is of it.
+    /// \returns The begin of the range of hopeless or other jobs.
     [[nodiscard]] Jobs::const_iterator begin(bool hopeless) const { return m_jobs.lower_bound(Key { hopeless, false, MonotonicInstant::min(), {} }); }
     [[nodiscard]] Jobs::const_iterator end(bool hopeless) const { return hopeless ? m_jobs.end() : begin(true); }
 
     [[nodiscard]] const Sums& sums(bool hopeless) const noexcept { return hopeless ? m_hopeless : m_urgent; }
 
-    /// \returns Of all jobs since there were none, the largest need of each resource.
+    /// \returns Per resource, the largest need of all jobs added since the group was last empty.
     [[nodiscard]] const Resources& largest() const noexcept { return m_largest; }
 
 private:
     void count(const WaitingJob& job, bool hopeless, int sign);
 
     Jobs m_jobs;
-    std::map<std::string, Key> m_keys; ///< By id of the job.
-    std::multimap<MonotonicInstant, std::string> m_hopelessFrom; ///< Of those that are not; some may be gone.
+    std::map<std::string, Key> m_keys; ///< By job id.
+    std::multimap<MonotonicInstant, std::string> m_hopelessFrom; ///< Jobs that are not hopeless yet; may contain jobs that have been removed.
     Sums m_urgent;
     Sums m_hopeless;
     Resources m_largest;
@@ -85,7 +85,7 @@
 
     void add(WaitingJob job, MonotonicInstant now);
 
-    /// \returns Whether the job was there.
+    /// \returns Whether any group contained the job.
     bool remove(const OwnerJob& job);
 
     void age(MonotonicInstant now);
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -1,5 +1,5 @@
-/// What first starts cost under a new owner. Each was recorded in the store before it was sent, since a previous owner might have lost the
-/// record of a crash: with a store that answers in some hundred milliseconds, the room that became free stood idle meanwhile.
+/// Cost of first starts under a new owner. Each start was recorded in the store before it was sent, since the previous owner might have
+/// failed before it recorded a crash. With a store that answers in some hundred milliseconds, free capacity stayed idle meanwhile.
 
 #include "support.h"
 
@@ -17,7 +17,7 @@
 constexpr std::size_t startsAfter = startsBefore + waitingJobs;
 constexpr Millis slowAnswer { 200 };
 constexpr Millis blockedTime { 6'000 };
-/// A process that has observed the workers for so long knows where one has ended.
+/// A process that has observed the workers for this time has evidence of all crashes.
 constexpr Millis observedLong { 13'000 };
 const std::string firstJob = jobId(1);
 
@@ -31,13 +31,13 @@
     return spec;
 }
 
-/// What the waiting tasks cost from the time when there is room for them.
+/// Cost of starting the waiting tasks, from the time when there is room for them.
 struct Cost {
     Millis untilSent { 0 };
     std::uint64_t storeCalls = 0;
 };
 
-/// Jobs run with one task each, while their others wait for room that another job holds. An entry is lost, then the room becomes free.
+/// Each job runs one task, and its other task waits for room that another job occupies. An entry is killed, then the room becomes free.
 struct WaitingCluster : SmallCluster {
     explicit WaitingCluster(Loss loss)
         : SmallCluster(1, 3, instances, 0, 1)
@@ -80,7 +80,7 @@
 
 } // namespace
 
-// Guards against store calls and waits for tasks to which no crash is attributed and that can have crashed no worker.
+// Guards against store calls and delays for tasks without attributed crashes that cannot have crashed a worker.
 TEST_CASE("First starts under a new owner cost as much as under the one before")
 {
     const Cost needed = WaitingCluster(Loss::OtherEntry).play();
@@ -90,14 +90,14 @@
     CHECK(paid.storeCalls <= needed.storeCalls + 3);
 }
 
-// Guards against evidence of lost workers that a new owner misses: its first start of a poison task would be unrecorded again.
+// Guards against a new owner that misses evidence of worker crashes: its first start of a poison task would be unrecorded again.
 TEST_CASE("A poison task fails in time under owners that have observed the workers for long")
 {
     const std::set<std::uint32_t> lost = GENERATE(values<std::set<std::uint32_t>>({ { 1, 2 }, { 1, 2, 3 }, { 2, 3 }, { 1, 3 } }));
     for (const bool restartsUnderId : { false, true }) {
         for (Millis offset(0); offset <= Millis(1'500); offset += Millis(300)) {
             CAPTURE(lost.size(), *lost.begin(), restartsUnderId, offset.count());
-            // An owner that begins anew has not observed anything: each loss is followed by another process.
+            // A restarted owner would have observed nothing, so a process that has been running takes over after each kill.
             SmallCluster cluster(1, 6, 8, 2, 1);
             cluster.clock.runFor(observedLong);
             std::uint32_t starts = 0;
--- a/tests/jobs/lost_worker_test.cpp
+++ b/tests/jobs/lost_worker_test.cpp
@@ -1,15 +1,11 @@
-/// A task that ends each worker that starts it.
+/// A poison task crashes each worker that starts it.
 ///
-/// Seen: on a fleet of 48 instances one task was started some 70 times in two minutes, each 1.6 s on another worker,
-/// which was gone 10 ms later with all that ran there. A long-running job that happened to run on the first of them never came to
-/// work again: its tasks were lost with the worker, freed by the same proof that the worker was over, and started in the same pass,
-/// packed beside the task that ended the next one. Each owner of the day, five in turn, did the same.
+/// Guards against endless starts: on a fleet of 48 instances one task crashed about 70 workers in two minutes, one every 1.6 s, each
+/// 10 ms after the start. A long-running job on the first worker never recovered: the proof of each crash released its tasks together
+/// with the poison task, and the same pass placed them beside it on the next worker. Five owners in turn did the same.
 ///
-/// Cause: an attempt that is lost with its worker was dropped without a trace. It counted towards nothing, was kept
-/// nowhere, and nothing told the task whose start a loss follows from those that were there by chance.
-///
-/// Proved by the log line on what was at each lost worker: the one task is in all of them, always begun some
-/// milliseconds before the worker was last heard of; the others had run for seconds the first time.
+/// Cause: attempts that failed with their worker were dropped without a record, so no crash was counted against any task, and the task
+/// that had started just before a crash was not distinguished from tasks that had been running on the worker for seconds.
 
 #include "lanemoor/jobs/policy/crash_attribution.h"
 #include "support.h"
@@ -22,8 +18,8 @@
 
 namespace {
 
-/// A cluster in which the first task of the second step of one job ends the workers that start it. Beside it
-/// are long-running tasks, which fill the same worker as far as they can, and quick ones.
+/// A cluster in which the first task of the second step of one job crashes the workers that start it. Long-running
+/// tasks, packed on as few workers as possible, and quick tasks run beside it.
 struct EndingCluster : SmallCluster {
     explicit EndingCluster(std::uint64_t seed = 1)
         : SmallCluster(seed, 3, 6, 2)
@@ -46,7 +42,7 @@
         return true;
     }
 
-    /// Plays on, and hands in a quick job each 400 ms.
+    /// Runs the cluster for a time, and submits a quick job every 400 ms.
     void playWithQuickJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
@@ -126,7 +122,7 @@
         CAPTURE(seed);
         EndingCluster cluster(seed);
         std::uint32_t ended = 0;
-        // Each second worker that it ends, the owner is lost at a moment of the wait for the proof that the worker is over.
+        // After every second crash the owner is killed, during the wait for the proof that the worker has ended.
         for (int round = 0; round < 400; ++round) {
             cluster.clock.runFor(Millis(100));
             const std::uint32_t now = cluster.witness.workersEndedBy(EndingCluster::ending, { 0, 1, 0 });
@@ -146,7 +142,7 @@
     }
 }
 
-// Guards against a crash before the answer to the start that nobody counts: the task then starts once too often.
+// Guards against an uncounted crash before the answer to the start: the task would then start once too often.
 TEST_CASE("A poison task whose workers crash before they answer is not started again and again beside quick jobs")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -165,7 +161,7 @@
     }
 }
 
-/// Guards against counting an expired lease as a crash: the worker lives on, cut off from the owner.
+/// Guards against counting an expired lease as a crash: the worker keeps running, partitioned from the owner.
 TEST_CASE("A task whose workers are cut off again and again is not given up")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -173,7 +169,7 @@
         SmallCluster cluster(seed, 3, 8, 4);
         cluster.workers.runTimes = [](const Attempt&) { return Millis(8'000); };
         const std::string id = jobId(1);
-        // Acknowledged, then cut off at once.
+        // The worker acknowledges the start and is then partitioned at once.
         std::uint32_t starts = 0;
         cluster.workers.endsWorker = [&](const Attempt& attempt) {
             if (++starts <= maxCrashes)
@@ -189,7 +185,7 @@
     }
 }
 
-/// Guards against counting a start of a lost owner as a crash, though its worker lives.
+/// Guards against counting the start of a killed owner as a crash although its worker keeps running.
 TEST_CASE("Starts whose owners are lost do not fail a task whose workers live")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -198,7 +194,7 @@
         const TaskId task { 0, 1, 0 };
         cluster.workers.endsWorker = [&](const Attempt& attempt) { return attempt.job == EndingCluster::ending && attempt.task == task && cluster.witness.workersEndedBy(attempt.job, task) == 0; };
         REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.witness.workersEndedBy(EndingCluster::ending, task) == 1; }));
-        // From now on the task is suspect, and its starts reach no worker.
+        // The task is a suspect from here on, and its starts reach no worker.
         for (std::uint32_t owners = 0; owners < maxCrashes; ++owners) {
             for (auto& [id, worker] : cluster.workers.workers())
                 worker.trouble.lostOrders = 1;
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -1,8 +1,8 @@
-/// One organisation sends many times its usual. Every job was accepted, thousands of accepted jobs were not served, and the jobs of
-/// other organisations in the same pool were late with them.
+/// One organisation submits many times its usual rate.
 ///
-/// Cause: nothing compared what was accepted with what could be served, and in a full pool the earliest objective came first, whoever
-/// sent it. What proved it: the same run with admission switched off, beside the one with it.
+/// Guards against unlimited admission: accepted work was not compared with the capacity, and a full pool placed the earliest objective
+/// first regardless of the organisation. Thousands of accepted jobs were not served, and other organisations' jobs in the pool were late.
+/// The tests compare runs with and without admission control.
 
 #include "support.h"
 
@@ -18,21 +18,21 @@
 namespace {
 
 constexpr Millis taskTime { 500 };
-constexpr Millis objective { 1'500 }; // Twice the chain of one step and 500 ms, by the small configuration.
+constexpr Millis objective { 1'500 }; // The small configuration allows twice the chain of one step, plus 500 ms.
 constexpr std::uint32_t tasksOfJob = 4;
-constexpr double weight = 200; ///< Jobs a second: no burst is beyond the rate of its organisation, as on the days that were measured.
+constexpr double weight = 200; ///< Jobs a second. No burst exceeds its organisation's rate, as in the recorded incidents.
 
 std::string organisationName(std::size_t number)
 {
     return "o" + std::to_string(number);
 }
 
-/// What became of the jobs of one organisation.
+/// Results of the jobs of one organisation.
 struct Outcome {
     std::size_t submitted = 0;
     std::size_t accepted = 0;
     std::size_t inTime = 0;
-    std::size_t late = 0; ///< Accepted, and not ended within three times the objective.
+    std::size_t late = 0; ///< Accepted jobs that did not end within three times the objective.
 
     [[nodiscard]] double served() const { return submitted == 0 ? 1 : static_cast<double>(inTime) / static_cast<double>(submitted); }
 };
@@ -66,7 +66,7 @@
         configure(configuration);
     }
 
-    /// Submits one job as a caller does: a refused one again after the time that the answer names, four times.
+    /// Submits one job as a caller does, and repeats it up to four times after the retry time of each refusal.
     void call(std::size_t organisation)
     {
         const std::string id = jobId(++m_lastJob);
@@ -75,7 +75,7 @@
         attempt(id, 4);
     }
 
-    /// Plays while each organisation submits at its rate, in jobs a second.
+    /// Runs the cluster while each organisation submits at its rate, in jobs a second.
     void play(Millis time, const std::vector<double>& rates)
     {
         constexpr Millis step { 20 };
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Organisations submit one after the other from now on, in place of all at once.
+    /// From now on organisations submit one after the other instead of all at once.
     void stagger()
     {
         for (std::size_t i = 0; i < outcomes.size(); ++i)
@@ -121,19 +121,19 @@
         }
     }
 
-    /// \returns Jobs that were accepted and have not run to their end.
+    /// \returns Number of accepted jobs that have not succeeded.
     [[nodiscard]] std::size_t unserved() const
     {
         return static_cast<std::size_t>(std::count_if(accepted.begin(), accepted.end(), [this](const std::string& id) { return !witness.hasSucceeded(id); }));
     }
 
-    /// \returns Jobs of which something ran though no caller was told that they are kept.
+    /// \returns Number of jobs that ran although every submission was refused.
     [[nodiscard]] std::size_t ranThoughRefused() const
     {
         return static_cast<std::size_t>(std::count_if(m_refused.begin(), m_refused.end(), [this](const std::string& id) { return !accepted.contains(id) && witness.job(id) && witness.hasSucceeded(id); }));
     }
 
-    /// \returns What became of all organisations but the first `hot`.
+    /// \returns The summed results of all organisations except the first `hot`.
     [[nodiscard]] Outcome others(std::size_t hot) const
     {
         Outcome sum;
@@ -194,15 +194,15 @@
         });
     }
 
-    std::vector<double> m_staggered; ///< Part of a job that each organisation owes; empty: they submit in phase.
+    std::vector<double> m_staggered; ///< Fraction of the next job that each organisation has accumulated; empty: they submit in phase.
     std::uint64_t m_version = 1;
     std::uint64_t m_lastJob = 0;
-    std::map<std::string, Job> m_jobs; ///< Not ended, and not given up.
+    std::map<std::string, Job> m_jobs; ///< Jobs that have not succeeded and are not yet counted as late or refused.
     std::vector<std::string> m_refused;
     std::vector<std::string> m_late;
 };
 
-/// \returns Rates of `count` organisations that together take half of the pool's 32 jobs a second.
+/// \returns Rates of `count` organisations that together use half of the pool's 32 jobs a second.
 std::vector<double> usualRates(std::size_t count)
 {
     return std::vector<double>(count, 16.0 / static_cast<double>(count));
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -1,4 +1,4 @@
-/// Jobs that care where they run: labels, kinds of instances, racks, instances of unequal size.
+/// Jobs with placement requirements: labels, kinds of instances, racks, instances of unequal size.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "support.h"
@@ -21,7 +21,7 @@
         FAIL_CHECK(breach.rule << ' ' << breach.detail);
 }
 
-/// Two pools and a reserve, with `scarce` instances of kind `b` in the pool named.
+/// Two pools and a reserve, with `scarce` instances of kind `b` in the given pool.
 struct MixedCluster : SmallCluster {
     MixedCluster(const std::string& poolOfScarce, std::size_t scarce, std::size_t inMain = 4, std::size_t inSide = 4, std::size_t inReserve = 4)
         : SmallCluster(1, 3, inMain, inReserve)
@@ -71,8 +71,8 @@
 
 TEST_CASE("A pool gets instances with the label that its waiting tasks need")
 {
-    // Found on a changed deployment with two kinds of instances: tasks that need one kind waited for
-    // half a minute, while the pool was given instances of the other.
+    // On a deployment with two kinds of instances, tasks that need one kind waited for half a minute while
+    // the pool received instances of the other kind.
     MixedCluster cluster("off", 3, 4, 4, 40);
     cluster.submit(0, "work", jobId(1), job({ labelled(step(20), "b") }));
     CHECK(cluster.startsWithin(Millis(3'000), 20) == 20);
@@ -89,8 +89,8 @@
 
 TEST_CASE("Tasks that no instance can run keep no instances from others")
 {
-    // Found on the same deployment: what waited for a label that no instance had counted as demand, and
-    // a pool kept 41 of 49 instances, 16 of them idle, for 25 seconds.
+    // Tasks that wait for a label without any instance counted as demand: on a deployment with two kinds of
+    // instances, a pool kept 41 of 49 instances, 16 of them idle, for 25 seconds.
     MixedCluster cluster("off", 0, 10, 1);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(1'000); };
     cluster.submit(0, "work", jobId(1), job({ labelled(step(100), "b") }));
@@ -102,8 +102,8 @@
 
 TEST_CASE("A pool that has more empties instances for one that has less")
 {
-    // Found on a changed deployment with instances of unequal size: the pool whose burst came first held
-    // 37 of 49 instances for ten seconds, since only idle ones changed pool.
+    // On a deployment with instances of unequal size, the pool with the first burst held 37 of 49 instances
+    // for ten seconds, since only idle instances were moved.
     MixedCluster cluster("off", 0, 2, 2, 12);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(1'000); };
     StepSpec long1 = step(1'000);
@@ -125,8 +125,8 @@
 
 TEST_CASE("A task waits for the rack of its data if that costs less than to work far from it")
 {
-    // Found on a changed deployment with data in racks: a sixth of the tasks ran far from their data, at
-    // three times the time, 200 ms before the near instance was free.
+    // On a deployment with data in racks, a sixth of the tasks ran far from their data and took three times
+    // as long, although a near instance became free 200 ms later.
     SmallCluster cluster(1, 3, 8, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
     cluster.workers.farFactor = 10.0;
@@ -151,8 +151,8 @@
 
 TEST_CASE("What a cancelled job still runs counts until it is over, also for an owner that never knew the job")
 {
-    // Found on a changed deployment whose workers do not guard their room: attempts of a job that was over
-    // when the owner changed were being stopped, and their room was given to others.
+    // On a deployment whose workers do not enforce their capacity, attempts of a job that had ended before
+    // the owner changed were still being stopped while their room was assigned to other tasks.
     SmallCluster cluster(1, 3, 1, 0);
     cluster.workers.guards = false;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
@@ -162,7 +162,7 @@
     const std::size_t other = (owner + 1) % cluster.entries();
     cluster.workers.on("m-0")->trouble.lateOrders = 1.0;
     cluster.cancel(other, jobId(1));
-    // The end is stored; the stops are not answered.
+    // The cancellation is stored, and the stops are not answered.
     cluster.clock.runFor(Millis(500));
     cluster.kill(owner);
     cluster.workers.on("m-0")->trouble = {};
@@ -174,8 +174,8 @@
 
 TEST_CASE("A wave leaves the last instance alone that tasks need, until another one has come")
 {
-    // Found on a changed deployment: the only instance of its kind in a pool was emptied for a wave. One
-    // task was stopped and found no other place, the others could not be, and nothing could start there.
+    // A wave evacuated the only instance of its kind in a pool. One task was stopped and found no other
+    // place, the budget kept the others running, and no task could start on the instance.
     MixedCluster cluster("main", 1);
     StepSpec lasting = labelled(longStep(4), "b");
     lasting.mostPerInstance = 0;
@@ -191,8 +191,8 @@
 
 TEST_CASE("Tasks that last make room for one that needs their instance's label, one at a time")
 {
-    // Found in random runs: tasks that could run anywhere held every instance of a kind for ever. Then on a
-    // changed deployment: two tasks of one step were moved at once, beside its budget.
+    // In random runs, tasks without requirements permanently occupied every instance of a kind. Later two
+    // tasks of one step were moved at once, beyond the step's disruption budget.
     MixedCluster cluster("main", 1, 0, 2);
     StepSpec lasting = longStep(4);
     lasting.mostPerInstance = 0;
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -1,12 +1,9 @@
-/// A worker may start again under the id that it had. It then holds and knows nothing of before, and counts anew: its
-/// ends, its clock, and what it has been told to forget.
+/// A worker may restart under its previous id. It then has no attempts, and its end numbers, its clock and its acknowledged ends
+/// start again.
 ///
-/// Seen on the models: after such a restart quick tasks ran again and again at the same worker. Their ends had numbers that the
-/// life before had used, so the owner's next renewal told the worker to forget them before anybody had read them; each task then
-/// counted as vanished.
-///
-/// Cause: a life was its id and its address, so what the owner knew of one life was used for the next. What proved it: of the
-/// tasks that began after a restart only those whose ends had larger numbers than any before were told.
+/// Guards against state of one incarnation that is applied to the next. An incarnation was identified by id and address only, so after
+/// a restart the owner's next renewal acknowledged end numbers of the previous incarnation. The worker dropped its new ends with these
+/// numbers before they were read, each task counted as vanished, and quick tasks ran again and again on the same worker.
 
 #include "platform/wire.h"
 #include "support.h"
@@ -21,7 +18,7 @@
 
 namespace {
 
-/// One or more entry instances, and a pool of two workers that have ended some dozen tasks each.
+/// One or more entry instances, and a pool of two workers that have finished some dozen tasks each.
 struct RestartCluster : SmallCluster {
     explicit RestartCluster(std::size_t entries = 1)
         : SmallCluster(1, entries, 2, 0)
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -1,4 +1,4 @@
-/// Whole job service on the models of store, workers and instances.
+/// The whole job service, run on the models of store, workers and instances.
 
 #include "support.h"
 
@@ -93,8 +93,8 @@
 
 TEST_CASE("Tasks of a worker that went silent start elsewhere once its lease is over")
 {
-    // Found on prc-montevideo trouble-2: renewals sent into the silence moved the end of the
-    // lease on and on, so that the tasks were away until the owner changed.
+    // Seen on prc-montevideo trouble-2: unanswered renewals extended the assumed lease again and again,
+    // so the tasks did not start elsewhere until the owner changed.
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
@@ -122,7 +122,7 @@
 
 TEST_CASE("A wave takes no task away while another of its step is missing")
 {
-    // Found on prc-montevideo trouble-2: tasks on a silent worker counted as at work.
+    // Seen on prc-montevideo trouble-2: tasks on an unresponsive worker counted as running.
     SmallCluster cluster(1, 3, 6, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 4; }));
@@ -175,8 +175,8 @@
 
 TEST_CASE("A new owner takes no instance whose worker it has not met")
 {
-    // Found by random run 244: no attempt was booked at a worker that was cut off when the
-    // owner changed, so its instance looked empty and was maintained.
+    // Seen in random run 244: a worker that was partitioned when the owner changed had no reservations,
+    // so its instance looked empty and was put into maintenance.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
@@ -193,8 +193,8 @@
 
 TEST_CASE("Two owners in turn act on one instance only a while apart, a third one too")
 {
-    // Found by random runs 218 and 244: the second owner's record left out what the first had
-    // acted on, and the third acted on it at once.
+    // Seen in random runs 218 and 244: the second owner's record omitted the instances that the first had
+    // acted on, and the third owner acted on them at once.
     SmallCluster cluster(1, 4, 2, 6);
     const auto handIn = [&](std::uint64_t number) { cluster.submit(0, "work", jobId(number), job({ step(30) })); };
     handIn(1);
@@ -210,8 +210,8 @@
 
 TEST_CASE("A pool grows for tasks that wait for memory, also while a wave empties its instances")
 {
-    // Found on tellelag-drift quiet-1, seed 31676: tasks waited 23 s on a full instance beside one
-    // that was being emptied, since demand was counted in processor time only.
+    // Seen on tellelag-drift quiet-1, seed 31676: tasks waited 23 s with one full instance and one being
+    // evacuated, since demand was counted in processor time only.
     SmallCluster cluster(1, 3, 2, 6);
     StepSpec large = longStep(6);
     large.needs = { .milliCpu = 500, .memoryMb = 9'000 };
@@ -223,12 +223,12 @@
 
 TEST_CASE("A pool keeps enough instances for tasks that must not share one")
 {
-    // Found on tellelag-drift scale-1: a pool of idle instances was switched off below the
-    // number that a step with one task an instance needs, and its task never ran again.
+    // Seen on tellelag-drift scale-1: idle instances of a pool were switched off below the number that a
+    // step with one task per instance needs, and its task never ran again.
     SmallCluster cluster(1, 3, 8, 1);
     cluster.submit(0, "work", jobId(1), job({ longStep(5) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 5; }));
-    // Load that is seen and over: from then on idle instances are switched off.
+    // After load was observed and has ended, idle instances are switched off.
     cluster.submit(0, "work", jobId(2), job({ step(1) }));
     cluster.clock.runFor(Millis(25'000));
     const std::string lost = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
@@ -239,14 +239,14 @@
 
 TEST_CASE("A new owner leaves old tasks alone while a worker that may run them is not found")
 {
-    // Found on tellelag-drift trouble-3: a worker's entry was missing from the store when the
-    // owner changed, and its tasks were started a second time.
+    // Seen on tellelag-drift trouble-3: a worker's entry was missing from the store when the owner
+    // changed, and its tasks were started a second time.
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.submit(0, "work", jobId(1), job({ step(3) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
     const std::string hidden = cluster.witness.workerOf(jobId(1), {});
-    // As after an outage in which entries lapsed: the list names no life on the instance either.
+    // As after an outage in which entries expired: the list names no incarnation on the instance either.
     if (GENERATE(false, true))
         cluster.workers.unlisted.insert(hidden);
     for (std::size_t i = 0; i < cluster.entries(); ++i)
@@ -265,8 +265,8 @@
 
 TEST_CASE("A new owner counts the instances that the former one took down")
 {
-    // Found on tellelag-drift trouble-3, seed 446303655478: the successor of an owner that had
-    // taken down as many as the wave allows took two more.
+    // Seen on tellelag-drift trouble-3, seed 446303655478: an owner had taken down as many instances as
+    // the wave allows, and its successor took down two more.
     SmallCluster cluster(1, 3, 4, 4);
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
@@ -284,7 +284,7 @@
 
 TEST_CASE("Maintenance without an answer counts as begun until the instance must be back")
 {
-    // Every instance of the wave but one at a time may stay; answers are lost, acts are not.
+    // At most one instance of the wave may be down at a time. The answers are lost, the actions are executed.
     SmallCluster cluster(1, 3, 4, 4);
     cluster.workers.fleetTrouble.lostAnswers = 1;
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 1 };
@@ -303,7 +303,7 @@
 
 TEST_CASE("A worker gets work again if the move of its instance is never carried out")
 {
-    // The pool shrinks, every act is lost, and then work comes that needs all workers.
+    // The pool shrinks, every action is lost, and then tasks arrive that need all workers.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.workers.fleetTrouble.dropped = 1;
     cluster.submit(0, "work", jobId(2), job({ step(1) }));
@@ -320,8 +320,8 @@
 
 TEST_CASE("A new owner asks a worker whose entry comes back late before it starts old tasks")
 {
-    // Found by random run 20243: the entry came back between the takeover and the first list, its
-    // worker did not answer yet, and its tasks were started a second time.
+    // Seen in random run 20243: the entry reappeared between the takeover and the first list, its worker
+    // did not answer yet, and its tasks were started a second time.
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.submit(0, "work", jobId(1), job({ step(3) }));
@@ -342,8 +342,8 @@
 
 TEST_CASE("An owner that hears nothing of the store starts nothing more and makes room for another")
 {
-    // Found on tellelag-drift-grown trouble-3: an owner whose copy was 11 s old started tasks of a
-    // job that had been cancelled 7 s before.
+    // Seen on tellelag-drift-grown trouble-3: an owner with a replica 11 s old started tasks of a job that
+    // had been cancelled 7 s earlier.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'500); };
     const std::size_t first = cluster.owner().value();
@@ -376,8 +376,8 @@
 
 TEST_CASE("A new owner does not wait for lives that ended before it came")
 {
-    // Found on tellelag-drift-grown trouble-3: 250 lives that had ended with a move of their instance
-    // kept all inherited tasks waiting for the longest lease, 6.6 s.
+    // Seen on tellelag-drift-grown trouble-3: 250 incarnations that had ended with a move of their
+    // instance delayed all inherited tasks for the maximum lease time, 6.6 s.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.submit(0, "work", jobId(1), job({ step(1), step(1, { 0 }) }));
     REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 1; }));
@@ -390,8 +390,8 @@
 
 TEST_CASE("A draining worker's task stays while the stop of another of its step is in doubt")
 {
-    // Found by random run 32582: the drain took a second task away, and then the first one's stop,
-    // which had got no answer, was sent again.
+    // Seen in random run 32582: the drain stopped a second task, and then the unanswered stop of the first
+    // one was sent again.
     SmallCluster cluster(1, 3, 5, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
@@ -410,8 +410,8 @@
 
 TEST_CASE("An owner goes on where it was when the store comes back and its lease still stands")
 {
-    // Found on prc-montevideo trouble-3: after an outage in which leases wait, nobody owned until
-    // the former owner's lease was over, and then all was adopted anew.
+    // Seen on prc-montevideo trouble-3: after an outage that suspends leases, there was no owner until the
+    // previous owner's lease had expired, and then all attempts were adopted again.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'500); };
     const std::size_t first = cluster.owner().value();
@@ -429,8 +429,8 @@
 
 TEST_CASE("A stop that falls due while the store is away is sent when it is back")
 {
-    // Found by random run 40104: stops without an answer were to be sent again while the owner
-    // waited for the store; they never were, and the tasks never started elsewhere.
+    // Seen in random run 40104: unanswered stops became due for repetition while the owner waited for the
+    // store. They were never sent, and the tasks never started elsewhere.
     SmallCluster cluster(1, 3, 2, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.submit(0, "work", jobId(1), job({ step(1) }));
@@ -470,8 +470,8 @@
 
 TEST_CASE("A new owner leaves an instance alone for as long as the act on it is young")
 {
-    // Found by an incident on prc-montevideo: a pool stayed short for 4.5 s after a takeover, since
-    // all instances that the former owner had moved in its last seconds were left alone.
+    // Seen in an incident on prc-montevideo: a pool stayed short for 4.5 s after a takeover, since the new
+    // owner did not use any instance that the previous one had moved in its last seconds.
     SmallCluster cluster(1, 3, 2, 4);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
     cluster.submit(0, "work", jobId(1), job({ step(40) }));
@@ -491,11 +491,11 @@
 
 TEST_CASE("A worker that answers is not taken as over, though its instance has left the list")
 {
-    // Found by reading: the rule for lives that no list names went over all workers of the term.
+    // The rule that ends incarnations that no list names was applied to all workers of the term.
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.kill(cluster.owner().value());
-    // Lives that begin after the last lease of the former owner is over.
+    // Restarts the workers after the last lease of the previous owner has expired.
     cluster.clock.runFor(Millis(9'000));
     for (const char* instance : { "m-0", "m-1", "m-2" })
         cluster.workers.crash(cluster.workers.on(instance)->entry.id, Millis(200));
@@ -514,8 +514,8 @@
 
 TEST_CASE("An instance that hears no changes shows a job's end all the same")
 {
-    // Callers count until they are shown the end: a copy half a second old cost a quarter of a second
-    // a job on average, and more while the store was slow.
+    // A job's measured time ends when its caller sees the end: a replica half a second old added a quarter
+    // of a second per job on average, and more while the store was slow.
     SmallCluster cluster;
     const std::size_t deaf = cluster.owner() == 0U ? 1 : 0;
     cluster.submit(deaf, "work", jobId(1), job({ step(1) }));
--- a/tests/jobs/unanswered_order_test.cpp
+++ b/tests/jobs/unanswered_order_test.cpp
@@ -1,13 +1,10 @@
-/// A task of a long-running job never ran again after its worker was lost, for 40 s and more, with room free.
+/// Guards against two unacknowledged starts of one step that block each other: the tasks of a long-running job did not run again for
+/// more than 40 s after their workers failed, although there was room.
 ///
-/// How it came about: two tasks of one step were started again while workers left orders unanswered. Neither start was confirmed
-/// and neither task was found at its worker, so each was to be stopped, to make sure that it would not begin later. Both stops
-/// stayed unanswered too, and were never sent again.
-///
-/// Cause: a stop is sent again only if the step's disruption budget allows to take the task away. A task whose start was
-/// never confirmed is not at work, so stopping it takes nothing away; yet it counted as one that is away for the other, and each
-/// waited for the other for ever. What proved it: two `start-in-doubt`, two `task-stop` and not a line more on either attempt, and that
-/// the runs end well if such attempts may be stopped.
+/// Two tasks of one step were started again while workers left commands unanswered. Neither start was confirmed and neither task was
+/// reported, so each was stopped to prevent a later begin. Both stops stayed unanswered and were never repeated: a stop was repeated
+/// only within the step's disruption budget, and each unconfirmed task counted as unavailable for the other. Stopping an unconfirmed
+/// start disrupts nothing, so it needs no budget.
 
 #include "support.h"
 
@@ -19,7 +16,7 @@
 
 namespace {
 
-/// A long-running job of five tasks at work, one on a worker, one of which may be away by order.
+/// A running long-running job of five tasks, one per worker. Its disruption budget is one task.
 struct LongRunningCluster : SmallCluster {
     LongRunningCluster()
         : SmallCluster(1, 3, 8, 0)
@@ -82,7 +79,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// The same wait by another way: what stands still on its worker counts as away for the others that do.
+/// Guards against stalled tasks that block each other in the same way: each counts as unavailable for the other.
 TEST_CASE("Tasks that stand still on two workers at once are started again, and come to work when the workers do")
 {
     LongRunningCluster cluster;
@@ -104,7 +101,7 @@
 
 namespace {
 
-/// Plays one job after another on six workers, three of which are in `trouble`.
+/// Runs one job after another on six workers, three of which have the given faults.
 struct UnansweredCluster : SmallCluster {
     explicit UnansweredCluster(const model::WorkerTrouble& trouble)
         : SmallCluster(1, 3, 6, 2)
@@ -121,7 +118,7 @@
         std::sort(m_times.begin(), m_times.end());
     }
 
-    /// \returns The time that a share of the jobs was done in.
+    /// \returns The time within which a share of the jobs succeeded.
     [[nodiscard]] Millis time(double share) const { return m_times[static_cast<std::size_t>(share * static_cast<double>(jobs - 1))]; }
 
     static constexpr std::uint64_t jobs = 60;
@@ -141,7 +138,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// Guards against learning the ends at a worker only after a renewal has timed out, and against closing the worker meanwhile.
+/// Guards against reading the ends at a worker only after a renewal has timed out, and against starting nothing there meanwhile.
 TEST_CASE("A renewal that is left unanswered hides the ends at its worker for tenths of a second")
 {
     const UnansweredCluster cluster({ .lostRenewals = 0.3 });
