--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -109,8 +109,8 @@
     std::uint64_t starts = 0;
     std::uint64_t successes = 0;
     std::uint64_t failures = 0;
-    std::uint64_t lapses = 0; ///< Attempts that ended because their lease expired.
-    std::uint64_t doubts = 0; ///< Starts whose outcome is unknown.
+    std::uint64_t leaseExpirations = 0; ///< Attempts that ended because their lease expired.
+    std::uint64_t unknownStarts = 0; ///< Starts whose outcome is unknown.
     std::uint64_t refusals = 0; ///< Starts refused by a worker.
     std::uint64_t jobsSucceeded = 0;
     std::uint64_t jobsFailed = 0;
@@ -185,7 +185,7 @@
 
     /// \brief Notes that the platform's list has not named an incarnation since the given time. A later incarnation under
     /// the same id is not affected.
-    void noteLifeUnlisted(const std::string& worker, MonotonicInstant since);
+    void noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since);
     ///@}
 
     /// \returns The job's steps; none if this instance does not run the job.
--- a/src/jobs/owner/admission_desk.cpp
+++ b/src/jobs/owner/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "admission_desk.h"
+#include "admission_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,8 +10,8 @@
 constexpr double milli = 1'000;
 /// A queue stays in the grants for this time after its budget last ran short. Refused callers retry within some seconds and
 /// would otherwise all be admitted at once.
-constexpr Millis pressureLasts { 5'000 };
-constexpr double newestCounts = 0.05; // Weight of the newest job in the moving averages of its queue: about the last 20 jobs count.
+constexpr Millis pressureRetention { 5'000 };
+constexpr double newestJobWeight = 0.05; // Weight of the newest job in the moving averages of its queue: about the last 20 jobs count.
 
 /// \returns Declared work of the job's unfinished tasks, in thousandths of a core times ms.
 std::int64_t workLeft(const JobState& job)
@@ -36,24 +36,24 @@
 
 } // namespace
 
-void AdmissionDesk::start()
+void AdmissionController::start()
 {
     if (m_state.options.admission.enabled && m_state.options.publishGrants)
         tickLater();
 }
 
-void AdmissionDesk::close()
+void AdmissionController::close()
 {
     m_state.options.loop->cancel(std::exchange(m_timer, 0));
 }
 
-void AdmissionDesk::noteArrival(const OwnerJob& job)
+void AdmissionController::noteArrival(const OwnerJob& job)
 {
     const JobRecord& record = job.state.record();
     if (!hasObjective(record.spec))
         return;
-    const auto [place, isFirst] = m_usual.try_emplace(record.queue);
-    const double weight = isFirst ? 1 : newestCounts;
+    const auto [place, isFirst] = m_typicalValues.try_emplace(record.queue);
+    const double weight = isFirst ? 1 : newestJobWeight;
     const auto mix = [weight](double& mean, double newest) { mean += weight * (newest - mean); };
     const QueueSettings* queue = m_state.configuration()->queue(record.queue);
     const auto chain = static_cast<double>(job.chain.count());
@@ -62,16 +62,16 @@
     mix(place->second.allowedMillis, queue ? queue->stretch * chain + static_cast<double>(queue->latencyTarget.count()) : chain);
 }
 
-void AdmissionDesk::tickLater()
+void AdmissionController::tickLater()
 {
     m_timer = m_state.options.loop->callAt(m_state.now() + m_state.options.admission.grantEvery, [weak = weak_from_this()] {
-        if (const auto desk = weak.lock())
-            desk->tick();
+        if (const auto controller = weak.lock())
+            controller->tick();
     });
 }
 
 /// Publishes the grants when they change, and again before they expire.
-void AdmissionDesk::tick()
+void AdmissionController::tick()
 {
     m_timer = 0;
     const AdmissionOptions& options = m_state.options.admission;
@@ -87,27 +87,27 @@
     tickLater();
 }
 
-void AdmissionDesk::notePressed(const std::vector<AdmissionBudget>& budgets)
+void AdmissionController::notePressed(const std::vector<AdmissionBudget>& budgets)
 {
     const MonotonicInstant now = m_state.now();
     std::erase_if(m_pressedUntil, [now](const auto& pressed) { return now >= pressed.second; });
     for (const AdmissionBudget& budget : budgets) {
         const bool isNew = !m_pressedUntil.contains({ budget.queue, budget.organisation });
         if (isNew || budget.workMillis < budget.jobMillis)
-            m_pressedUntil[{ budget.queue, budget.organisation }] = now + pressureLasts;
+            m_pressedUntil[{ budget.queue, budget.organisation }] = now + pressureRetention;
     }
 }
 
-std::vector<AdmissionBudget> AdmissionDesk::compute() const
+std::vector<AdmissionBudget> AdmissionController::compute() const
 {
     std::vector<AdmissionBudget> all;
     const ByPool accepted = acceptedByPool();
     const std::map<std::string, std::int64_t> supply = supplies(accepted);
     for (const auto& [pool, entries] : accepted) {
-        std::vector<AcceptedWork> list;
+        std::vector<AcceptedWork> workOfPool;
         for (const auto& [name, work] : entries)
-            list.push_back(work);
-        const std::vector<AdmissionBudget> ofPool = ExpectedService(m_state.options.admission, supply.at(pool)).budgets(list);
+            workOfPool.push_back(work);
+        const std::vector<AdmissionBudget> ofPool = ExpectedService(m_state.options.admission, supply.at(pool)).budgets(workOfPool);
         all.insert(all.end(), ofPool.begin(), ofPool.end());
     }
     std::sort(all.begin(), all.end(), [](const AdmissionBudget& a, const AdmissionBudget& b) { return std::tie(a.queue, a.organisation) < std::tie(b.queue, b.organisation); });
@@ -115,7 +115,7 @@
 }
 
 /// Jobs that end late count too: without them, an equal amount of work would be admitted in addition.
-AdmissionDesk::ByPool AdmissionDesk::acceptedByPool() const
+AdmissionController::ByPool AdmissionController::acceptedByPool() const
 {
     ByPool accepted;
     for (const auto& [id, job] : m_state.walked) {
@@ -135,49 +135,49 @@
     return accepted;
 }
 
-AcceptedWork& AdmissionDesk::entryOf(ByPool& accepted, const Name& name, const std::string& formerPool) const
+AcceptedWork& AdmissionController::entryOf(ByPool& accepted, const QueueAndOrganisation& name, const std::string& fallbackPool) const
 {
     const std::shared_ptr<const ServiceConfiguration> configuration = m_state.configuration();
     const QueueSettings* queue = configuration->queue(name.first);
-    const auto [place, isNew] = accepted[queue ? queue->pool : formerPool].try_emplace(name);
+    const auto [place, isNew] = accepted[queue ? queue->pool : fallbackPool].try_emplace(name);
     AcceptedWork& work = place->second;
     if (!isNew)
         return work;
     const OrganisationSettings* organisation = configuration->organisations.find(name.second);
-    work = { .queue = name.first, .organisation = name.second, .weight = organisation ? organisation->weight : 0, .priority = queue ? queue->priority : 0, .usual = usualOf(name.first), .correction = m_state.forecast.ratio(name.first) };
+    work = { .queue = name.first, .organisation = name.second, .weight = organisation ? organisation->weight : 0, .priority = queue ? queue->priority : 0, .usual = typicalJobOf(name.first), .correction = m_state.forecast.ratio(name.first) };
     return work;
 }
 
-UsualJob AdmissionDesk::usualOf(const std::string& queue) const
+UsualJob AdmissionController::typicalJobOf(const std::string& queue) const
 {
-    const auto found = m_usual.find(queue);
-    if (found == m_usual.end())
+    const auto found = m_typicalValues.find(queue);
+    if (found == m_typicalValues.end())
         return {};
     const double correction = m_state.forecast.ratio(queue);
-    const Usual& usual = found->second;
+    const TypicalValues& usual = found->second;
     return { .workMillis = static_cast<std::int64_t>(usual.workMillis * correction), .chain = Millis(static_cast<std::int64_t>(usual.chainMillis * correction)), .allowed = Millis(static_cast<std::int64_t>(usual.allowedMillis)) };
 }
 
 /// The supply of a pool is the fleet's capacity minus the demand of the other pools, and at least its present capacity.
-std::map<std::string, std::int64_t> AdmissionDesk::supplies(const ByPool& accepted) const
+std::map<std::string, std::int64_t> AdmissionController::supplies(const ByPool& accepted) const
 {
     std::map<std::string, std::int64_t> present;
-    for (const auto& [id, book] : m_state.workers) {
-        if (book.isOpen(m_state.now()) || !book.bookings.empty())
-            present[book.entry.pool] += book.entry.capacity.milliCpu;
+    for (const auto& [id, record] : m_state.workers) {
+        if (record.isOpen(m_state.now()) || !record.bookings.empty())
+            present[record.entry.pool] += record.entry.capacity.milliCpu;
     }
-    std::map<std::string, std::int64_t> asked;
-    std::int64_t askedByAll = 0;
+    std::map<std::string, std::int64_t> demandByPool;
+    std::int64_t totalDemand = 0;
     for (const auto& [pool, classes] : m_state.demands) {
-        std::int64_t& sum = asked[pool];
+        std::int64_t& sum = demandByPool[pool];
         for (const auto& [requirement, demand] : classes)
             sum += requirement.preferred ? 0 : std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu);
-        askedByAll += sum;
+        totalDemand += sum;
     }
     std::map<std::string, std::int64_t> supply;
     for (const auto& [pool, entries] : accepted) {
-        const std::int64_t leftByOthers = m_state.fleetMilliCpu - (askedByAll - asked[pool]);
-        supply[pool] = std::max(present[pool], leftByOthers);
+        const std::int64_t availableMilliCpu = m_state.fleetMilliCpu - (totalDemand - demandByPool[pool]);
+        supply[pool] = std::max(present[pool], availableMilliCpu);
     }
     return supply;
 }
--- a/src/jobs/owner/admission_desk.h
+++ b/src/jobs/owner/admission_controller.h
@@ -15,9 +15,9 @@
 namespace lanemoor::jobs {
 
 /// \brief Compares each organisation's accepted work with the capacity of its pools, four times a second, and publishes grants.
-class AdmissionDesk : public std::enable_shared_from_this<AdmissionDesk> {
+class AdmissionController : public std::enable_shared_from_this<AdmissionController> {
 public:
-    explicit AdmissionDesk(const OwnerState& state)
+    explicit AdmissionController(const OwnerState& state)
         : m_state(state)
     {
     }
@@ -32,11 +32,11 @@
     [[nodiscard]] const std::vector<AdmissionBudget>& budgets() const noexcept { return m_published.budgets; }
 
 private:
-    using Name = std::pair<std::string, std::string>; // Queue and organisation.
-    using ByPool = std::map<std::string, std::map<Name, AcceptedWork>>;
+    using QueueAndOrganisation = std::pair<std::string, std::string>; // Queue and organisation.
+    using ByPool = std::map<std::string, std::map<QueueAndOrganisation, AcceptedWork>>;
 
     /// Moving averages of declared values over the latest jobs of a queue.
-    struct Usual {
+    struct TypicalValues {
         double workMillis = 0;
         double chainMillis = 0;
         double allowedMillis = 0;
@@ -47,14 +47,14 @@
     [[nodiscard]] std::vector<AdmissionBudget> compute() const;
     void notePressed(const std::vector<AdmissionBudget>& budgets);
     [[nodiscard]] ByPool acceptedByPool() const;
-    AcceptedWork& entryOf(ByPool& accepted, const Name& name, const std::string& formerPool) const;
-    [[nodiscard]] UsualJob usualOf(const std::string& queue) const;
+    AcceptedWork& entryOf(ByPool& accepted, const QueueAndOrganisation& name, const std::string& fallbackPool) const;
+    [[nodiscard]] UsualJob typicalJobOf(const std::string& queue) const;
     [[nodiscard]] std::map<std::string, std::int64_t> supplies(const ByPool& accepted) const;
 
     const OwnerState& m_state;
     TimerId m_timer = 0;
-    std::map<std::string, Usual> m_usual; ///< By queue.
-    std::map<Name, MonotonicInstant> m_pressedUntil; ///< Queues and organisations that stay in the grants until the given time.
+    std::map<std::string, TypicalValues> m_typicalValues; ///< By queue.
+    std::map<QueueAndOrganisation, MonotonicInstant> m_pressedUntil; ///< Queues and organisations that stay in the grants until the given time.
     AdmissionGrants m_published;
     MonotonicInstant m_publishedAt;
 };
--- a/src/jobs/owner/advice_desk.h
+++ b/src/jobs/owner/advice_client.h
@@ -10,9 +10,9 @@
 namespace lanemoor::jobs {
 
 /// \brief Provides the tickets for steps of queues that require advice.
-class AdviceDesk : public std::enable_shared_from_this<AdviceDesk> {
+class AdviceClient : public std::enable_shared_from_this<AdviceClient> {
 public:
-    explicit AdviceDesk(OwnerState& state);
+    explicit AdviceClient(OwnerState& state);
 
     /// \brief Looks up the tickets of a step, and queries the advisor if there are no valid ones.
     /// \returns Tickets by worker, or null if there is no valid answer yet.
@@ -31,18 +31,18 @@
         MonotonicInstant validUntil;
     };
 
-    struct Question {
+    struct Query {
         Key key;
         std::vector<std::string> workers;
     };
 
-    void askNext();
+    void sendNext();
 
     OwnerState& m_state;
     std::map<Key, Answer> m_answers;
-    std::deque<Question> m_questions;
-    std::set<Key> m_asked; ///< Queued or in flight.
-    bool m_asking = false;
+    std::deque<Query> m_queries;
+    std::set<Key> m_pending; ///< Queued or in flight.
+    bool m_isInFlight = false;
     bool m_closed = false;
 };
 
--- a/src/jobs/owner/order_desk.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "order_desk.h"
+#include "command_dispatcher.h"
 
 #include "evacuation.h"
 #include "lanemoor/jobs/owner/hall_evacuations.h"
@@ -25,29 +25,29 @@
 
 } // namespace
 
-OrderDesk::OrderDesk(OwnerState& state, HealthMonitor& health, SchedulerCounts& counts)
+CommandDispatcher::CommandDispatcher(OwnerState& state, HealthMonitor& health, SchedulerCounts& counts)
     : m_state(state)
     , m_health(health)
     , m_counts(counts)
 {
 }
 
-bool OrderDesk::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect)
+bool CommandDispatcher::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool hasSuspectPeer)
 {
     // Members of a gang start together or not at all: the caller checks `mayStart` once for the whole gang.
-    const bool isMember = job.state.spec(task.step).gang;
-    if (!worker.session->leaseForOrder() || !(isMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
+    const bool isGangMember = job.state.spec(task.step).gang;
+    if (!worker.session->leaseForOrder() || !(isGangMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
         return false;
     const Attempt attempt { job.state.id(), task, number };
-    const bool first = job.state.status() == JobStatus::Queued;
+    const bool isFirstStart = job.state.status() == JobStatus::Queued;
     // The previous owner may have failed before it recorded a crash, and the members of a gang start at the same time.
-    const std::uint32_t assumed = isBesideSuspect || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
+    const std::uint32_t assumed = hasSuspectPeer || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
     worker.bookings.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
     worker.youngUntil = m_state.now() + maxProbation;
     m_health.noteStartBooked(worker, attempt);
-    if (first)
+    if (isFirstStart)
         m_state.store(job.state.id());
     if (suspicion == 0)
         send(attempt, worker, ticket);
@@ -58,38 +58,38 @@
 
 /// The start and all earlier crashes must be stored before the worker can crash. Otherwise each change of owner would give
 /// the task an additional start.
-void OrderDesk::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
 {
     job.state.setPhase(attempt, AttemptPhase::Recording, m_state.now());
     m_state.beginProbation(job, attempt, worker);
-    m_state.writer->whenJobStored(attempt.job, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session), ticket] {
-        const auto desk = self.lock();
-        if (desk && !desk->m_closed)
-            desk->sendRecorded(attempt, id, life.lock().get(), ticket);
+    m_state.writer->whenJobStored(attempt.job, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session), ticket] {
+        const auto dispatcher = self.lock();
+        if (dispatcher && !dispatcher->m_closed)
+            dispatcher->sendRecorded(attempt, id, session.lock().get(), ticket);
     });
 }
 
-void OrderDesk::sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const std::string& ticket)
+void CommandDispatcher::sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const std::string& ticket)
 {
     const LiveAttempt* live = findLive(attempt, worker);
     if (!live || live->phase != AttemptPhase::Recording)
         return;
-    WorkerBook* book = bookOfLife(worker, life);
-    if (!book || !book->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !book->session->leaseForOrder()) {
+    WorkerBook* record = recordOfSession(worker, session);
+    if (!record || !record->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !record->session->leaseForOrder()) {
         withdrawRecorded(attempt, worker);
         return;
     }
-    const bool isVerified = book->isVerifiedUp(m_state.now());
+    const bool isVerified = record->isVerifiedUp(m_state.now());
     if (!isVerified && needsVerifiedWorker(attempt)) {
-        sendOnAnswer(attempt, *book, ticket);
+        sendOnAnswer(attempt, *record, ticket);
         return;
     }
-    m_state.job(attempt.job)->state.noteSent(attempt, isVerified ? book->session->clockNow() : 0, m_state.now());
-    send(attempt, *book, ticket);
+    m_state.job(attempt.job)->state.noteSent(attempt, isVerified ? record->session->clockNow() : 0, m_state.now());
+    send(attempt, *record, ticket);
 }
 
 /// The members of a gang start at the same time, and a start that is recorded without an earlier crash need not wait for an answer.
-bool OrderDesk::needsVerifiedWorker(const Attempt& attempt) const
+bool CommandDispatcher::needsVerifiedWorker(const Attempt& attempt) const
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const std::uint32_t own = 1;
@@ -97,21 +97,21 @@
 }
 
 /// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
-void OrderDesk::sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
 {
     m_awaitingAnswer[worker.entry.id].push_back({ attempt, worker.session, ticket });
     worker.session->probe();
     m_state.options.loop->callAt(m_state.now() + m_state.responses.overdueAfter(), [self = weak_from_this(), attempt, id = worker.entry.id] {
-        const auto desk = self.lock();
-        if (!desk || desk->m_closed)
+        const auto dispatcher = self.lock();
+        if (!dispatcher || dispatcher->m_closed)
             return;
-        const auto waiting = desk->m_awaitingAnswer.find(id);
-        if (waiting != desk->m_awaitingAnswer.end() && std::erase_if(waiting->second, [&](const RecordedStart& start) { return start.attempt == attempt; }) > 0)
-            desk->withdrawRecorded(attempt, id);
+        const auto waiting = dispatcher->m_awaitingAnswer.find(id);
+        if (waiting != dispatcher->m_awaitingAnswer.end() && std::erase_if(waiting->second, [&](const RecordedStart& start) { return start.attempt == attempt; }) > 0)
+            dispatcher->withdrawRecorded(attempt, id);
     });
 }
 
-void OrderDesk::noteAnswer(const std::string& worker)
+void CommandDispatcher::noteAnswer(const std::string& worker)
 {
     const auto waiting = m_awaitingAnswer.find(worker);
     if (waiting == m_awaitingAnswer.end())
@@ -119,11 +119,11 @@
     const std::vector<RecordedStart> starts = std::move(waiting->second);
     m_awaitingAnswer.erase(waiting);
     for (const RecordedStart& start : starts)
-        sendRecorded(start.attempt, worker, start.life.lock().get(), start.ticket);
+        sendRecorded(start.attempt, worker, start.session.lock().get(), start.ticket);
 }
 
 /// Releases a start that was never sent.
-void OrderDesk::withdrawRecorded(const Attempt& attempt, const std::string& worker)
+void CommandDispatcher::withdrawRecorded(const Attempt& attempt, const std::string& worker)
 {
     const LiveAttempt* live = findLive(attempt, worker);
     if (!live || live->phase != AttemptPhase::Recording)
@@ -132,7 +132,7 @@
     m_state.requestPass();
 }
 
-void OrderDesk::send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
@@ -146,16 +146,16 @@
     m_health.noteStartSent(worker, order);
     m_state.options.log->decision("task-start",
         { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentOnClock > 0 } } });
-    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session)](const OrderResult& result) {
-        const auto desk = self.lock();
-        if (desk && !desk->m_closed)
-            desk->started(attempt, id, life.lock().get(), result);
+    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const OrderResult& result) {
+        const auto dispatcher = self.lock();
+        if (dispatcher && !dispatcher->m_closed)
+            dispatcher->onStartAnswered(attempt, id, session.lock().get(), result);
     });
     watchStart(attempt, worker.entry.id, m_state.responses.overdueAfter(), 0);
 }
 
 /// \returns The live attempt at the worker, or null.
-const LiveAttempt* OrderDesk::findLive(const Attempt& attempt, const std::string& worker) const
+const LiveAttempt* CommandDispatcher::findLive(const Attempt& attempt, const std::string& worker) const
 {
     const TaskState* task = m_state.liveTask(attempt, worker);
     return task ? &*task->live : nullptr;
@@ -163,98 +163,98 @@
 
 /// Probes the worker when the answer to a start is overdue: waiting for the call to time out would cost the job most of its
 /// objective.
-void OrderDesk::watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes)
+void CommandDispatcher::watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes)
 {
     const MonotonicInstant due = m_state.now() + pause;
     m_state.options.loop->callAt(due, [self = weak_from_this(), attempt, worker, pause, probes, due] {
-        const auto desk = self.lock();
-        if (!desk || desk->m_closed)
+        const auto dispatcher = self.lock();
+        if (!dispatcher || dispatcher->m_closed)
             return;
-        const LiveAttempt* live = desk->findLive(attempt, worker);
-        WorkerBook* book = desk->m_state.worker(worker);
-        if (!live || !book || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
+        const LiveAttempt* live = dispatcher->findLive(attempt, worker);
+        WorkerBook* record = dispatcher->m_state.worker(worker);
+        if (!live || !record || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
             return;
         // If the event loop itself is late, the answer may be queued behind this call.
-        if (desk->m_state.now() - due > ResponseTime::minOverdue / 2) {
-            desk->watchStart(attempt, worker, pause, probes);
+        if (dispatcher->m_state.now() - due > ResponseTime::minOverdue / 2) {
+            dispatcher->watchStart(attempt, worker, pause, probes);
             return;
         }
         if (live->phase == AttemptPhase::Ordered) {
-            desk->m_state.options.log->decision("start-overdue", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "after_ms", static_cast<std::int64_t>(pause.count()) } });
-            desk->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, desk->m_state.now());
+            dispatcher->m_state.options.log->decision("start-overdue", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "after_ms", static_cast<std::int64_t>(pause.count()) } });
+            dispatcher->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, dispatcher->m_state.now());
         }
-        desk->m_health.noteStartOverdue(*book, attempt);
-        book->session->noteOverdue();
-        if (desk->m_state.options.ownership->isHeld())
-            book->session->probe();
+        dispatcher->m_health.noteStartOverdue(*record, attempt);
+        record->session->noteOverdue();
+        if (dispatcher->m_state.options.ownership->isHeld())
+            record->session->probe();
         if (probes < maxProbes)
-            desk->watchStart(attempt, worker, desk->m_state.responses.overdueAfter(), probes + 1);
+            dispatcher->watchStart(attempt, worker, dispatcher->m_state.responses.overdueAfter(), probes + 1);
     });
 }
 
 /// An answer does not identify the incarnation that sent it: after a restart it gives no clock reading, and the outcome of the
 /// start stays unknown.
-void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result)
+void CommandDispatcher::onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result)
 {
-    WorkerBook* book = bookOfLife(worker, life);
+    WorkerBook* record = recordOfSession(worker, session);
     OwnerJob* job = m_state.job(attempt.job);
     bool isOfLife = false;
-    if (book && result.outcome != OrderOutcome::OtherLife)
-        isOfLife = book->session->noteClock(result.workerClock);
-    if (book && result.outcome != OrderOutcome::OtherLife && result.outcome != OrderOutcome::Unknown)
-        m_health.noteStartAnswered(*book, attempt);
+    if (record && result.outcome != OrderOutcome::OtherLife)
+        isOfLife = record->session->noteClock(result.workerClock);
+    if (record && result.outcome != OrderOutcome::OtherLife && result.outcome != OrderOutcome::Unknown)
+        m_health.noteStartAnswered(*record, attempt);
     switch (result.outcome) {
     case OrderOutcome::Done:
-        if (!book)
+        if (!record)
             return;
         if (job && isOfLife && job->state.noteConfirmed(attempt, result.workerClock))
             m_state.store(attempt.job);
         if (const LiveAttempt* live = findLive(attempt, worker))
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
-        if (book->bookings.suspects().contains(attempt))
-            probeSoon(*book->session);
+        if (record->bookings.suspects().contains(attempt))
+            probeSoon(*record->session);
         if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Ordered || (live->phase == AttemptPhase::Doubtful && isOfLife)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
         return;
     case OrderOutcome::Unknown:
-        ++m_counts.doubts;
+        ++m_counts.unknownStarts;
         m_state.options.log->decision("start-in-doubt", { { "attempt", nameOf(attempt) }, { "worker", worker } });
         // Only in phase Ordered: a stop that was sent meanwhile settles the start.
         if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Ordered)
             job->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
         return;
     case OrderOutcome::OtherLife:
-        if (book)
-            book->session->noteLifeOver();
+        if (record)
+            record->session->noteLifeOver();
         return;
     case OrderOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
         return;
     default:
-        refused(attempt, worker, result.outcome);
+        onStartRefused(attempt, worker, result.outcome);
     }
 }
 
-void OrderDesk::refused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome)
+void CommandDispatcher::onStartRefused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome)
 {
     ++m_counts.refusals;
     m_state.options.log->decision("start-refused", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "reason", std::string(nameOf(outcome)) } });
     const MonotonicInstant now = m_state.now();
-    if (WorkerBook* book = m_state.worker(worker)) {
+    if (WorkerBook* record = m_state.worker(worker)) {
         const bool full = outcome == OrderOutcome::NoRoom;
         const bool stale = outcome == OrderOutcome::LeaseOver || outcome == OrderOutcome::Superseded || outcome == OrderOutcome::BadTicket;
         if (!stale)
-            book->noWorkBefore = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
+            record->noWorkBefore = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
     }
     release(attempt, worker, now);
     m_state.requestPass();
 }
 
-void OrderDesk::release(const Attempt& attempt, const std::string& worker, MonotonicInstant retryAt)
+void CommandDispatcher::release(const Attempt& attempt, const std::string& worker, MonotonicInstant retryAt)
 {
-    if (WorkerBook* book = m_state.worker(worker)) {
-        book->bookings.erase(attempt);
-        book->starts.noteSettled(attempt);
+    if (WorkerBook* record = m_state.worker(worker)) {
+        record->bookings.erase(attempt);
+        record->starts.noteSettled(attempt);
     }
     OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
@@ -265,10 +265,10 @@
     job->state.drop(attempt, retryAt);
 }
 
-void OrderDesk::stop(const Attempt& attempt, const std::string& worker)
+void CommandDispatcher::stop(const Attempt& attempt, const std::string& worker)
 {
-    WorkerBook* book = m_state.worker(worker);
-    if (!book)
+    WorkerBook* record = m_state.worker(worker);
+    if (!record)
         return;
     if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Recording) {
         withdrawRecorded(attempt, worker);
@@ -283,43 +283,43 @@
     if (OwnerJob* job = m_state.job(attempt.job))
         job->state.setPhase(attempt, AttemptPhase::Stopping, m_state.now());
     m_state.options.log->decision("task-stop", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-    m_state.options.workers->stop(book->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, life = std::weak_ptr(book->session)](const OrderResult& result) {
-        const auto desk = self.lock();
-        if (desk && !desk->m_closed)
-            desk->stopped(attempt, worker, number, life.lock().get(), result);
+    m_state.options.workers->stop(record->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, session = std::weak_ptr(record->session)](const OrderResult& result) {
+        const auto dispatcher = self.lock();
+        if (dispatcher && !dispatcher->m_closed)
+            dispatcher->onStopAnswered(attempt, worker, number, session.lock().get(), result);
     });
     watchStop(attempt, worker, number);
 }
 
 /// Sends a stop again when its answer is overdue: the task can start elsewhere only after a stop was answered.
-void OrderDesk::watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number)
+void CommandDispatcher::watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number)
 {
     const Millis pause = m_state.responses.overdueAfter() * (1U << std::min(number - 1, maxBackoff));
     m_state.options.loop->callAt(m_state.now() + pause, [self = weak_from_this(), attempt, worker, number] {
-        const auto desk = self.lock();
-        if (!desk || desk->m_closed)
+        const auto dispatcher = self.lock();
+        if (!dispatcher || dispatcher->m_closed)
             return;
-        const auto sent = desk->m_stopsSent.find(attempt);
-        if (sent == desk->m_stopsSent.end() || sent->second != number)
+        const auto sent = dispatcher->m_stopsSent.find(attempt);
+        if (sent == dispatcher->m_stopsSent.end() || sent->second != number)
             return;
         // A repeated stop is no new evidence on the worker's health.
-        if (WorkerBook* book = desk->m_state.worker(worker); book && number == 1)
-            desk->m_health.noteStopOverdue(*book);
-        desk->stopLater(attempt, worker, Millis(0));
+        if (WorkerBook* record = dispatcher->m_state.worker(worker); record && number == 1)
+            dispatcher->m_health.noteStopOverdue(*record);
+        dispatcher->stopLater(attempt, worker, Millis(0));
     });
 }
 
-/// \returns The worker if `life` is still its current session, or null.
-WorkerBook* OrderDesk::bookOfLife(const std::string& worker, const WorkerSession* life) const
+/// \returns The worker if `session` is still its current session, or null.
+WorkerBook* CommandDispatcher::recordOfSession(const std::string& worker, const WorkerSession* session) const
 {
-    WorkerBook* book = m_state.worker(worker);
-    return book && book->session.get() == life ? book : nullptr;
+    WorkerBook* record = m_state.worker(worker);
+    return record && record->session.get() == session ? record : nullptr;
 }
 
-void OrderDesk::stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result)
+void CommandDispatcher::onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result)
 {
-    WorkerBook* book = bookOfLife(worker, life);
-    if (!book) {
+    WorkerBook* record = recordOfSession(worker, session);
+    if (!record) {
         // A previous incarnation may have handled the stop, which does not affect the current one.
         stopLater(attempt, worker, stopRetry);
         return;
@@ -327,18 +327,18 @@
     switch (result.outcome) {
     case OrderOutcome::Done: {
         m_stopsSent.erase(attempt);
-        m_health.noteStopAnswered(*book);
-        book->session->noteClock(result.workerClock);
+        m_health.noteStopAnswered(*record);
+        record->session->noteClock(result.workerClock);
         if (OwnerJob* job = m_state.job(attempt.job))
             job->state.noteStopAnswered(attempt, m_state.now());
         // An attempt that never ran reports no end, and the pending renewal shows its absence only after its wait time.
         const LiveAttempt* live = findLive(attempt, worker);
         if (live && !live->wasConfirmed())
-            book->session->probe();
+            record->session->probe();
         return;
     }
     case OrderOutcome::OtherLife:
-        book->session->noteLifeOver();
+        record->session->noteLifeOver();
         return;
     case OrderOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
@@ -351,26 +351,26 @@
         stopLater(attempt, worker, stopRetry);
 }
 
-void OrderDesk::stopLater(const Attempt& attempt, const std::string& worker, Millis pause)
+void CommandDispatcher::stopLater(const Attempt& attempt, const std::string& worker, Millis pause)
 {
     m_state.options.loop->callAt(m_state.now() + pause, [self = weak_from_this(), attempt, worker] {
-        const auto desk = self.lock();
-        if (!desk || desk->m_closed)
+        const auto dispatcher = self.lock();
+        if (!dispatcher || dispatcher->m_closed)
             return;
-        const WorkerBook* again = desk->m_state.worker(worker);
-        if (!again || !again->bookings.contains(attempt)) {
-            desk->m_stopsSent.erase(attempt);
+        const WorkerBook* record = dispatcher->m_state.worker(worker);
+        if (!record || !record->bookings.contains(attempt)) {
+            dispatcher->m_stopsSent.erase(attempt);
             return;
         }
         // Other tasks of the step may have failed since the first stop, which may not have arrived.
-        if (desk->mayStopNow(attempt))
-            desk->stop(attempt, worker);
+        if (dispatcher->mayStopNow(attempt))
+            dispatcher->stop(attempt, worker);
         else
-            desk->stopLater(attempt, worker, stopRetry);
+            dispatcher->stopLater(attempt, worker, stopRetry);
     });
 }
 
-bool OrderDesk::mayStopNow(const Attempt& attempt) const
+bool CommandDispatcher::mayStopNow(const Attempt& attempt) const
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
@@ -383,7 +383,7 @@
     return isFinal(job->state.status()) || mayDisrupt(m_state, job->state, attempt.task);
 }
 
-void OrderDesk::stopAll(OwnerJob& job)
+void CommandDispatcher::stopAll(OwnerJob& job)
 {
     for (const Attempt& attempt : job.state.liveAttempts()) {
         const LiveAttempt& live = *job.state.find(attempt.task)->live;
@@ -392,7 +392,7 @@
     }
 }
 
-void OrderDesk::finish(OwnerJob& job)
+void CommandDispatcher::finish(OwnerJob& job)
 {
     const JobStatus status = job.state.status();
     m_counts.jobsSucceeded += status == JobStatus::Succeeded ? 1 : 0;
@@ -401,7 +401,7 @@
     stopAll(job);
 }
 
-void OrderDesk::giveUp(OwnerJob& job, const TaskId& task)
+void CommandDispatcher::giveUp(OwnerJob& job, const TaskId& task)
 {
     const bool wasOver = isFinal(job.state.status());
     const bool isOver = job.state.giveUp(task);
@@ -415,21 +415,21 @@
         finish(job);
 }
 
-void OrderDesk::throttle(WorkerBook& worker, std::uint32_t percent)
+void CommandDispatcher::throttle(WorkerBook& worker, std::uint32_t percent)
 {
-    for (const auto& [attempt, booking] : worker.bookings) {
-        if (!booking.step->bestEffort || booking.throttledTo == percent || !m_state.options.ownership->isHeld())
+    for (const auto& [attempt, reservation] : worker.bookings) {
+        if (!reservation.step->bestEffort || reservation.throttledTo == percent || !m_state.options.ownership->isHeld())
             continue;
         worker.bookings.noteThrottled(attempt, percent);
         m_state.options.log->decision("task-throttle", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "percent", std::int64_t { percent } } });
         m_state.options.workers->throttle(worker.session->life(), attempt, percent, m_state.ownership.epoch,
             [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const OrderResult& result) {
-                const auto desk = self.lock();
-                if (!desk || desk->m_closed || result.outcome == OrderOutcome::Done)
+                const auto dispatcher = self.lock();
+                if (!dispatcher || dispatcher->m_closed || result.outcome == OrderOutcome::Done)
                     return;
                 // The throttle is sent again after the next report.
-                if (WorkerBook* book = desk->m_state.worker(id))
-                    book->bookings.noteThrottled(attempt, 100);
+                if (WorkerBook* record = dispatcher->m_state.worker(id))
+                    record->bookings.noteThrottled(attempt, 100);
             });
     }
 }
--- a/src/jobs/owner/order_desk.h
+++ b/src/jobs/owner/command_dispatcher.h
@@ -14,14 +14,14 @@
 /// A start whose answer is overdue has an unknown outcome: the attempt may run, or may begin later.
 /// A probe or the next renewal resolves it. If the worker does not report the attempt, a stop settles it, since a worker
 /// never starts an attempt after a stop for it. Stops are sent again until one is answered.
-class OrderDesk : public std::enable_shared_from_this<OrderDesk> {
+class CommandDispatcher : public std::enable_shared_from_this<CommandDispatcher> {
 public:
-    OrderDesk(OwnerState& state, HealthMonitor& health, SchedulerCounts& counts);
+    CommandDispatcher(OwnerState& state, HealthMonitor& health, SchedulerCounts& counts);
 
     /// \brief Reserves resources and sends a start. The start of a suspect is sent once it is stored.
-    /// \param isBesideSuspect Whether another member of its gang is a suspect: the whole gang is sent together.
+    /// \param hasSuspectPeer Whether another member of its gang is a suspect: the whole gang is sent together.
     /// \returns False if no command may be sent now.
-    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect = false);
+    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool hasSuspectPeer = false);
 
     /// \brief Sends a stop, and repeats it until it is answered or the attempt is over.
     void stop(const Attempt& attempt, const std::string& worker);
@@ -51,25 +51,25 @@
     /// A start that is stored and not sent yet.
     struct RecordedStart {
         Attempt attempt;
-        std::weak_ptr<WorkerSession> life;
+        std::weak_ptr<WorkerSession> session;
         std::string ticket;
     };
 
     void recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
-    void sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const std::string& ticket);
+    void sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const std::string& ticket);
     [[nodiscard]] bool needsVerifiedWorker(const Attempt& attempt) const;
     void sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
     void withdrawRecorded(const Attempt& attempt, const std::string& worker);
     void send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
-    void started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result);
-    void refused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
+    void onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result);
+    void onStartRefused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
     void stopLater(const Attempt& attempt, const std::string& worker, Millis pause);
     void watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes);
     void watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number);
     [[nodiscard]] const LiveAttempt* findLive(const Attempt& attempt, const std::string& worker) const;
-    [[nodiscard]] WorkerBook* bookOfLife(const std::string& worker, const WorkerSession* life) const;
+    [[nodiscard]] WorkerBook* recordOfSession(const std::string& worker, const WorkerSession* session) const;
     [[nodiscard]] bool mayStopNow(const Attempt& attempt) const;
-    void stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result);
+    void onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-Displacement::Displacement(OwnerState& state, OrderDesk& orders)
+Displacement::Displacement(OwnerState& state, CommandDispatcher& orders)
     : m_state(state)
     , m_orders(orders)
     , m_others(state)
--- a/src/jobs/owner/displacement.h
+++ b/src/jobs/owner/displacement.h
@@ -2,7 +2,7 @@
 /// \file
 /// Makes room on workers with a label for tasks that can run nowhere else.
 
-#include "order_desk.h"
+#include "command_dispatcher.h"
 #include "other_sites.h"
 #include "placement_pass.h"
 
@@ -15,7 +15,7 @@
 /// a step than its disruption budget allows.
 class Displacement {
 public:
-    Displacement(OwnerState& state, OrderDesk& orders);
+    Displacement(OwnerState& state, CommandDispatcher& orders);
 
     void run();
 
@@ -24,7 +24,7 @@
     [[nodiscard]] std::vector<Attempt> movable(const WorkerBook& worker, const StepSpec& step);
 
     OwnerState& m_state;
-    OrderDesk& m_orders;
+    CommandDispatcher& m_orders;
     OtherSites m_others;
 };
 
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -40,7 +40,7 @@
     return budget == 0 || tasksAway(state, job, { task.occurrence, task.step }, task.index) < budget;
 }
 
-Evacuation::Evacuation(OwnerState& state, OrderDesk& orders)
+Evacuation::Evacuation(OwnerState& state, CommandDispatcher& orders)
     : m_state(state)
     , m_orders(orders)
     , m_others(state)
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -2,7 +2,7 @@
 /// \file
 /// Empties workers that are to be maintained, moved or that drain.
 
-#include "order_desk.h"
+#include "command_dispatcher.h"
 #include "other_sites.h"
 
 #include <set>
@@ -18,7 +18,7 @@
 /// would find no room elsewhere: they go when another instance with it has come.
 class Evacuation {
 public:
-    Evacuation(OwnerState& state, OrderDesk& orders);
+    Evacuation(OwnerState& state, CommandDispatcher& orders);
 
     void run();
 
@@ -28,7 +28,7 @@
     [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker);
 
     OwnerState& m_state;
-    OrderDesk& m_orders;
+    CommandDispatcher& m_orders;
     OtherSites m_others;
     /// Pools and labels of which a batch task found no room elsewhere: no other one of the kind is looked at in this run.
     std::set<std::pair<std::string, std::string>> m_full;
--- a/src/jobs/owner/fair_placement.cpp
+++ b/src/jobs/owner/fair_placement.cpp
@@ -54,7 +54,7 @@
     for (auto& [level, ofLevel] : levels)
         placeLevel(level.first, level.second, std::move(ofLevel));
     noteDeficits();
-    for (OwnerJob* job : m_begun)
+    for (OwnerJob* job : m_startedJobs)
         m_state.endWait(*job);
     m_groups.clear();
     findGroups();
@@ -112,10 +112,10 @@
         if (advance(source))
             sources.push_back(std::move(source));
     }
-    m_sharesBind = true;
+    m_sharesApply = true;
     placeAll(std::move(sources));
     std::vector<Source> deferred = std::exchange(m_deferred, {});
-    m_sharesBind = false;
+    m_sharesApply = false;
     if (!m_state.deficits.holdsOthersBack(m_pool, m_now)) {
         placeAll(std::move(deferred));
         return;
@@ -134,7 +134,7 @@
     while (!sources.empty()) {
         std::pop_heap(sources.begin(), sources.end(), comesLater);
         Source& source = sources.back();
-        if (!mayGoOn(source.head.front())) {
+        if (!mayStartMore(source.head.front())) {
             m_deferred.push_back(std::move(source));
             sources.pop_back();
             continue;
@@ -157,7 +157,7 @@
     if (job.state.status() == JobStatus::Queued)
         ++source.misses;
     else
-        m_begun.push_back(&job);
+        m_startedJobs.push_back(&job);
 }
 
 /// Makes the group's next job the head of the source. \returns False at the end of the group or at its limit of misses.
@@ -193,10 +193,10 @@
     return found == m_groups.end() ? nullptr : found->queue;
 }
 
-bool FairPlacement::mayGoOn(const PlacementCandidate& candidate) const
+bool FairPlacement::mayStartMore(const PlacementCandidate& candidate) const
 {
     const std::string& organisation = organisationOf(candidate);
-    return !m_sharesBind || organisation.empty() || !m_shares->isBeyond(organisation);
+    return !m_sharesApply || organisation.empty() || !m_shares->isBeyond(organisation);
 }
 
 void FairPlacement::noteStarted(const PlacementCandidate& candidate, const Resources& needs)
--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -46,7 +46,7 @@
     /// \name Calls while a candidate is placed
     ///@{
     /// \returns Whether the candidate's organisation may start one more task now.
-    [[nodiscard]] bool mayGoOn(const PlacementCandidate& candidate) const;
+    [[nodiscard]] bool mayStartMore(const PlacementCandidate& candidate) const;
 
     void noteStarted(const PlacementCandidate& candidate, const Resources& needs);
 
@@ -97,9 +97,9 @@
     std::shared_ptr<const ServiceConfiguration> m_configuration;
     std::vector<PoolGroup> m_groups;
     std::optional<PoolShares> m_shares;
-    bool m_sharesBind = true; ///< False: the remaining capacity is assigned in placement order, regardless of shares.
+    bool m_sharesApply = true; ///< False: the remaining capacity is assigned in placement order, regardless of shares.
     std::vector<Source> m_deferred;
-    std::vector<OwnerJob*> m_begun; ///< Jobs that started in this pass and leave their groups.
+    std::vector<OwnerJob*> m_startedJobs; ///< Jobs that started in this pass and leave their groups.
     std::set<std::string> m_unplaced; ///< Organisations with tasks that found no room.
     std::set<std::string> m_heldByQuota; ///< Organisations whose waiting jobs need quota, not instances.
 };
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_keeper.cpp
@@ -368,7 +368,7 @@
             life.goneSince = now;
         if (now - *life.goneSince < fleetListLag)
             return;
-        m_options.scheduler->noteLifeUnlisted(life.worker, *life.goneSince);
+        m_options.scheduler->noteIncarnationUnlisted(life.worker, *life.goneSince);
         life = { instance.worker, std::nullopt };
     }
 
--- a/src/jobs/owner/job_retirement.cpp
+++ b/src/jobs/owner/job_retirement.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 /// With ten jobs per scan, 50 jobs a second are removed. The busiest site submits 35 a second on average.
-constexpr Millis lookEvery { 200 };
+constexpr Millis scanInterval { 200 };
 /// Covers calls in flight, and instances that are notified of the end a little later.
-constexpr Millis margin { 5'000 };
+constexpr Millis retentionMargin { 5'000 };
 /// Each job takes three removals of a transaction, and the ownership's condition takes one entry.
-constexpr std::size_t mostAtOnce = (mostTransactionEntries - 1) / 3;
+constexpr std::size_t maxJobsPerScan = (mostTransactionEntries - 1) / 3;
 
 std::array<std::string, 3> keysOf(const std::string& id)
 {
@@ -47,30 +47,30 @@
 
     void clear() { m_finishedAt.clear(); }
 
-    void lookLater()
+    void scheduleScan()
     {
-        m_options.loop->callAt(m_options.loop->now() + lookEvery, [self = weak_from_this()] {
+        m_options.loop->callAt(m_options.loop->now() + scanInterval, [self = weak_from_this()] {
             const auto impl = self.lock();
             if (!impl)
                 return;
-            impl->look();
-            impl->lookLater();
+            impl->removeExpired();
+            impl->scheduleScan();
         });
     }
 
 private:
-    void look()
+    void removeExpired()
     {
         if (m_removing || !m_options.ownership->isHeld())
             return;
         const MonotonicInstant now = m_options.loop->now();
-        std::vector<std::string> over;
+        std::vector<std::string> expired;
         for (const auto& [id, at] : m_finishedAt) {
-            if (now - at >= m_options.statusTime + margin && over.size() < mostAtOnce)
-                over.push_back(id);
+            if (now - at >= m_options.statusTime + retentionMargin && expired.size() < maxJobsPerScan)
+                expired.push_back(id);
         }
-        if (!over.empty())
-            remove(std::move(over));
+        if (!expired.empty())
+            remove(std::move(expired));
     }
 
     void remove(std::vector<std::string> ids)
@@ -83,12 +83,12 @@
         m_removing = true;
         m_options.store->commit(transaction, [self = weak_from_this(), ids = std::move(ids)](const CommitResult& result) {
             if (const auto impl = self.lock())
-                impl->removed(ids, result);
+                impl->onRemoved(ids, result);
         });
     }
 
     /// Without an answer the same jobs are removed again, which has no effect.
-    void removed(const std::vector<std::string>& ids, const CommitResult& result)
+    void onRemoved(const std::vector<std::string>& ids, const CommitResult& result)
     {
         m_removing = false;
         if (result.outcome != StoreOutcome::Done)
@@ -114,7 +114,7 @@
 
 void JobRetirement::start()
 {
-    m_impl->lookLater();
+    m_impl->scheduleScan();
 }
 
 void JobRetirement::clear()
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -1,7 +1,8 @@
 #include "lanemoor/jobs/owner/job_scheduler.h"
 
-#include "admission_desk.h"
-#include "advice_desk.h"
+#include "admission_controller.h"
+#include "advice_client.h"
+#include "command_dispatcher.h"
 #include "displacement.h"
 #include "evacuation.h"
 #include "hall_inventory.h"
@@ -13,12 +14,11 @@
 #include "lanemoor/jobs/owner/hall_evacuations.h"
 #include "lanemoor/jobs/owner/worker_directory.h"
 #include "lanemoor/jobs/store/store_mirror.h"
-#include "listed_lives.h"
-#include "order_desk.h"
 #include "owner_load.h"
 #include "owner_state.h"
 #include "placement_pass.h"
-#include "report_reader.h"
+#include "reported_incarnations.h"
+#include "status_reconciler.h"
 
 #include <algorithm>
 #include <string_view>
@@ -35,18 +35,18 @@
 constexpr double leaseStretch = 1.03;
 /// A command without an answer may still be executed about 6 s later, with a lease that the worker limits to 10 s by a clock
 /// that may be slow by 2%.
-constexpr Millis longestLateRun { 18'000 };
+constexpr Millis maxLateRun { 18'000 };
 /// Minimum time between two passes: events within it are handled by one pass. A tenth of the minimum time from accept to
 /// first start.
-constexpr Millis leastPassGap { 3 };
+constexpr Millis minPassInterval { 3 };
 /// A pass over a large fleet with many jobs takes some ms. Passes take at most a fifth of the time; the rest is left for
 /// calls and answers.
-constexpr int passShare = 5;
+constexpr int passIntervalFactor = 5;
 /// Interval between two scans of evacuating workers. A shift of load evacuates hundreds of workers; a stop takes some hundred
 /// ms, and waiting for batch tasks takes longer.
-constexpr Millis evacuationPause { 50 };
+constexpr Millis evacuationInterval { 50 };
 /// Maximum interval between passes, for changes that only the passage of time causes.
-constexpr Millis idlePass { 200 };
+constexpr Millis idlePassInterval { 200 };
 
 /// \returns Steps of an inherited job whose tasks may have started already.
 std::set<StepId> openSteps(const JobState& job)
@@ -66,49 +66,49 @@
 {
     for (const auto& [id, step] : job.steps()) {
         const StepSpec& spec = job.spec(id.step);
-        const std::uint32_t most = spec.mostPerInstance;
+        const std::uint32_t maxPerInstance = spec.mostPerInstance;
         const auto left = static_cast<std::uint32_t>(step.tasks.size()) - step.succeeded;
         // Long-running tasks with a required label need a second instance with the label to move to.
-        const std::uint32_t least = most > 0 ? (left + most - 1) / most : 1;
-        if (left == 0 || (most == 0 && !(spec.longRunning && !spec.requiredLabel.empty())))
+        const std::uint32_t minInstances = maxPerInstance > 0 ? (left + maxPerInstance - 1) / maxPerInstance : 1;
+        if (left == 0 || (maxPerInstance == 0 && !(spec.longRunning && !spec.requiredLabel.empty())))
             continue;
         for (const Requirement& requirement : requirementsOf(spec)) {
             if (!requirement.preferred)
-                demand[requirement].leastInstances = std::max(demand[requirement].leastInstances, least);
+                demand[requirement].leastInstances = std::max(demand[requirement].leastInstances, minInstances);
         }
     }
 }
 
 /// Adds the usage of the attempts on a worker. \param hopeless Jobs that can no longer meet their objective.
-void noteRunning(const WorkerBook& book, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
+void noteRunning(const WorkerBook& record, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
-    std::map<Requirement, Resources> usedInVain;
-    Resources usedByAny;
-    Resources usedByAnyInVain;
-    for (const auto& [attempt, booking] : book.bookings) {
-        const bool isInVain = hopeless.contains(attempt.job);
+    std::map<Requirement, Resources> usedByLateJobs;
+    Resources usedAnywhere;
+    Resources usedAnywhereByLateJobs;
+    for (const auto& [attempt, reservation] : record.bookings) {
+        const bool isLate = hopeless.contains(attempt.job);
         // Fast path: most tasks have no placement requirement.
-        if (booking.step->requiredLabel.empty() && booking.step->preferredRack.empty()) {
-            usedByAny += footprint(*booking.step);
-            if (isInVain)
-                usedByAnyInVain += footprint(*booking.step);
+        if (reservation.step->requiredLabel.empty() && reservation.step->preferredRack.empty()) {
+            usedAnywhere += footprint(*reservation.step);
+            if (isLate)
+                usedAnywhereByLateJobs += footprint(*reservation.step);
             continue;
         }
-        for (const Requirement& requirement : requirementsOf(*booking.step)) {
-            used[requirement] += footprint(*booking.step);
-            if (isInVain)
-                usedInVain[requirement] += footprint(*booking.step);
+        for (const Requirement& requirement : requirementsOf(*reservation.step)) {
+            used[requirement] += footprint(*reservation.step);
+            if (isLate)
+                usedByLateJobs[requirement] += footprint(*reservation.step);
         }
     }
-    if (!book.bookings.empty()) {
-        used[Requirement {}] += usedByAny;
-        usedInVain[Requirement {}] += usedByAnyInVain;
+    if (!record.bookings.empty()) {
+        used[Requirement {}] += usedAnywhere;
+        usedByLateJobs[Requirement {}] += usedAnywhereByLateJobs;
     }
     for (const auto& [requirement, resources] : used)
-        demand[requirement].runningMilliCpu += asMilliCpu(resources, book.entry.capacity);
-    for (const auto& [requirement, resources] : usedInVain)
-        demand[requirement].runningBacklogMilliCpu += asMilliCpu(resources, book.entry.capacity);
+        demand[requirement].runningMilliCpu += asMilliCpu(resources, record.entry.capacity);
+    for (const auto& [requirement, resources] : usedByLateJobs)
+        demand[requirement].runningBacklogMilliCpu += asMilliCpu(resources, record.entry.capacity);
 }
 
 /// \returns How many instances there are of each kind, for example `a 30, b 19`.
@@ -132,11 +132,11 @@
             .forecast = LoadForecast(options.seesRises),
             .hallLosses = HallLossDetector(options.failureDomains) }
         , health(state, counts)
-        , orders(std::make_shared<OrderDesk>(state, health, counts))
-        , advice(std::make_shared<AdviceDesk>(state))
-        , reports(state, health, *orders, counts)
+        , dispatcher(std::make_shared<CommandDispatcher>(state, health, counts))
+        , adviceClient(std::make_shared<AdviceClient>(state))
+        , reconciler(state, health, *dispatcher, counts)
         , load(std::make_shared<OwnerLoad>(options, counts))
-        , admission(std::make_shared<AdmissionDesk>(state))
+        , admission(std::make_shared<AdmissionController>(state))
     {
         // No owner precedes the first term, so no inherited task runs.
         if (ownership.term == 1)
@@ -147,8 +147,8 @@
     {
         load->close();
         admission->close();
-        orders->close();
-        advice->close();
+        dispatcher->close();
+        adviceClient->close();
         for (auto& [id, worker] : state.workers) {
             if (worker.session)
                 worker.session->close();
@@ -158,17 +158,17 @@
 
     OwnerState state;
     HealthMonitor health;
-    std::shared_ptr<OrderDesk> orders;
-    std::shared_ptr<AdviceDesk> advice;
-    ReportReader reports;
+    std::shared_ptr<CommandDispatcher> dispatcher;
+    std::shared_ptr<AdviceClient> adviceClient;
+    StatusReconciler reconciler;
     std::shared_ptr<OwnerLoad> load;
-    std::shared_ptr<AdmissionDesk> admission;
+    std::shared_ptr<AdmissionController> admission;
     /// Number of listed instances that may run tasks and have no known worker; unset until the list was read in this
     /// term.
     std::optional<std::uint32_t> unknownInstances;
-    bool settledInherited = false; ///< The probations that previous owners left are settled as far as possible.
-    ListedLives listedLives;
-    std::set<std::string> unmet; ///< Workers that may run inherited tasks and have not reported yet.
+    bool isInheritedSettled = false; ///< The probations that previous owners left are settled as far as possible.
+    ReportedIncarnations reportedIncarnations;
+    std::set<std::string> unreportedWorkers; ///< Workers that may run inherited tasks and have not reported yet.
 };
 
 } // namespace
@@ -198,8 +198,8 @@
             load(id, entry, ownership.term > 1);
         m_options.directory->forgetOld();
         for (const auto& [id, entry] : m_options.directory->all()) {
-            if (isNamed(entry))
-                meet(entry);
+            if (isPoolConfigured(entry))
+                addWorker(entry);
         }
         m_options.log->change("ownership-taken",
             { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "term", static_cast<std::int64_t>(ownership.term) }, { "jobs", static_cast<std::int64_t>(state.jobs.size()) },
@@ -247,13 +247,13 @@
         const auto found = m_options.directory->all().find(id);
         if (found == m_options.directory->all().end())
             return;
-        WorkerBook* book = m_term->state.worker(id);
-        if (!book) {
-            if (isNamed(found->second))
-                meet(found->second);
+        WorkerBook* record = m_term->state.worker(id);
+        if (!record) {
+            if (isPoolConfigured(found->second))
+                addWorker(found->second);
             return;
         }
-        noteEntry(*book, found->second);
+        noteEntry(*record, found->second);
         requestPass();
     }
 
@@ -262,8 +262,8 @@
         if (!m_term)
             return;
         for (const auto& [id, entry] : m_options.directory->all()) {
-            if (entry.listed && !m_term->state.worker(id) && isNamed(entry))
-                meet(entry);
+            if (entry.listed && !m_term->state.worker(id) && isPoolConfigured(entry))
+                addWorker(entry);
         }
         requestPass();
     }
@@ -282,8 +282,8 @@
     {
         if (!m_term)
             return;
-        for (auto& [id, book] : m_term->state.workers)
-            noteHall(book);
+        for (auto& [id, record] : m_term->state.workers)
+            noteHall(record);
         requestPass();
     }
 
@@ -291,7 +291,7 @@
     {
         if (!m_term)
             return;
-        schedulePass(std::max(m_options.loop->now(), m_passFrom));
+        schedulePass(std::max(m_options.loop->now(), m_earliestPassAt));
     }
 
     [[nodiscard]] WorkerUses uses() const
@@ -301,16 +301,16 @@
             return uses;
         uses.reserve(m_term->state.workers.size());
         const MonotonicInstant now = m_options.loop->now();
-        for (const auto& [id, book] : m_term->state.workers) {
-            WorkerUse use { .free = book.free(), .attempts = static_cast<std::uint32_t>(book.bookings.size()), .evacuating = book.evacuating, .evacuatingSince = book.evacuatingSince };
-            for (const auto& [attempt, booking] : book.bookings) {
-                use.longRunning += booking.step->longRunning ? 1 : 0;
-                if (!booking.step->longRunning)
-                    use.emptyBy = std::max(use.emptyBy, booking.endsBy);
-                use.pinned += booking.step->longRunning && !booking.step->requiredLabel.empty() ? 1 : 0;
+        for (const auto& [id, record] : m_term->state.workers) {
+            WorkerUse use { .free = record.free(), .attempts = static_cast<std::uint32_t>(record.bookings.size()), .evacuating = record.evacuating, .evacuatingSince = record.evacuatingSince };
+            for (const auto& [attempt, reservation] : record.bookings) {
+                use.longRunning += reservation.step->longRunning ? 1 : 0;
+                if (!reservation.step->longRunning)
+                    use.emptyBy = std::max(use.emptyBy, reservation.endsBy);
+                use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
-            use.known = book.session->isMet() || now >= book.session->leaseOverBy();
-            use.sound = book.listed && !book.entry.draining && book.isHallOpen() && book.session->isMet() && !book.session->isSilent() && !book.session->isLifeOver() && !book.health.isEjected(now);
+            use.known = record.session->isMet() || now >= record.session->leaseOverBy();
+            use.sound = record.listed && !record.entry.draining && record.isHallOpen() && record.session->isMet() && !record.session->isSilent() && !record.session->isLifeOver() && !record.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -340,12 +340,12 @@
 
     void setEvacuating(const std::string& worker, bool evacuating)
     {
-        WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
-        if (!book || book->evacuating == evacuating)
+        WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
+        if (!record || record->evacuating == evacuating)
             return;
-        book->evacuating = evacuating;
-        book->evacuatingSince = m_options.loop->now();
-        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(book->bookings.size()) } });
+        record->evacuating = evacuating;
+        record->evacuatingSince = m_options.loop->now();
+        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(record->bookings.size()) } });
         requestPass();
     }
 
@@ -356,7 +356,7 @@
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         const bool first = !m_term->unknownInstances;
         m_term->state.noteInstances(instances);
-        meetListed(instances);
+        addListedWorkers(instances);
         std::uint32_t unknown = 0;
         for (const FleetInstance& instance : instances) {
             const PoolSettings* pool = configuration->pool(instance.pool);
@@ -365,27 +365,27 @@
             unknown += runs && !m_term->state.worker(instance.worker) ? 1 : 0;
         }
         m_term->unknownInstances = unknown;
-        noteListedLives(instances, askedAt, *configuration);
-        endUnlistedLives();
+        noteReportedIncarnations(instances, askedAt, *configuration);
+        endUnlistedIncarnations();
         if (first)
-            m_options.log->change("fleet-listed", { { "instances", static_cast<std::int64_t>(instances.size()) }, { "kinds", kindsText(instances) }, { "unknown", std::int64_t { unknown } }, { "unmet", static_cast<std::int64_t>(m_term->unmet.size()) } });
+            m_options.log->change("fleet-listed", { { "instances", static_cast<std::int64_t>(instances.size()) }, { "kinds", kindsText(instances) }, { "unknown", std::int64_t { unknown } }, { "unmet", static_cast<std::int64_t>(m_term->unreportedWorkers.size()) } });
         requestPass();
     }
 
     void noteLifeOver(const std::string& worker, bool ordered = false)
     {
-        WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
-        if (!book || !book->session)
+        WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
+        if (!record || !record->session)
             return;
-        book->endOrdered = ordered;
-        book->session->noteLifeOver();
+        record->endOrdered = ordered;
+        record->session->noteLifeOver();
     }
 
-    void noteLifeUnlisted(const std::string& worker, MonotonicInstant since)
+    void noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
     {
-        const WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
-        const bool mayMeanFormer = book && !book->formerStarts.empty() && book->knownSince + fleetListLag >= since;
-        if (!mayMeanFormer)
+        const WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
+        const bool mayMeanPrevious = record && !record->formerStarts.empty() && record->knownSince + fleetListLag >= since;
+        if (!mayMeanPrevious)
             noteLifeOver(worker);
     }
 
@@ -403,8 +403,8 @@
         OwnerState& state = m_term->state;
         if (state.now() >= state.inheritedLeaseOverBy)
             return true;
-        std::erase_if(m_term->unmet, [&](const std::string& id) { return state.workers.contains(id) && !isUnmet(id); });
-        return m_term->unknownInstances == 0U && m_term->unmet.empty();
+        std::erase_if(m_term->unreportedWorkers, [&](const std::string& id) { return state.workers.contains(id) && !isUnreported(id); });
+        return m_term->unknownInstances == 0U && m_term->unreportedWorkers.empty();
     }
 
     [[nodiscard]] std::optional<std::vector<StepReport>> report(const std::string& id) const
@@ -470,8 +470,8 @@
             if (!isFinal(job->state.status()) && state.isHopeless(*job, now))
                 hopeless.insert(id);
         }
-        for (const auto& [id, book] : state.workers)
-            noteRunning(book, hopeless, demands[book.entry.pool]);
+        for (const auto& [id, record] : state.workers)
+            noteRunning(record, hopeless, demands[record.entry.pool]);
         for (const auto& [id, job] : state.walked) {
             if (!isFinal(job->state.status()))
                 noteSpread(job->state, demands[state.poolOf(job->state)]);
@@ -492,8 +492,8 @@
                 if (requirement.label.empty() || requirement.preferred)
                     continue;
                 std::int64_t supply = 0;
-                for (const auto& [id, book] : state.workers)
-                    supply += book.entry.pool == pool && book.listed && hasLabel(book.entry, requirement.label) ? book.entry.capacity.milliCpu : 0;
+                for (const auto& [id, record] : state.workers)
+                    supply += record.entry.pool == pool && record.listed && hasLabel(record.entry, requirement.label) ? record.entry.capacity.milliCpu : 0;
                 state.wanted[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
             }
         }
@@ -534,7 +534,7 @@
         if (inherited) {
             job.state.openOccurrences(m_options.loop->timeOfDay());
             job.openBefore = openSteps(job.state);
-            m_term->reports.crashes().load(job);
+            m_term->reconciler.crashes().load(job);
         }
         if (entry.cancelled)
             cancel(job);
@@ -565,63 +565,63 @@
         ++counts.jobsCancelled;
         m_options.log->decision("job-cancelled", { { "job", job.state.id() }, { "running", static_cast<std::int64_t>(job.state.liveAttempts().size()) } });
         m_term->state.store(job.state.id());
-        m_term->orders->stopAll(job);
+        m_term->dispatcher->stopAll(job);
     }
 
     /// An entry whose pool is not in the configuration may come from another writer, and calls to its address could reach an
     /// unrelated process.
-    [[nodiscard]] bool isNamed(const DirectoryEntry& entry) const { return m_options.configuration()->pool(entry.worker.pool) != nullptr; }
+    [[nodiscard]] bool isPoolConfigured(const DirectoryEntry& entry) const { return m_options.configuration()->pool(entry.worker.pool) != nullptr; }
 
     /// An incarnation that the platform lists is a worker in any pool, and may run tasks of an earlier owner.
-    void meetListed(const std::vector<FleetInstance>& instances)
+    void addListedWorkers(const std::vector<FleetInstance>& instances)
     {
         for (const FleetInstance& instance : instances) {
             const auto entry = m_options.directory->all().find(instance.worker);
-            if (entry != m_options.directory->all().end() && entry->second.listed && !isNamed(entry->second) && !m_term->state.worker(instance.worker))
-                meet(entry->second);
+            if (entry != m_options.directory->all().end() && entry->second.listed && !isPoolConfigured(entry->second) && !m_term->state.worker(instance.worker))
+                addWorker(entry->second);
         }
     }
 
-    void meet(const DirectoryEntry& entry)
+    void addWorker(const DirectoryEntry& entry)
     {
-        WorkerBook& book = m_term->state.workers[entry.worker.id];
-        book.entry = entry.worker;
-        book.listed = entry.listed;
-        book.knownSince = entry.knownSince;
-        beginSession(book, entry.worker.startedAt);
+        WorkerBook& record = m_term->state.workers[entry.worker.id];
+        record.entry = entry.worker;
+        record.listed = entry.listed;
+        record.knownSince = entry.knownSince;
+        beginSession(record, entry.worker.startedAt);
     }
 
-    void noteHall(WorkerBook& book) const { book.hallEvacuated = m_options.evacuations->contains(book.entry.dataHall); }
+    void noteHall(WorkerBook& record) const { record.hallEvacuated = m_options.evacuations->contains(record.entry.dataHall); }
 
-    void beginSession(WorkerBook& book, std::int64_t startedAt)
+    void beginSession(WorkerBook& record, std::int64_t startedAt)
     {
         const OwnerState& state = m_term->state;
-        noteHall(book);
+        noteHall(record);
         WorkerSessionOptions options { .epoch = state.ownership.epoch,
             .inheritedLeaseOverBy = state.inheritedLeaseOverBy,
             .leaseTime = m_options.workerLeaseTime,
             .mayOrder = [this] { return m_options.ownership->isHeld(); },
             .overdueAfter = [this] { return m_term ? m_term->state.responses.overdueAfter() : ResponseTime::maxOverdue; } };
         // A command to a previous incarnation may have reached this one, with a lease on the previous incarnation's clock.
-        if (!book.formerStarts.empty())
-            options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + longestLateRun);
-        book.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { book.entry.id, book.entry.address, startedAt, book.entry.dataHall }, std::move(options), m_term->reports);
-        book.session->start();
+        if (!record.formerStarts.empty())
+            options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + maxLateRun);
+        record.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { record.entry.id, record.entry.address, startedAt, record.entry.dataHall }, std::move(options), m_term->reconciler);
+        record.session->start();
         // Also a worker whose entry arrives late: its tasks may have been running while the entry was missing.
-        m_term->unmet.insert(book.entry.id);
+        m_term->unreportedWorkers.insert(record.entry.id);
     }
 
     /// Updates a worker from its entry. The entry of a previous incarnation may arrive after the first report of the new one.
-    void noteEntry(WorkerBook& book, const DirectoryEntry& entry) const
+    void noteEntry(WorkerBook& record, const DirectoryEntry& entry) const
     {
-        book.listed = entry.listed;
+        record.listed = entry.listed;
         const std::int64_t startedAt = entry.worker.startedAt;
-        if (startedAt != 0 && book.formerStarts.contains(startedAt))
+        if (startedAt != 0 && record.formerStarts.contains(startedAt))
             return;
-        book.entry = entry.worker;
-        noteHall(book);
-        if (book.session->life().startedAt != 0 && !book.isEntryOfLife())
-            book.session->noteRestart(startedAt);
+        record.entry = entry.worker;
+        noteHall(record);
+        if (record.session->life().startedAt != 0 && !record.isEntryOfLife())
+            record.session->noteRestart(startedAt);
     }
 
     std::optional<ProgressRecord> progressOf(const std::string& id)
@@ -651,91 +651,91 @@
         const std::shared_ptr<Term> term = m_term;
         ++counts.passes;
         const MonotonicInstant begin = m_options.loop->now();
-        m_passFrom = begin + leastPassGap;
+        m_earliestPassAt = begin + minPassInterval;
         HallWatch(term->state).run();
         // Cancellations take effect within 3 s, so no task starts on an older replica of the jobs. An idle watch is answered
         // every second.
         const bool knowsCancels = term->state.knowsCancels();
-        noteCopy(knowsCancels);
+        noteReplica(knowsCancels);
         if (!m_options.ownership->isHeld() || !knowsCancels || !m_options.evacuations->isConfirmed()) {
-            schedulePass(begin + idlePass);
+            schedulePass(begin + idlePassInterval);
             return;
         }
         if (begin >= term->state.nextEvacuationAt) {
-            term->state.nextEvacuationAt = begin + evacuationPause;
-            Evacuation(term->state, *term->orders).run();
+            term->state.nextEvacuationAt = begin + evacuationInterval;
+            Evacuation(term->state, *term->dispatcher).run();
         }
         settleInherited();
         term->health.run();
-        PlacementPass placement(term->state, *term->orders, *term->advice, [this] { return isSettled(); });
+        PlacementPass placement(term->state, *term->dispatcher, *term->adviceClient, [this] { return isSettled(); });
         const std::optional<MonotonicInstant> wake = placement.run();
         m_waiting = placement.waiting();
         counts.sitesInspected += placement.sitesInspected();
         if (term != m_term)
             return;
-        Displacement(term->state, *term->orders).run();
-        if (begin >= m_cleanAt) {
-            m_cleanAt = begin + idlePass;
+        Displacement(term->state, *term->dispatcher).run();
+        if (begin >= m_nextCleanupAt) {
+            m_nextCleanupAt = begin + idlePassInterval;
             dropFinished();
-            dropOverWorkers();
+            dropEndedWorkers();
         }
         const MonotonicInstant end = m_options.loop->now();
-        m_passFrom = std::max(m_passFrom, begin + passShare * (end - begin));
-        schedulePass(std::max(m_passFrom, wake ? std::min(*wake, end + idlePass) : end + idlePass));
+        m_earliestPassAt = std::max(m_earliestPassAt, begin + passIntervalFactor * (end - begin));
+        schedulePass(std::max(m_earliestPassAt, wake ? std::min(*wake, end + idlePassInterval) : end + idlePassInterval));
     }
 
     /// Settles the probations that previous owners left, before the tasks start again.
     void settleInherited()
     {
-        if (m_term->settledInherited || !isSettled())
+        if (m_term->isInheritedSettled || !isSettled())
             return;
-        m_term->settledInherited = true;
-        m_term->reports.crashes().noteUnanswering();
-        m_term->reports.crashes().settleAbsent(m_term->unknownInstances == 0U && m_term->unmet.empty());
+        m_term->isInheritedSettled = true;
+        m_term->reconciler.crashes().noteUnanswering();
+        m_term->reconciler.crashes().settleAbsent(m_term->unknownInstances == 0U && m_term->unreportedWorkers.empty());
     }
 
     /// Logs when starts begin to wait for a newer replica of the jobs, and when they resume.
-    void noteCopy(bool isNew)
+    void noteReplica(bool isFresh)
     {
-        if (std::exchange(m_copyIsNew, isNew) == isNew)
+        if (std::exchange(m_isReplicaFresh, isFresh) == isFresh)
             return;
         const auto age = std::chrono::duration_cast<Millis>(m_options.loop->now() - m_options.mirror->freshAt());
-        m_options.log->change(isNew ? "copy-new-again" : "copy-too-old", { { "copy_age_ms", std::int64_t { age.count() } } });
+        m_options.log->change(isFresh ? "copy-new-again" : "copy-too-old", { { "copy_age_ms", std::int64_t { age.count() } } });
     }
 
     /// \returns Whether a worker has not yet reported which inherited tasks it runs.
-    [[nodiscard]] bool isUnmet(const std::string& id) const
+    [[nodiscard]] bool isUnreported(const std::string& id) const
     {
         const auto found = m_term->state.workers.find(id);
         return found != m_term->state.workers.end() && !found->second.session->isMet() && !found->second.session->isLifeOver();
     }
 
     /// An incarnation that a complete list does not name runs nowhere, if it was known before the time of the list.
-    void noteListedLives(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt, const ServiceConfiguration& configuration)
-    {
-        ListedLives& lives = m_term->listedLives;
-        lives.note(instances, configuration);
-        for (auto& [id, book] : m_term->state.workers) {
-            if (lives.names(id))
-                book.unlistedSince.reset();
-            else if (lives.isComplete() && !book.unlistedSince && askedAt - book.knownSince >= fleetListLag)
-                book.unlistedSince = askedAt;
+    void noteReportedIncarnations(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt, const ServiceConfiguration& configuration)
+    {
+        ReportedIncarnations& incarnations = m_term->reportedIncarnations;
+        incarnations.note(instances, configuration);
+        for (auto& [id, record] : m_term->state.workers) {
+            if (incarnations.names(id))
+                record.unlistedSince.reset();
+            else if (incarnations.isComplete() && !record.unlistedSince && askedAt - record.knownSince >= fleetListLag)
+                record.unlistedSince = askedAt;
         }
     }
 
     /// Ends unresponsive incarnations that complete lists do not name. This is the only proof of the end of an incarnation that no
     /// list ever named.
-    void endUnlistedLives()
+    void endUnlistedIncarnations()
     {
-        std::vector<std::string> over;
-        for (const auto& [id, book] : m_term->state.workers) {
-            if (!book.unlistedSince || book.session->isLifeOver())
+        std::vector<std::string> ended;
+        for (const auto& [id, record] : m_term->state.workers) {
+            if (!record.unlistedSince || record.session->isLifeOver())
                 continue;
-            const bool isGone = !book.session->isMet() || (book.session->isSilent() && m_options.loop->now() - *book.unlistedSince >= fleetListLag);
+            const bool isGone = !record.session->isMet() || (record.session->isSilent() && m_options.loop->now() - *record.unlistedSince >= fleetListLag);
             if (isGone)
-                over.push_back(id);
+                ended.push_back(id);
         }
-        for (const std::string& id : over)
+        for (const std::string& id : ended)
             noteLifeOver(id);
     }
 
@@ -756,28 +756,28 @@
         });
     }
 
-    void dropOverWorkers()
+    void dropEndedWorkers()
     {
         std::erase_if(m_term->state.workers, [&](const auto& entry) {
-            const WorkerBook& book = entry.second;
-            const bool over = book.session->isLifeOver() || m_options.loop->now() >= book.session->leaseOverBy();
-            const bool isDropped = !book.listed && over && book.bookings.empty() && (book.session->isLifeOver() || book.session->isSilent());
+            const WorkerBook& record = entry.second;
+            const bool ended = record.session->isLifeOver() || m_options.loop->now() >= record.session->leaseOverBy();
+            const bool isDropped = !record.listed && ended && record.bookings.empty() && (record.session->isLifeOver() || record.session->isSilent());
             if (isDropped)
                 m_term->state.hallLosses.noteGone(entry.first);
             return isDropped;
         });
-        if (m_term->settledInherited)
-            m_term->reports.crashes().settleAbsent(false);
+        if (m_term->isInheritedSettled)
+            m_term->reconciler.crashes().settleAbsent(false);
     }
 
     JobSchedulerOptions m_options;
     std::shared_ptr<Term> m_term;
     PlacementPass::Waiting m_waiting;
-    bool m_copyIsNew = true;
+    bool m_isReplicaFresh = true;
     TimerId m_passTimer = 0;
     MonotonicInstant m_passAt;
-    MonotonicInstant m_passFrom; ///< Earliest time of the next pass.
-    MonotonicInstant m_cleanAt; ///< Time of the next removal of ended jobs and workers.
+    MonotonicInstant m_earliestPassAt; ///< Earliest time of the next pass.
+    MonotonicInstant m_nextCleanupAt; ///< Time of the next removal of ended jobs and workers.
 };
 
 JobScheduler::JobScheduler(JobSchedulerOptions options)
@@ -872,9 +872,9 @@
     m_impl->noteLifeOver(worker, ordered);
 }
 
-void JobScheduler::noteLifeUnlisted(const std::string& worker, MonotonicInstant since)
+void JobScheduler::noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
 {
-    m_impl->noteLifeUnlisted(worker, since);
+    m_impl->noteIncarnationUnlisted(worker, since);
 }
 
 std::optional<std::vector<StepReport>> JobScheduler::report(const std::string& job) const
--- a/src/jobs/owner/owner_load.cpp
+++ b/src/jobs/owner/owner_load.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis tickEvery { 100 }; // Detects a stall as long as the renewal interval of the shortest lease.
-constexpr Millis tellEvery { 1'000 };
+constexpr Millis tickInterval { 100 }; // Detects a stall as long as the renewal interval of the shortest lease.
+constexpr Millis logInterval { 1'000 };
 
 std::int64_t millis(std::chrono::microseconds time)
 {
@@ -23,13 +23,13 @@
 OwnerLoad::OwnerLoad(const JobSchedulerOptions& options, const SchedulerCounts& counts)
     : m_options(options)
     , m_counts(counts)
-    , m_told(counts)
+    , m_logged(counts)
 {
 }
 
 void OwnerLoad::start()
 {
-    m_toldAt = m_options.loop->now();
+    m_loggedAt = m_options.loop->now();
     tickLater();
 }
 
@@ -40,7 +40,7 @@
 
 void OwnerLoad::tickLater()
 {
-    m_dueAt = m_options.loop->now() + tickEvery;
+    m_dueAt = m_options.loop->now() + tickInterval;
     m_timer = m_options.loop->callAt(m_dueAt, [weak = weak_from_this()] {
         if (const auto load = weak.lock())
             load->tick();
@@ -51,22 +51,22 @@
 {
     m_timer = 0;
     const MonotonicInstant now = m_options.loop->now();
-    m_latest = std::max(m_latest, now - m_dueAt);
-    if (now - m_toldAt >= tellEvery)
-        tell(now);
+    m_maxDelay = std::max(m_maxDelay, now - m_dueAt);
+    if (now - m_loggedAt >= logInterval)
+        writeLine(now);
     tickLater();
 }
 
-void OwnerLoad::tell(MonotonicInstant now)
+void OwnerLoad::writeLine(MonotonicInstant now)
 {
-    m_toldAt = now;
+    m_loggedAt = now;
     const WorkReading work = m_options.meter ? m_options.meter->takeRecent() : WorkReading {};
     m_options.log->decision("owner-load",
-        { { "passes", static_cast<std::int64_t>(m_counts.passes - m_told.passes) }, { "starts", static_cast<std::int64_t>(m_counts.starts - m_told.starts) }, { "sites_inspected", static_cast<std::int64_t>(m_counts.sitesInspected - m_told.sitesInspected) },
+        { { "passes", static_cast<std::int64_t>(m_counts.passes - m_logged.passes) }, { "starts", static_cast<std::int64_t>(m_counts.starts - m_logged.starts) }, { "sites_inspected", static_cast<std::int64_t>(m_counts.sitesInspected - m_logged.sitesInspected) },
             { "placement_ms", millis(work.of(WorkKind::Placement)) }, { "fleet_plan_ms", millis(work.of(WorkKind::FleetPlan)) }, { "reports_ms", millis(work.of(WorkKind::Reports)) },
             { "progress_ms", millis(work.of(WorkKind::Progress)) }, { "store_news_ms", millis(work.of(WorkKind::StoreNews)) }, { "relay_frames_ms", millis(work.of(WorkKind::RelayFrames)) },
-            { "longest_ms", millis(work.longest) }, { "longest", std::string(nameOf(work.longestKind)) }, { "timer_late_ms", millis(std::exchange(m_latest, {})) } });
-    m_told = m_counts;
+            { "longest_ms", millis(work.longest) }, { "longest", std::string(nameOf(work.longestKind)) }, { "timer_late_ms", millis(std::exchange(m_maxDelay, {})) } });
+    m_logged = m_counts;
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/owner_load.h
+++ b/src/jobs/owner/owner_load.h
@@ -23,15 +23,15 @@
 private:
     void tickLater();
     void tick();
-    void tell(MonotonicInstant now);
+    void writeLine(MonotonicInstant now);
 
     const JobSchedulerOptions& m_options;
     const SchedulerCounts& m_counts;
     TimerId m_timer = 0;
     MonotonicInstant m_dueAt;
-    MonotonicInstant m_toldAt;
-    std::chrono::microseconds m_latest {}; ///< Maximum delay of the timer since the last line.
-    SchedulerCounts m_told; ///< Counts at the last line.
+    MonotonicInstant m_loggedAt;
+    std::chrono::microseconds m_maxDelay {}; ///< Maximum delay of the timer since the last line.
+    SchedulerCounts m_logged; ///< Counts at the last line.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -10,15 +10,15 @@
 constexpr Millis waitLogPause { 1'000 }; // Minimum time between two log lines on one waiting step.
 /// Maximum steps per pass whose wait is explained, which inspects each worker of the pool. The log accepts 60 lines a second;
 /// with a thousand waiting steps, the others follow in the next passes.
-constexpr std::uint32_t mostWaitsExplained = 16;
+constexpr std::uint32_t maxWaitsExplained = 16;
 /// Workers probed at once per waiting suspect: the emptiest worker may just have crashed.
 constexpr std::size_t livenessChecksPerSuspect = 2;
 
 } // namespace
 
-PlacementPass::PlacementPass(OwnerState& state, OrderDesk& orders, AdviceDesk& advice, std::function<bool()> isSettled)
+PlacementPass::PlacementPass(OwnerState& state, CommandDispatcher& dispatcher, AdviceClient& advice, std::function<bool()> isSettled)
     : m_state(state)
-    , m_orders(orders)
+    , m_dispatcher(dispatcher)
     , m_advice(advice)
     , m_isSettled(std::move(isSettled))
 {
@@ -36,11 +36,11 @@
     m_now = m_state.now();
     m_timeOfDay = m_state.options.loop->timeOfDay();
     m_configuration = configuration;
-    m_knowsQuotas = !m_state.options.isConfigurationCurrent || m_state.options.isConfigurationCurrent();
+    m_areQuotasCurrent = !m_state.options.isConfigurationCurrent || m_state.options.isConfigurationCurrent();
     m_state.organisations.startPass();
     if (!settled)
         m_state.endInheritedWaits();
-    m_state.waitingJobs.age(m_now);
+    m_state.waitingJobs.moveHopeless(m_now);
     for (auto next = m_state.walked.begin(); next != m_state.walked.end();) {
         OwnerJob& job = *(next++)->second;
         if (isFinal(job.state.status()))
@@ -52,7 +52,7 @@
         // Most jobs only run: a pass inspects just the jobs that changed or wait.
         if (job.quietSince == job.state.changes())
             continue;
-        openDue(job);
+        openDueOccurrences(job);
         if (m_state.beginWait(job, m_now))
             continue;
         collect(job, *configuration);
@@ -102,10 +102,10 @@
 {
     std::map<const OrganisationAccount*, Resources> used;
     PoolRoom room;
-    for (const WorkerBook* book : sites.books) {
-        if (book->isOpen(m_now) || !book->bookings.empty())
-            room.capacity += book->entry.capacity;
-        for (const auto& [account, resources] : book->bookings.usedByAccount())
+    for (const WorkerBook* record : sites.records) {
+        if (record->isOpen(m_now) || !record->bookings.empty())
+            room.capacity += record->entry.capacity;
+        for (const auto& [account, resources] : record->bookings.usedByAccount())
             used[account] += resources;
     }
     for (const auto& [account, resources] : used)
@@ -121,17 +121,17 @@
     return inspected;
 }
 
-void PlacementPass::wakeAt(MonotonicInstant when)
+void PlacementPass::requestWakeAt(MonotonicInstant when)
 {
     if (!m_wake || when < *m_wake)
         m_wake = when;
 }
 
-void PlacementPass::openDue(OwnerJob& job)
+void PlacementPass::openDueOccurrences(OwnerJob& job)
 {
     job.state.openOccurrences(m_timeOfDay);
     if (const std::optional<Instant> due = job.state.nextDue())
-        wakeAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
+        requestWakeAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
 }
 
 void PlacementPass::collect(OwnerJob& job, const ServiceConfiguration& configuration)
@@ -147,7 +147,7 @@
         if (tasks.size() < step.idle() && job.state.isUnblocked(id)) {
             for (const TaskState& task : step.tasks) {
                 if (!task.succeeded && !task.live && task.notBefore > now) {
-                    wakeAt(task.notBefore);
+                    requestWakeAt(task.notBefore);
                     startsByTime = true;
                 }
             }
@@ -188,7 +188,7 @@
     const OrganisationSettings* organisation = job.account ? m_configuration->organisations.find(job.state.record().organisation) : nullptr;
     if (!organisation || organisation->quota == Resources {})
         return false;
-    return !m_knowsQuotas || !fitsQuota(*job.account, organisation->quota, job.state.spec(candidate.step.step).needs, tasks);
+    return !m_areQuotasCurrent || !fitsQuota(*job.account, organisation->quota, job.state.spec(candidate.step.step).needs, tasks);
 }
 
 void PlacementPass::noteHeld(const Candidate& candidate, const PoolSites& sites, std::size_t tasks)
@@ -201,18 +201,18 @@
 PlacementPass::PoolSites& PlacementPass::sitesOf(const std::string& pool)
 {
     if (m_sites.empty()) {
-        for (auto& [id, book] : m_state.workers)
-            m_sites[book.entry.pool].books.push_back(&book);
+        for (auto& [id, record] : m_state.workers)
+            m_sites[record.entry.pool].records.push_back(&record);
     }
     PoolSites& sites = m_sites[pool];
     if (sites.placer)
         return sites;
     std::vector<PlacementSite> list;
-    list.reserve(sites.books.size());
-    for (const WorkerBook* book : sites.books) {
-        list.push_back(book->site(m_now));
-        sites.livenessChecks += m_now < book->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.wantedLevelOf(book->entry);
+    list.reserve(sites.records.size());
+    for (const WorkerBook* record : sites.records) {
+        list.push_back(record->site(m_now));
+        sites.livenessChecks += m_now < record->livenessCheckDueAt ? 1 : 0;
+        list.back().wanted = m_state.wantedLevelOf(record->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
@@ -229,7 +229,7 @@
     });
     if (exhausted == candidate.tasks.end())
         return false;
-    m_orders.giveUp(*candidate.job, *exhausted);
+    m_dispatcher.giveUp(*candidate.job, *exhausted);
     return true;
 }
 
@@ -248,9 +248,9 @@
     static const std::map<std::string, std::string> none;
     if (candidate.queue && candidate.queue->advice) {
         std::vector<std::string> workers;
-        for (const WorkerBook* book : sites.books) {
-            if (book->isOpen(m_now))
-                workers.push_back(book->entry.id);
+        for (const WorkerBook* record : sites.records) {
+            if (record->isOpen(m_now))
+                workers.push_back(record->entry.id);
         }
         m_tickets = m_advice.ticketsFor(candidate.job->state.id(), candidate.step, workers);
         if (!m_tickets)
@@ -266,23 +266,23 @@
 {
     PlacementQuery query;
     query.quarantineKey = candidate.job->state.id();
-    query.tasksOfStep = [&sites, &candidate](std::size_t index) { return sites.books[index]->tasksOf(candidate.job->state.id(), candidate.step); };
+    query.tasksOfStep = [&sites, &candidate](std::size_t index) { return sites.records[index]->tasksOf(candidate.job->state.id(), candidate.step); };
     if (m_tickets)
-        query.admits = [this, &sites](std::size_t index) { return m_tickets->contains(sites.books[index]->entry.id); };
+        query.admits = [this, &sites](std::size_t index) { return m_tickets->contains(sites.records[index]->entry.id); };
     return query;
 }
 
-std::string PlacementPass::ticketFor(const WorkerBook& book) const
+std::string PlacementPass::ticketFor(const WorkerBook& record) const
 {
     if (!m_tickets)
         return {};
-    const auto ticket = m_tickets->find(book.entry.id);
+    const auto ticket = m_tickets->find(record.entry.id);
     return ticket == m_tickets->end() ? std::string() : ticket->second;
 }
 
 /// A task waits for room near its data for as long as a run far from its data would take in addition. It then ends at most
 /// twice as late as with the better choice.
-bool PlacementPass::mayGoFar(const Candidate& candidate)
+bool PlacementPass::mayIgnoreRack(const Candidate& candidate)
 {
     const PlacementOptions& options = m_state.options.placement;
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
@@ -294,7 +294,7 @@
     const MonotonicInstant until = since + std::chrono::duration_cast<Millis>(step.estimate * longer);
     if (m_now >= until)
         return true;
-    wakeAt(until);
+    requestWakeAt(until);
     return false;
 }
 
@@ -302,7 +302,7 @@
 {
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
     PlacementQuery query = queryFor(candidate, sites);
-    query.nearOnly = !mayGoFar(candidate);
+    query.nearOnly = !mayIgnoreRack(candidate);
     std::map<std::string, std::uint32_t> byHall;
     if (step.longRunning && m_state.options.placement.spreadsOverHalls) {
         byHall = tasksByHall(candidate);
@@ -310,7 +310,7 @@
     }
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
         const TaskId& task = candidate.tasks[i];
-        if (m_fair && i >= FairPlacement::tasksTogether && !m_fair->mayGoOn(candidate)) {
+        if (m_fair && i >= FairPlacement::tasksTogether && !m_fair->mayStartMore(candidate)) {
             m_fair->defer(candidate, i);
             return;
         }
@@ -336,11 +336,11 @@
             noteWait(candidate, sites, query, candidate.tasks.size() - i);
             return;
         }
-        WorkerBook& book = *sites.books[*site];
-        if (!m_orders.start(*candidate.job, task, candidate.job->state.nextAttempt(task), book, ticketFor(book)))
+        WorkerBook& record = *sites.records[*site];
+        if (!m_dispatcher.start(*candidate.job, task, candidate.job->state.nextAttempt(task), record, ticketFor(record)))
             continue;
-        bookAt(sites, *site, step, query);
-        ++byHall[book.entry.dataHall];
+        reserveAt(sites, *site, step, query);
+        ++byHall[record.entry.dataHall];
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
     }
@@ -351,9 +351,9 @@
 {
     std::map<std::string, std::uint32_t> tasks;
     for (const TaskState& task : candidate.job->state.steps().at(candidate.step).tasks) {
-        const WorkerBook* book = task.live ? m_state.worker(task.live->worker) : nullptr;
-        if (book && book->isHallOpen())
-            ++tasks[book->entry.dataHall];
+        const WorkerBook* record = task.live ? m_state.worker(task.live->worker) : nullptr;
+        if (record && record->isHallOpen())
+            ++tasks[record->entry.dataHall];
     }
     return tasks;
 }
@@ -374,8 +374,8 @@
     PlacementQuery narrow = query;
     const bool mustBeEstablished = query.suspicion >= crashesToIsolate;
     narrow.admits = [this, &sites, mustBeEstablished, mayTake = query.admits, admits = std::move(admits)](std::size_t index) {
-        const WorkerBook& book = *sites.books[index];
-        return (!mustBeEstablished || book.isEstablished(m_now)) && admits(book) && (!mayTake || mayTake(index));
+        const WorkerBook& record = *sites.records[index];
+        return (!mustBeEstablished || record.isEstablished(m_now)) && admits(record) && (!mayTake || mayTake(index));
     };
     return narrow;
 }
@@ -383,21 +383,21 @@
 /// Chooses only among probably live workers: the crash of a dead worker would be attributed to the suspect.
 std::optional<std::size_t> PlacementPass::chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const
 {
-    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& book) { return book.isProbablyUp(m_now); }));
+    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& record) { return record.isProbablyUp(m_now); }));
 }
 
 /// Probes a few workers. The suspect starts in the pass after the first answer.
 void PlacementPass::checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
     ++sites.waitingSuspects;
-    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& book) { return m_now >= book.nextLivenessCheckAt; });
+    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& record) { return m_now >= record.nextLivenessCheckAt; });
     while (sites.livenessChecks < livenessChecksPerSuspect * sites.waitingSuspects) {
         const std::optional<std::size_t> site = sites.placer->choose(step, unasked);
         if (!site)
             return;
-        WorkerBook& book = *sites.books[*site];
-        book.checkLiveness(m_now, m_state.responses.overdueAfter());
-        wakeAt(book.livenessCheckDueAt);
+        WorkerBook& record = *sites.records[*site];
+        record.checkLiveness(m_now, m_state.responses.overdueAfter());
+        requestWakeAt(record.livenessCheckDueAt);
         ++sites.livenessChecks;
     }
 }
@@ -408,7 +408,7 @@
     return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspicion() : 0;
 }
 
-void PlacementPass::bookAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query)
+void PlacementPass::reserveAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query)
 {
     sites.placer->book(site, step);
     if (query.suspicion > 0)
@@ -442,7 +442,7 @@
         m_fair->noteUnplaced(candidate, !heldByQuotaOf.empty());
     const MonotonicInstant now = m_now;
     OwnerState::WaitingStep& waiting = m_state.waits.try_emplace({ candidate.job->state.id(), candidate.step }, OwnerState::WaitingStep { .since = now, .explainedAt = std::nullopt, .wait = {} }).first->second;
-    if ((waiting.explainedAt && now - *waiting.explainedAt < waitLogPause) || m_waitsExplained == mostWaitsExplained)
+    if ((waiting.explainedAt && now - *waiting.explainedAt < waitLogPause) || m_waitsExplained == maxWaitsExplained)
         return;
     ++m_waitsExplained;
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
@@ -473,8 +473,8 @@
         return;
     if (step.sameRack) {
         std::vector<std::string> racks;
-        for (const WorkerBook* book : sites.books)
-            racks.push_back(book->entry.rack);
+        for (const WorkerBook* record : sites.records)
+            racks.push_back(record->entry.rack);
         std::sort(racks.begin(), racks.end());
         racks.erase(std::unique(racks.begin(), racks.end()), racks.end());
         for (const std::string& rack : racks) {
@@ -520,8 +520,8 @@
     }
     const std::uint64_t number = job.nextAttempt(candidate.tasks.front());
     for (std::size_t i = 0; i < chosen.size(); ++i) {
-        WorkerBook& book = *sites.books[chosen[i]];
-        m_orders.start(*candidate.job, candidate.tasks[i], number, book, ticketFor(book), hasSuspect);
+        WorkerBook& record = *sites.records[chosen[i]];
+        m_dispatcher.start(*candidate.job, candidate.tasks[i], number, record, ticketFor(record), hasSuspect);
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
     }
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -2,9 +2,9 @@
 /// \file
 /// One placement pass over all tasks that could start.
 
-#include "advice_desk.h"
+#include "advice_client.h"
+#include "command_dispatcher.h"
 #include "fair_placement.h"
-#include "order_desk.h"
 #include "placement_candidate.h"
 
 #include <functional>
@@ -16,7 +16,7 @@
 public:
     /// \param isSettled Whether tasks of inherited jobs may start: every worker that may run them has reported, or its lease
     /// has expired.
-    PlacementPass(OwnerState& state, OrderDesk& orders, AdviceDesk& advice, std::function<bool()> isSettled);
+    PlacementPass(OwnerState& state, CommandDispatcher& dispatcher, AdviceClient& advice, std::function<bool()> isSettled);
 
     /// \returns The time when the next task or occurrence becomes startable, if only its time is missing.
     std::optional<MonotonicInstant> run();
@@ -33,13 +33,13 @@
     using Candidate = PlacementCandidate;
 
     struct PoolSites {
-        std::vector<WorkerBook*> books;
+        std::vector<WorkerBook*> records;
         std::optional<Placer> placer;
         std::size_t livenessChecks = 0; ///< Pending checks whose answer is not overdue.
         std::size_t waitingSuspects = 0; ///< Suspects that found no verified worker in this pass.
     };
 
-    void openDue(OwnerJob& job);
+    void openDueOccurrences(OwnerJob& job);
     void collect(OwnerJob& job, const ServiceConfiguration& configuration);
     static void noteUnseen(const OwnerJob& job);
     [[nodiscard]] bool isHeldByQuota(const Candidate& candidate, std::uint32_t tasks) const;
@@ -56,23 +56,23 @@
     void noteWait(const Candidate& candidate, const PoolSites& sites, const PlacementQuery& query, std::size_t tasks, const std::string& heldByQuotaOf = {});
     void placeGang(const Candidate& candidate, PoolSites& sites, const std::string& pool);
     bool placeGangIn(const Candidate& candidate, PoolSites& sites, const std::string& rack);
-    [[nodiscard]] bool mayGoFar(const Candidate& candidate);
+    [[nodiscard]] bool mayIgnoreRack(const Candidate& candidate);
     [[nodiscard]] PlacementQuery queryFor(const Candidate& candidate, const PoolSites& sites) const;
     [[nodiscard]] std::map<std::string, std::uint32_t> tasksByHall(const Candidate& candidate) const;
-    [[nodiscard]] std::string ticketFor(const WorkerBook& book) const;
+    [[nodiscard]] std::string ticketFor(const WorkerBook& record) const;
     [[nodiscard]] std::uint32_t suspicionOf(const Candidate& candidate, const TaskId& task) const;
     [[nodiscard]] std::optional<std::size_t> choose(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
     [[nodiscard]] std::optional<std::size_t> chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const;
     [[nodiscard]] PlacementQuery narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const;
     void checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
-    static void bookAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query);
-    void wakeAt(MonotonicInstant when);
+    static void reserveAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query);
+    void requestWakeAt(MonotonicInstant when);
 
     OwnerState& m_state;
     std::shared_ptr<const ServiceConfiguration> m_configuration; ///< Constant during a pass.
-    bool m_knowsQuotas = true; ///< The configuration is current, so its quotas apply.
-    OrderDesk& m_orders;
-    AdviceDesk& m_advice;
+    bool m_areQuotasCurrent = true; ///< The configuration is current, so its quotas apply.
+    CommandDispatcher& m_dispatcher;
+    AdviceClient& m_advice;
     std::function<bool()> m_isSettled;
     std::map<std::string, std::vector<Candidate>> m_candidates; ///< By pool.
     std::map<std::string, PoolSites> m_sites;
--- a/src/jobs/owner/listed_lives.h
+++ b/src/jobs/owner/reported_incarnations.h
@@ -15,7 +15,7 @@
 
 /// \brief The latest instance list, checked for completeness against all earlier lists. Constant time per instance, since lists
 /// arrive several times a second.
-class ListedLives {
+class ReportedIncarnations {
 public:
     /// \brief Replaces the current list. \param instances Must outlive all calls of `names`.
     void note(const std::vector<FleetInstance>& instances, const ServiceConfiguration& configuration);
@@ -25,11 +25,11 @@
     [[nodiscard]] bool isComplete() const noexcept { return m_isComplete; }
 
     /// \returns Whether the list names the incarnation.
-    [[nodiscard]] bool names(std::string_view worker) const { return m_named.contains(worker); }
+    [[nodiscard]] bool names(std::string_view worker) const { return m_namedIncarnations.contains(worker); }
 
 private:
-    std::unordered_set<std::string> m_seen; ///< Instances in any list so far.
-    std::unordered_set<std::string_view> m_named; ///< Views into the current list.
+    std::unordered_set<std::string> m_knownInstances; ///< Instances in any list so far.
+    std::unordered_set<std::string_view> m_namedIncarnations; ///< Views into the current list.
     bool m_isComplete = false;
 };
 
--- a/src/jobs/owner/report_reader.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -1,4 +1,4 @@
-#include "report_reader.h"
+#include "status_reconciler.h"
 
 #include "evacuation.h"
 #include "lanemoor/jobs/intake/job_catalog.h"
@@ -12,26 +12,26 @@
 
 /// A batch attempt is stalled if its percentage does not change for this time. The longest tasks take about 10 s, so one
 /// percent takes 0.1 s, and reports arrive every second.
-constexpr Millis stuckAfter { 3'000 };
+constexpr Millis stallTimeout { 3'000 };
 /// Members of a gang also wait for each other; the platform limits this wait to some seconds.
-constexpr Millis gangStuckAfter { 7'000 };
+constexpr Millis gangStallTimeout { 7'000 };
 /// A long-running task that was stalled for this time is not expected to become ready while it is stopped.
-constexpr Millis stuckForGood { 8'000 };
+constexpr Millis unconditionalStopAfter { 8'000 };
 
-constexpr Millis strayStopPause { 500 }; // Minimum time between stops of a stray attempt.
+constexpr Millis strayStopInterval { 500 }; // Minimum time between stops of a stray attempt.
 
 } // namespace
 
-ReportReader::ReportReader(OwnerState& state, HealthMonitor& health, OrderDesk& desk, SchedulerCounts& counts)
+StatusReconciler::StatusReconciler(OwnerState& state, HealthMonitor& health, CommandDispatcher& dispatcher, SchedulerCounts& counts)
     : m_state(state)
     , m_health(health)
-    , m_desk(desk)
+    , m_dispatcher(dispatcher)
     , m_counts(counts)
     , m_crashes(state, counts)
 {
 }
 
-void ReportReader::onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
     const WorkMeter::Piece piece(m_state.options.meter, WorkKind::Reports);
     WorkerBook* worker = m_state.worker(session.life().id);
@@ -42,11 +42,11 @@
         m_state.options.log->decision("worker-met",
             { { "worker", session.life().id }, { "running", static_cast<std::int64_t>(result.running.size()) }, { "ended", static_cast<std::int64_t>(result.ended.size()) } });
     }
-    readEnds(*worker, session, result.ended);
+    handleEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running)
-        readRunning(*worker, running, result.workerClock);
+        handleRunning(*worker, running, result.workerClock);
     settleMissing(*worker, result, sentAt);
-    findStuck(*worker);
+    stopStalled(*worker);
     adjustThrottle(*worker, result);
     m_state.requestPass();
     if (result.ended.empty())
@@ -54,11 +54,11 @@
 }
 
 /// Handles ended attempts, and acknowledges them to the worker once they are stored.
-void ReportReader::readEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
+void StatusReconciler::handleEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
 {
     std::uint64_t last = 0;
     for (const EndedAttempt& ended : ends) {
-        readEnded(worker, ended);
+        handleEnded(worker, ended);
         last = std::max(last, ended.sequence);
     }
     if (last == 0)
@@ -70,7 +70,7 @@
     });
 }
 
-void ReportReader::readEnded(WorkerBook& worker, const EndedAttempt& ended)
+void StatusReconciler::handleEnded(WorkerBook& worker, const EndedAttempt& ended)
 {
     worker.bookings.erase(ended.attempt);
     worker.starts.noteSettled(ended.attempt);
@@ -91,7 +91,7 @@
         { { "attempt", nameOf(ended.attempt) }, { "worker", worker.entry.id }, { "end", std::string(nameOf(ended.end)) }, { "counted", std::int64_t { effect.counted } } });
     m_counts.successes += effect.counted && ended.end == AttemptEnd::Succeeded ? 1 : 0;
     m_counts.failures += effect.counted && ended.end == AttemptEnd::Failed ? 1 : 0;
-    m_counts.lapses += effect.counted && ended.end == AttemptEnd::LeaseLapsed ? 1 : 0;
+    m_counts.leaseExpirations += effect.counted && ended.end == AttemptEnd::LeaseLapsed ? 1 : 0;
     if (effect.counted && ended.end == AttemptEnd::Succeeded)
         m_health.noteSuccess(worker);
     if (effect.counted && ended.end == AttemptEnd::Failed)
@@ -99,10 +99,10 @@
     if (effect.toBeStored)
         m_state.store(ended.attempt.job);
     if (effect.finished)
-        m_desk.finish(*job);
+        m_dispatcher.finish(*job);
 }
 
-void ReportReader::readRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock)
+void StatusReconciler::handleRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock)
 {
     OwnerJob* job = m_state.job(report.attempt.job);
     const TaskState* task = job ? job->state.find(report.attempt.task) : nullptr;
@@ -120,14 +120,14 @@
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
         // Another member of the gang has failed, so this attempt is useless.
         if (job->state.hasFailed(report.attempt))
-            m_desk.stop(report.attempt, worker.entry.id);
+            m_dispatcher.stop(report.attempt, worker.entry.id);
         return;
     }
     stopStray(worker, report.attempt, job);
 }
 
 /// Notes that a worker reported one of its live attempts.
-void ReportReader::confirm(const RunningAttempt& report, std::int64_t workerClock)
+void StatusReconciler::confirm(const RunningAttempt& report, std::int64_t workerClock)
 {
     JobState& job = m_state.job(report.attempt.job)->state;
     const AttemptPhase phase = job.find(report.attempt.task)->live->phase;
@@ -139,12 +139,12 @@
 
 /// Handles ends, which are final in any order of answers, and settles starts and stops whose outcome is unknown. The running
 /// attempts may be older than those of an earlier answer.
-void ReportReader::onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
     if (!worker)
         return;
-    readEnds(*worker, session, result.ended);
+    handleEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running) {
         const TaskState* task = m_state.liveTask(running.attempt, worker->entry.id);
         if (task && task->live->phase == AttemptPhase::Doubtful) {
@@ -157,10 +157,10 @@
             || std::any_of(result.ended.begin(), result.ended.end(), [&](const EndedAttempt& ended) { return ended.attempt == attempt; });
     };
     std::vector<Attempt> missing;
-    for (const auto& [attempt, booking] : worker->bookings) {
+    for (const auto& [attempt, reservation] : worker->bookings) {
         const TaskState* task = m_state.liveTask(attempt, worker->entry.id);
-        const bool isOpen = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
-        if (isOpen && !isListed(attempt))
+        const bool hasUnknownOutcome = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
+        if (hasUnknownOutcome && !isListed(attempt))
             missing.push_back(attempt);
     }
     for (const Attempt& attempt : missing)
@@ -171,7 +171,7 @@
 
 /// \returns The step of an attempt, also if its job ended before this term. For an unknown job, a step that takes the whole
 /// worker.
-std::shared_ptr<const StepSpec> ReportReader::specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const
+std::shared_ptr<const StepSpec> StatusReconciler::specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const
 {
     const CatalogEntry* entry = m_state.options.catalog->find(attempt.job);
     const std::vector<StepSpec>* steps = nullptr;
@@ -185,7 +185,7 @@
 }
 
 /// \returns The organisation account of an attempt, also if its job ended before this term; null: unknown.
-OrganisationAccount* ReportReader::accountOf(const Attempt& attempt, const OwnerJob* job) const
+OrganisationAccount* StatusReconciler::accountOf(const Attempt& attempt, const OwnerJob* job) const
 {
     if (job)
         return job->account;
@@ -194,21 +194,21 @@
 }
 
 /// Stops an attempt whose job has ended or whose task runs elsewhere.
-void ReportReader::stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job)
+void StatusReconciler::stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job)
 {
     if (!worker.bookings.contains(attempt))
         worker.bookings.put(attempt, { .step = specOf(worker, attempt, job), .account = accountOf(attempt, job) });
     MonotonicInstant& stopAgainAt = worker.strayStops[attempt];
     if (m_state.now() < stopAgainAt)
         return;
-    stopAgainAt = m_state.now() + strayStopPause;
-    m_desk.stop(attempt, worker.entry.id);
+    stopAgainAt = m_state.now() + strayStopInterval;
+    m_dispatcher.stop(attempt, worker.entry.id);
 }
 
-void ReportReader::settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt)
 {
     std::vector<Attempt> missing;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    for (const auto& [attempt, reservation] : worker.bookings) {
         const auto isThis = [&wanted = attempt](const RunningAttempt& running) { return running.attempt == wanted; };
         if (std::none_of(result.running.begin(), result.running.end(), isThis))
             missing.push_back(attempt);
@@ -217,7 +217,7 @@
         settleMissing(worker, attempt, result.workerClock, sentAt);
 }
 
-void ReportReader::settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
+void StatusReconciler::settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
 {
     const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
     if (!task) {
@@ -226,10 +226,10 @@
         return;
     }
     const LiveAttempt& live = *task->live;
-    const bool isOpen = live.phase == AttemptPhase::Doubtful || live.phase == AttemptPhase::Stopping;
-    if (isOpen && !live.wasConfirmed() && worker.starts.hasExpired(attempt, workerClock, m_state.now())) {
+    const bool hasUnknownOutcome = live.phase == AttemptPhase::Doubtful || live.phase == AttemptPhase::Stopping;
+    if (hasUnknownOutcome && !live.wasConfirmed() && worker.starts.hasExpired(attempt, workerClock, m_state.now())) {
         m_state.options.log->decision("start-expired", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
-        m_desk.release(attempt, worker.entry.id, m_state.now());
+        m_dispatcher.release(attempt, worker.entry.id, m_state.now());
         return;
     }
     switch (live.phase) {
@@ -241,9 +241,9 @@
             return;
         // Confirmed at a time that this incarnation's clock has not reached: the attempt ended with a previous incarnation.
         if (live.confirmedOnClock > workerClock)
-            m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
+            m_dispatcher.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
         else
-            m_desk.stop(attempt, worker.entry.id);
+            m_dispatcher.stop(attempt, worker.entry.id);
         return;
     case AttemptPhase::Running:
     case AttemptPhase::Stopping:
@@ -253,53 +253,53 @@
     if (!settled)
         return;
     m_state.options.log->decision("task-vanished", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
-    m_desk.release(attempt, worker.entry.id, m_state.now());
+    m_dispatcher.release(attempt, worker.entry.id, m_state.now());
 }
 
-void ReportReader::findStuck(WorkerBook& worker)
+void StatusReconciler::stopStalled(WorkerBook& worker)
 {
     const MonotonicInstant now = m_state.now();
-    std::vector<Attempt> stuck;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    std::vector<Attempt> stalled;
+    for (const auto& [attempt, reservation] : worker.bookings) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
-        if (!task || !task->live || task->live->phase != AttemptPhase::Running || booking.step->bestEffort)
+        if (!task || !task->live || task->live->phase != AttemptPhase::Running || reservation.step->bestEffort)
             continue;
-        const bool atWork = booking.step->longRunning && task->live->percent >= 100;
-        if (!atWork && now - task->live->standsSince() > (booking.step->gang ? gangStuckAfter : stuckAfter))
-            stuck.push_back(attempt);
+        const bool isReady = reservation.step->longRunning && task->live->percent >= 100;
+        if (!isReady && now - task->live->standsSince() > (reservation.step->gang ? gangStallTimeout : stallTimeout))
+            stalled.push_back(attempt);
     }
-    for (const Attempt& attempt : stuck) {
+    for (const Attempt& attempt : stalled) {
         // A stalled task may become ready while it is stopped, so the disruption budget applies. After a long stall it does not:
         // stalled tasks of one step count as unavailable and would block each other's stop permanently.
         const OwnerJob* job = m_state.job(attempt.job);
-        const bool standsForGood = now - job->state.find(attempt.task)->live->standsSince() > stuckForGood;
-        if (job->state.spec(attempt.task.step).longRunning && !standsForGood && !mayDisrupt(m_state, job->state, attempt.task))
+        const bool hasStalledTooLong = now - job->state.find(attempt.task)->live->standsSince() > unconditionalStopAfter;
+        if (job->state.spec(attempt.task.step).longRunning && !hasStalledTooLong && !mayDisrupt(m_state, job->state, attempt.task))
             continue;
         m_state.options.log->decision("task-stuck", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
         m_health.noteFailure(worker, attempt.job);
-        m_desk.stop(attempt, worker.entry.id);
+        m_dispatcher.stop(attempt, worker.entry.id);
     }
 }
 
-void ReportReader::adjustThrottle(WorkerBook& worker, const RenewResult& result)
+void StatusReconciler::adjustThrottle(WorkerBook& worker, const RenewResult& result)
 {
-    double worst = 0;
-    bool mixed = false;
+    double maxLoadRatio = 0;
+    bool hasBestEffort = false;
     for (const RunningAttempt& running : result.running) {
-        const auto booked = worker.bookings.find(running.attempt);
-        if (booked == worker.bookings.end())
+        const auto reservation = worker.bookings.find(running.attempt);
+        if (reservation == worker.bookings.end())
             continue;
-        const Millis target = booked->second.step->latencyTarget;
+        const Millis target = reservation->second.step->latencyTarget;
         if (target.count() > 0)
-            worst = std::max(worst, static_cast<double>(running.load) / static_cast<double>(target.count()));
-        mixed = mixed || booked->second.step->bestEffort;
+            maxLoadRatio = std::max(maxLoadRatio, static_cast<double>(running.load) / static_cast<double>(target.count()));
+        hasBestEffort = hasBestEffort || reservation->second.step->bestEffort;
     }
-    if (mixed)
-        m_desk.throttle(worker, worker.throttle.update(worst, m_state.now()));
+    if (hasBestEffort)
+        m_dispatcher.throttle(worker, worker.throttle.update(maxLoadRatio, m_state.now()));
 }
 
-void ReportReader::onHeard(WorkerSession& session)
+void StatusReconciler::onHeard(WorkerSession& session)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
     if (!worker)
@@ -308,11 +308,11 @@
     if (worker->noteAnswer())
         m_state.requestPass();
     m_health.noteHeard(*worker);
-    m_desk.noteAnswer(worker->entry.id);
+    m_dispatcher.noteAnswer(worker->entry.id);
     m_crashes.noteAnswer(*worker);
 }
 
-void ReportReader::onOverdue(WorkerSession& session)
+void StatusReconciler::onOverdue(WorkerSession& session)
 {
     if (WorkerBook* worker = m_state.worker(session.life().id)) {
         m_health.noteProbeOverdue(*worker);
@@ -320,7 +320,7 @@
     }
 }
 
-void ReportReader::onSilence(WorkerSession& session)
+void StatusReconciler::onSilence(WorkerSession& session)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
     if (!worker)
@@ -330,15 +330,15 @@
     m_state.options.log->decision("worker-silent", { { "worker", session.life().id }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
 }
 
-void ReportReader::onOver(WorkerSession& session, bool lifeOver)
+void StatusReconciler::onOver(WorkerSession& session, bool isIncarnationOver)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
     if (!worker)
         return;
     m_state.options.log->decision("worker-over",
-        { { "worker", session.life().id }, { "life_over", std::int64_t { lifeOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
-    lose(*worker, {}, lifeOver);
-    if (lifeOver) {
+        { { "worker", session.life().id }, { "life_over", std::int64_t { isIncarnationOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
+    releaseAll(*worker, {}, isIncarnationOver);
+    if (isIncarnationOver) {
         noteHallStop(*worker, true);
         m_state.options.workers->forget(session.life());
     }
@@ -346,7 +346,7 @@
 }
 
 /// A planned end is no evidence of a lost data hall. A move whose answer was lost shows only as an unresponsive worker.
-void ReportReader::noteHallStop(const WorkerBook& worker, bool hasEnded)
+void StatusReconciler::noteHallStop(const WorkerBook& worker, bool hasEnded)
 {
     if (worker.endOrdered || worker.entry.draining || worker.evacuating)
         m_state.hallLosses.noteGone(worker.entry.id);
@@ -356,59 +356,59 @@
 
 /// Releases the attempts of a worker whose incarnation has ended or whose lease has expired.
 /// \param open Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
-/// \param lifeOver False: only the lease has expired.
-void ReportReader::lose(WorkerBook& worker, const std::set<Attempt>& open, bool lifeOver)
+/// \param isIncarnationOver False: only the lease has expired.
+void StatusReconciler::releaseAll(WorkerBook& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver)
 {
     std::optional<Attempt> failed;
-    if (lifeOver)
+    if (isIncarnationOver)
         failed = m_crashes.noteOver(worker);
     else
         m_crashes.noteLeaseExpired(worker);
     Bookings::Map bookings = worker.bookings.takeAll();
-    for (auto& [attempt, booking] : bookings) {
-        if (!open.contains(attempt)) {
-            m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
+    for (auto& [attempt, reservation] : bookings) {
+        if (!unacknowledged.contains(attempt)) {
+            m_dispatcher.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
             continue;
         }
-        worker.bookings.put(attempt, std::move(booking));
+        worker.bookings.put(attempt, std::move(reservation));
         m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
     }
     if (failed)
-        m_desk.giveUp(*m_state.job(failed->job), failed->task);
+        m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
 }
 
 /// Settles the crashes of an incarnation that is proved to have ended after its lease had expired.
-void ReportReader::settleExpired(WorkerBook& worker)
+void StatusReconciler::settleExpired(WorkerBook& worker)
 {
     if (const std::optional<Attempt> failed = m_crashes.noteOver(worker))
-        m_desk.giveUp(*m_state.job(failed->job), failed->task);
+        m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
 }
 
 /// \returns Live attempts that no report of the worker has shown. An answer to their start does not identify the incarnation, and
 /// without an answer the start may be executed later.
-std::set<Attempt> ReportReader::openOrders(const WorkerBook& worker) const
+std::set<Attempt> StatusReconciler::unacknowledgedStarts(const WorkerBook& worker) const
 {
-    std::set<Attempt> open;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    std::set<Attempt> unacknowledged;
+    for (const auto& [attempt, reservation] : worker.bookings) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
         if (task && !task->live->listed && task->live->phase != AttemptPhase::Recording)
-            open.insert(attempt);
+            unacknowledged.insert(attempt);
     }
-    return open;
+    return unacknowledged;
 }
 
-void ReportReader::onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver)
+void StatusReconciler::onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver)
 {
     WorkerBook* worker = m_state.worker(session.life().id);
     if (!worker)
         return;
-    const std::set<Attempt> open = openOrders(*worker);
+    const std::set<Attempt> unacknowledged = unacknowledgedStarts(*worker);
     m_state.options.log->decision("worker-restarted",
-        { { "worker", session.life().id }, { "started_at", startedAt }, { "former_start", session.life().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) }, { "open_orders", static_cast<std::int64_t>(open.size()) } });
+        { { "worker", session.life().id }, { "started_at", startedAt }, { "former_start", session.life().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) }, { "open_orders", static_cast<std::int64_t>(unacknowledged.size()) } });
     if (wasOver)
         settleExpired(*worker);
     else
-        lose(*worker, open, true);
+        releaseAll(*worker, unacknowledged, true);
     WorkerBook next { .entry = worker->entry, .knownSince = m_state.now(), .formerStarts = std::move(worker->formerStarts), .listed = worker->listed, .session = nullptr, .bookings = std::move(worker->bookings) };
     next.formerStarts.insert(session.life().startedAt);
     noteHallStop(*worker, true);
@@ -419,7 +419,7 @@
     m_state.requestPass();
 }
 
-void ReportReader::onFenced(WorkerSession& session)
+void StatusReconciler::onFenced(WorkerSession& session)
 {
     m_state.options.log->change("fenced", { { "worker", session.life().id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) } });
     m_state.options.ownership->noteSuperseded();
--- a/src/jobs/owner/waiting_jobs.cpp
+++ b/src/jobs/owner/waiting_jobs.cpp
@@ -30,7 +30,7 @@
     m_largest = larger(m_largest, job.largest);
     if (!hopeless && job.hopelessFrom < MonotonicInstant::max())
         m_hopelessFrom.emplace(job.hopelessFrom, owned.state.id());
-    count(job, hopeless, 1);
+    updateSums(job, hopeless, 1);
     m_keys.insert_or_assign(owned.state.id(), key);
     m_jobs.insert_or_assign(std::move(key), std::move(job));
 }
@@ -41,13 +41,13 @@
     if (key == m_keys.end())
         return false;
     const auto found = m_jobs.find(key->second);
-    count(found->second, std::get<0>(key->second), -1);
+    updateSums(found->second, std::get<0>(key->second), -1);
     m_jobs.erase(found);
     m_keys.erase(key);
     return true;
 }
 
-void WaitingGroup::age(MonotonicInstant now)
+void WaitingGroup::moveHopeless(MonotonicInstant now)
 {
     while (!m_hopelessFrom.empty() && m_hopelessFrom.begin()->first <= now) {
         const std::string id = m_hopelessFrom.begin()->second;
@@ -56,15 +56,15 @@
         if (key == m_keys.end() || std::get<0>(key->second))
             continue;
         auto node = m_jobs.extract(key->second);
-        count(node.mapped(), false, -1);
-        count(node.mapped(), true, 1);
+        updateSums(node.mapped(), false, -1);
+        updateSums(node.mapped(), true, 1);
         std::get<0>(node.key()) = true;
         key->second = node.key();
         m_jobs.insert(std::move(node));
     }
 }
 
-void WaitingGroup::count(const WaitingJob& job, bool hopeless, int sign)
+void WaitingGroup::updateSums(const WaitingJob& job, bool hopeless, int sign)
 {
     Sums& sums = hopeless ? m_hopeless : m_urgent;
     for (const auto& [requirement, milliCpu] : job.milliCpu) {
@@ -98,10 +98,10 @@
     return true;
 }
 
-void WaitingJobs::age(MonotonicInstant now)
+void WaitingJobs::moveHopeless(MonotonicInstant now)
 {
     for (auto& [name, group] : m_groups)
-        group.age(now);
+        group.moveHopeless(now);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -53,7 +53,7 @@
     bool remove(const OwnerJob& job);
 
     /// \brief Moves jobs that can no longer meet their objective behind the others.
-    void age(MonotonicInstant now);
+    void moveHopeless(MonotonicInstant now);
 
     [[nodiscard]] bool empty() const noexcept { return m_jobs.empty(); }
     [[nodiscard]] const Jobs& jobs() const noexcept { return m_jobs; }
@@ -68,7 +68,7 @@
     [[nodiscard]] const Resources& largest() const noexcept { return m_largest; }
 
 private:
-    void count(const WaitingJob& job, bool hopeless, int sign);
+    void updateSums(const WaitingJob& job, bool hopeless, int sign);
 
     Jobs m_jobs;
     std::map<std::string, Key> m_keys; ///< By job id.
@@ -88,7 +88,7 @@
     /// \returns Whether any group contained the job.
     bool remove(const OwnerJob& job);
 
-    void age(MonotonicInstant now);
+    void moveHopeless(MonotonicInstant now);
 
     [[nodiscard]] const Groups& groups() const noexcept { return m_groups; }
 
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -18,10 +18,10 @@
 constexpr Millis slowAnswer { 200 };
 constexpr Millis blockedTime { 6'000 };
 /// A process that has observed the workers for this time has evidence of all crashes.
-constexpr Millis observedLong { 13'000 };
+constexpr Millis observationTime { 13'000 };
 const std::string firstJob = jobId(1);
 
-enum class Loss { Owner,
+enum class KilledRole { Owner,
     OtherEntry };
 
 StepSpec ofCores(std::uint32_t count, std::int64_t milliCpu)
@@ -39,11 +39,11 @@
 
 /// Each job runs one task, and its other task waits for room that another job occupies. An entry is killed, then the room becomes free.
 struct WaitingCluster : SmallCluster {
-    explicit WaitingCluster(Loss loss)
+    explicit WaitingCluster(KilledRole killed)
         : SmallCluster(1, 3, instances, 0, 1)
     {
         workers.runTimes = [](const Attempt& attempt) { return attempt.job == firstJob ? blockedTime : Millis(60'000); };
-        clock.runFor(observedLong);
+        clock.runFor(observationTime);
         StepSpec wide = ofCores(instances, 6'000);
         wide.mostPerInstance = 1;
         submit(owner().value(), "work", firstJob, job({ wide }));
@@ -54,15 +54,15 @@
         REQUIRE(waitFor(Millis(2'000), [this] { return witness.starts() == startsBefore; }));
         clock.runFor(Millis(500));
         const std::size_t index = owner().value();
-        kill(loss == Loss::Owner ? index : (index + 1) % entries());
+        kill(killed == KilledRole::Owner ? index : (index + 1) % entries());
         store.trouble.answerTime = slowAnswer;
-        if (onLoss)
-            onLoss();
+        if (onKill)
+            onKill();
         clock.runFor(std::chrono::duration_cast<Millis>(freeFrom - clock.now()));
         REQUIRE(witness.starts() == startsBefore);
     }
 
-    Cost play()
+    Cost measureCost()
     {
         Cost cost;
         const MonotonicInstant from = clock.now();
@@ -75,7 +75,7 @@
         return cost;
     }
 
-    std::function<void()> onLoss;
+    std::function<void()> onKill;
 };
 
 } // namespace
@@ -83,8 +83,8 @@
 // Guards against store calls and delays for tasks without attributed crashes that cannot have crashed a worker.
 TEST_CASE("First starts under a new owner cost as much as under the one before")
 {
-    const Cost needed = WaitingCluster(Loss::OtherEntry).play();
-    const Cost paid = WaitingCluster(Loss::Owner).play();
+    const Cost needed = WaitingCluster(KilledRole::OtherEntry).measureCost();
+    const Cost paid = WaitingCluster(KilledRole::Owner).measureCost();
     CAPTURE(needed.untilSent.count(), paid.untilSent.count(), needed.storeCalls, paid.storeCalls);
     CHECK(paid.untilSent <= needed.untilSent + Millis(50));
     CHECK(paid.storeCalls <= needed.storeCalls + 3);
@@ -93,17 +93,17 @@
 // Guards against a new owner that misses evidence of worker crashes: its first start of a poison task would be unrecorded again.
 TEST_CASE("A poison task fails in time under owners that have observed the workers for long")
 {
-    const std::set<std::uint32_t> lost = GENERATE(values<std::set<std::uint32_t>>({ { 1, 2 }, { 1, 2, 3 }, { 2, 3 }, { 1, 3 } }));
+    const std::set<std::uint32_t> killingStarts = GENERATE(values<std::set<std::uint32_t>>({ { 1, 2 }, { 1, 2, 3 }, { 2, 3 }, { 1, 3 } }));
     for (const bool restartsUnderId : { false, true }) {
         for (Millis offset(0); offset <= Millis(1'500); offset += Millis(300)) {
-            CAPTURE(lost.size(), *lost.begin(), restartsUnderId, offset.count());
+            CAPTURE(killingStarts.size(), *killingStarts.begin(), restartsUnderId, offset.count());
             // A restarted owner would have observed nothing, so a process that has been running takes over after each kill.
             SmallCluster cluster(1, 6, 8, 2, 1);
-            cluster.clock.runFor(observedLong);
+            cluster.clock.runFor(observationTime);
             std::uint32_t starts = 0;
             cluster.workers.endsWorkerAfter = Millis(10);
             cluster.workers.endsWorker = [&](const Attempt&) {
-                if (lost.contains(++starts))
+                if (killingStarts.contains(++starts))
                     cluster.clock.after(Millis(10) + offset, [&cluster] {
                         if (const std::optional<std::size_t> owner = cluster.owner())
                             cluster.kill(*owner);
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -222,7 +222,7 @@
 
 } // namespace
 
-TEST_CASE("A large organisation's burst takes nothing that others are owed")
+TEST_CASE("A large organisation's burst leaves other organisations their share")
 {
     std::vector<double> rates = usualRates(20);
     rates[0] = 8;
@@ -248,7 +248,7 @@
     CHECK(hot[true].inTime >= hot[false].inTime);
 }
 
-TEST_CASE("What is accepted of a burst ends before it is worth nothing")
+TEST_CASE("Nearly all accepted jobs of a burst end within three times their objective")
 {
     std::vector<double> rates = usualRates(20);
     rates[0] = 8;
@@ -257,7 +257,7 @@
     CHECK(cluster.outcomes[0].late <= cluster.outcomes[0].accepted / 50);
 }
 
-TEST_CASE("Bursts of a small organisation, and of two at once, leave others what they are owed")
+TEST_CASE("Bursts of a small organisation, and of two at once, leave other organisations their share")
 {
     for (const std::size_t hot : { std::size_t { 1 }, std::size_t { 2 } }) {
         PressureCluster cluster(2, 20, true);
@@ -271,7 +271,7 @@
     }
 }
 
-TEST_CASE("A burst among 180 organisations leaves others what they are owed")
+TEST_CASE("A burst among 180 organisations leaves the others their share")
 {
     PressureCluster cluster(3, 180, true);
     cluster.stagger();
@@ -286,7 +286,7 @@
     REQUIRE(cluster.waitFor(Millis(30'000), [&] { return cluster.unserved() == 0; }));
 }
 
-TEST_CASE("A burst over the loss of the owner breaks no promise, and the successor limits it again")
+TEST_CASE("A burst during a change of owner breaks no guarantee, and the new owner limits it again")
 {
     PressureCluster cluster(4, 20, true);
     std::vector<double> rates = usualRates(20);
--- a/tests/jobs/lost_worker_test.cpp
+++ b/tests/jobs/poison_task_test.cpp
@@ -20,30 +20,30 @@
 
 /// A cluster in which the first task of the second step of one job crashes the workers that start it. Long-running
 /// tasks, packed on as few workers as possible, and quick tasks run beside it.
-struct EndingCluster : SmallCluster {
-    explicit EndingCluster(std::uint64_t seed = 1)
+struct PoisonTaskCluster : SmallCluster {
+    explicit PoisonTaskCluster(std::uint64_t seed = 1)
         : SmallCluster(seed, 3, 6, 2)
     {
-        workers.endsWorker = [](const Attempt& attempt) { return attempt.job == ending && attempt.task == TaskId { 0, 1, 0 }; };
+        workers.endsWorker = [](const Attempt& attempt) { return attempt.job == poisonJob && attempt.task == TaskId { 0, 1, 0 }; };
         StepSpec lasting = longStep(5);
         lasting.mostPerInstance = 0;
-        submit(0, "work", standing, job({ lasting }));
+        submit(0, "work", longRunningJob, job({ lasting }));
         clock.runFor(Millis(3'000));
-        submit(0, "work", ending, job({ step(2), step(3, { 0 }) }));
+        submit(0, "work", poisonJob, job({ step(2), step(3, { 0 }) }));
     }
 
     /// \returns Whether all long-running tasks run.
-    bool allStand()
+    bool allRun()
     {
         for (std::uint32_t i = 0; i < 5; ++i) {
-            if (witness.workerOf(standing, { 0, 0, i }).empty())
+            if (witness.workerOf(longRunningJob, { 0, 0, i }).empty())
                 return false;
         }
         return true;
     }
 
     /// Runs the cluster for a time, and submits a quick job every 400 ms.
-    void playWithQuickJobs(Millis time)
+    void runWithQuickJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
@@ -62,70 +62,70 @@
         return count;
     }
 
-    inline static const std::string ending = jobId(1);
-    inline static const std::string standing = jobId(2);
+    inline static const std::string poisonJob = jobId(1);
+    inline static const std::string longRunningJob = jobId(2);
     std::uint64_t quick = 0;
 };
 
 } // namespace
 
-TEST_CASE("A task that ends the workers that start it is given up")
+TEST_CASE("A poison task fails permanently")
 {
-    EndingCluster cluster;
+    PoisonTaskCluster cluster;
     cluster.clock.runFor(Millis(40'000));
     CHECK(cluster.witness.breaches().empty());
-    CHECK(cluster.witness.workersEndedBy(EndingCluster::ending, { 0, 1, 0 }) <= 3);
-    CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed));
+    CHECK(cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 }) <= 3);
+    CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed));
 }
 
-TEST_CASE("What runs beside a task that ends its workers is soon at work again")
+TEST_CASE("Tasks beside a poison task soon run again")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        EndingCluster cluster(seed);
-        cluster.playWithQuickJobs(Millis(20'000));
-        CHECK(cluster.allStand());
+        PoisonTaskCluster cluster(seed);
+        cluster.runWithQuickJobs(Millis(20'000));
+        CHECK(cluster.allRun());
         cluster.clock.runFor(Millis(5'000));
-        CHECK(cluster.shows(EndingCluster::standing, JobStatus::Running));
+        CHECK(cluster.shows(PoisonTaskCluster::longRunningJob, JobStatus::Running));
         CHECK(cluster.unserved() == 0);
         CHECK(cluster.witness.breaches().empty());
     }
 }
 
-TEST_CASE("A long-running task that ends its workers is given up alone, over a change of owner too")
+TEST_CASE("A long-running poison task fails permanently without its job, also across a change of owner")
 {
-    EndingCluster cluster;
-    cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.job == EndingCluster::standing && attempt.task.index == 3; };
-    const auto othersStand = [&] {
+    PoisonTaskCluster cluster;
+    cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::longRunningJob && attempt.task.index == 3; };
+    const auto othersRun = [&] {
         for (const std::uint32_t i : { 0U, 1U, 2U, 4U }) {
-            if (cluster.witness.workerOf(EndingCluster::standing, { 0, 0, i }).empty())
+            if (cluster.witness.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, i }).empty())
                 return false;
         }
         return true;
     };
-    cluster.workers.crash(cluster.witness.workerOf(EndingCluster::standing, { 0, 0, 3 }), Millis(2'000));
+    cluster.workers.crash(cluster.witness.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }), Millis(2'000));
     cluster.clock.runFor(Millis(25'000));
-    CHECK(othersStand());
-    CHECK(cluster.shows(EndingCluster::standing, JobStatus::Running));
-    const std::uint32_t ended = cluster.witness.workersEndedBy(EndingCluster::standing, { 0, 0, 3 });
+    CHECK(othersRun());
+    CHECK(cluster.shows(PoisonTaskCluster::longRunningJob, JobStatus::Running));
+    const std::uint32_t ended = cluster.witness.workersEndedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 });
     CHECK(ended >= 3);
     cluster.kill(*cluster.owner());
     cluster.clock.runFor(Millis(15'000));
-    CHECK(cluster.witness.workersEndedBy(EndingCluster::standing, { 0, 0, 3 }) == ended);
-    CHECK(othersStand());
+    CHECK(cluster.witness.workersEndedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }) == ended);
+    CHECK(othersRun());
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("A task that ends its workers is given up though owners change")
+TEST_CASE("A poison task fails permanently although owners change")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        EndingCluster cluster(seed);
+        PoisonTaskCluster cluster(seed);
         std::uint32_t ended = 0;
         // After every second crash the owner is killed, during the wait for the proof that the worker has ended.
         for (int round = 0; round < 400; ++round) {
             cluster.clock.runFor(Millis(100));
-            const std::uint32_t now = cluster.witness.workersEndedBy(EndingCluster::ending, { 0, 1, 0 });
+            const std::uint32_t now = cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 });
             const std::optional<std::size_t> owner = cluster.owner();
             if (now == ended || !owner)
                 continue;
@@ -137,8 +137,8 @@
         }
         CHECK(cluster.witness.breaches().empty());
         REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value(); }));
-        CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed, *cluster.owner()));
-        CHECK(cluster.allStand());
+        CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed, *cluster.owner()));
+        CHECK(cluster.allRun());
     }
 }
 
@@ -147,22 +147,22 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        EndingCluster cluster(seed);
+        PoisonTaskCluster cluster(seed);
         std::uint32_t starts = 0;
         cluster.workers.endsWorker = [&](const Attempt& attempt) {
-            const bool isPoison = attempt.job == EndingCluster::ending && attempt.task == TaskId { 0, 1, 0 };
+            const bool isPoison = attempt.job == PoisonTaskCluster::poisonJob && attempt.task == TaskId { 0, 1, 0 };
             if (isPoison)
                 cluster.workers.endsWorkerAfter = Millis((starts++ + seed) % 3 == 0 ? 0 : 10);
             return isPoison;
         };
-        cluster.playWithQuickJobs(Millis(30'000));
-        CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed));
+        cluster.runWithQuickJobs(Millis(30'000));
+        CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed));
         CHECK(cluster.witness.breaches().empty());
     }
 }
 
 /// Guards against counting an expired lease as a crash: the worker keeps running, partitioned from the owner.
-TEST_CASE("A task whose workers are cut off again and again is not given up")
+TEST_CASE("A task whose workers are partitioned repeatedly does not fail permanently")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
@@ -186,14 +186,14 @@
 }
 
 /// Guards against counting the start of a killed owner as a crash although its worker keeps running.
-TEST_CASE("Starts whose owners are lost do not fail a task whose workers live")
+TEST_CASE("Starts of killed owners do not fail a task whose workers keep running")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        EndingCluster cluster(seed);
+        PoisonTaskCluster cluster(seed);
         const TaskId task { 0, 1, 0 };
-        cluster.workers.endsWorker = [&](const Attempt& attempt) { return attempt.job == EndingCluster::ending && attempt.task == task && cluster.witness.workersEndedBy(attempt.job, task) == 0; };
-        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.witness.workersEndedBy(EndingCluster::ending, task) == 1; }));
+        cluster.workers.endsWorker = [&](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::poisonJob && attempt.task == task && cluster.witness.workersEndedBy(attempt.job, task) == 0; };
+        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, task) == 1; }));
         // The task is a suspect from here on, and its starts reach no worker.
         for (std::uint32_t owners = 0; owners < maxCrashes; ++owners) {
             for (auto& [id, worker] : cluster.workers.workers())
@@ -206,13 +206,13 @@
         }
         for (auto& [id, worker] : cluster.workers.workers())
             worker.trouble = {};
-        const auto hasSucceeded = [&] { return cluster.shows(EndingCluster::ending, JobStatus::Succeeded, *cluster.owner()); };
+        const auto hasSucceeded = [&] { return cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Succeeded, *cluster.owner()); };
         CHECK(cluster.waitFor(Millis(30'000), hasSucceeded));
         CHECK(cluster.witness.breaches().empty());
     }
 }
 
-TEST_CASE("Tasks whose workers end by themselves are not given up")
+TEST_CASE("Tasks whose workers crash independently do not fail permanently")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -79,7 +79,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("An idle instance leaves a pool that needs it not for one whose tasks need its label")
+TEST_CASE("An idle instance moves from a pool that does not need it to one whose tasks need its label")
 {
     MixedCluster cluster("side", 2, 4, 12);
     cluster.submit(0, "work", jobId(1), job({ labelled(longStep(2), "b") }));
@@ -100,7 +100,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A pool that has more empties instances for one that has less")
+TEST_CASE("A pool with more capacity evacuates instances for a pool with less")
 {
     // On a deployment with instances of unequal size, the pool with the first burst held 37 of 49 instances
     // for ten seconds, since only idle instances were moved.
@@ -123,7 +123,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A task waits for the rack of its data if that costs less than to work far from it")
+TEST_CASE("A task waits for the rack of its data if that costs less than a run far from it")
 {
     // On a deployment with data in racks, a sixth of the tasks ran far from their data and took three times
     // as long, although a near instance became free 200 ms later.
@@ -149,7 +149,7 @@
     CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 4; }));
 }
 
-TEST_CASE("What a cancelled job still runs counts until it is over, also for an owner that never knew the job")
+TEST_CASE("Attempts of a cancelled job occupy their room until they end, also under an owner that never loaded the job")
 {
     // On a deployment whose workers do not enforce their capacity, attempts of a job that had ended before
     // the owner changed were still being stopped while their room was assigned to other tasks.
@@ -172,7 +172,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A wave leaves the last instance alone that tasks need, until another one has come")
+TEST_CASE("A wave does not take the last instance that tasks need until another one has joined")
 {
     // A wave evacuated the only instance of its kind in a pool. One task was stopped and found no other
     // place, the budget kept the others running, and no task could start on the instance.
@@ -189,7 +189,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("Tasks that last make room for one that needs their instance's label, one at a time")
+TEST_CASE("Long-running tasks make room for one that needs their instance's label, one at a time")
 {
     // In random runs, tasks without requirements permanently occupied every instance of a kind. Later two
     // tasks of one step were moved at once, beyond the step's disruption budget.
@@ -207,7 +207,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A pool gives no instance away that one of its classes needs, and takes what helps most of them")
+TEST_CASE("A pool releases no instance that one of its classes needs, and takes the ones that help most classes")
 {
     PoolLoad needy { .pool = "needy", .requirements = { { Requirement {}, { .demandMilliCpu = 10'000 } }, { { .label = "b" }, { .demandMilliCpu = 10'000 } } }, .instances = {} };
     PoolLoad giver { .pool = "giver", .requirements = { { Requirement {}, {} }, { { .label = "b" }, { .demandMilliCpu = 5'000 } } }, .instances = { planned("g0", "a", true), planned("g1", "b", true), planned("g2", "a", true) } };
@@ -220,7 +220,7 @@
     CHECK(std::count_if(fromReserve.moves.begin(), fromReserve.moves.end(), [](const CapacityMove& move) { return move.to == "needy"; }) == 2);
 }
 
-TEST_CASE("Instances of unequal size count by what they have")
+TEST_CASE("Instances of unequal size count by their capacity")
 {
     PoolLoad needy { .pool = "needy", .requirements = { { Requirement {}, { .demandMilliCpu = 20'000 } } }, .instances = {} };
     std::vector<PoolInstance> small;
@@ -233,7 +233,7 @@
     CHECK(step.moves.front().instance == "r5");
 }
 
-TEST_CASE("A drain ends when the pool that it is for needs it no more")
+TEST_CASE("A drain ends when its target pool no longer needs the instance")
 {
     PoolLoad idle { .pool = "needy", .requirements = { { Requirement {}, {} } }, .instances = { planned("d", "a", false) } };
     idle.instances.front().drainingFrom = "giver";
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -25,11 +25,11 @@
     {
         workers.runTimes = [this](const Attempt& attempt) { return attempt.job >= jobId(firstLongJob) ? Millis(6'000) : Millis(150); };
         for (std::uint64_t i = 0; i < 6; ++i)
-            handIn(8);
+            submitJob(8);
         clock.runFor(Millis(2'000));
     }
 
-    void handIn(std::uint32_t tasks)
+    void submitJob(std::uint32_t tasks)
     {
         ++number;
         submit(number % entries(), "work", jobId(number), job({ step(tasks) }));
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("Ends of a worker that has started again are read, whatever the life before had counted")
+TEST_CASE("Ends of a restarted worker are read, independent of the end numbers of its previous incarnation")
 {
     for (const Millis returnsAfter : { Millis(1), Millis(100), Millis(1'500) }) {
         CAPTURE(returnsAfter.count());
@@ -67,7 +67,7 @@
         cluster.clock.runFor(returnsAfter + Millis(500));
         const std::uint64_t startsBefore = cluster.witness.starts();
         for (int i = 0; i < 4; ++i)
-            cluster.handIn(8);
+            cluster.submitJob(8);
         cluster.clock.runFor(Millis(1'000));
         CHECK(cluster.unserved() == 0);
         CHECK(cluster.witness.starts() - startsBefore == 4 * 8);
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("What ran at a worker that has started again begins anew soon after its first word")
+TEST_CASE("Tasks of a restarted worker start again soon after its first report")
 {
     RestartCluster cluster;
     cluster.submit(0, "work", jobId(RestartCluster::firstLongJob), job({ step(12) }));
@@ -89,7 +89,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("An owner that has never met the former life takes up the new one")
+TEST_CASE("An owner without a report of the previous incarnation accepts the new one")
 {
     RestartCluster cluster(3);
     cluster.submit(0, "work", jobId(RestartCluster::firstLongJob), job({ step(12) }));
@@ -97,13 +97,13 @@
     cluster.kill(*cluster.owner());
     cluster.restartAll(Millis(700));
     cluster.clock.runFor(Millis(5'000));
-    const std::size_t living = *cluster.owner();
+    const std::size_t newOwner = *cluster.owner();
     for (int i = 0; i < 3; ++i)
-        cluster.submit(living, "work", jobId(100 + static_cast<std::uint64_t>(i)), job({ step(2) }));
+        cluster.submit(newOwner, "work", jobId(100 + static_cast<std::uint64_t>(i)), job({ step(2) }));
     cluster.clock.runFor(Millis(12'000));
-    CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded, living));
+    CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded, newOwner));
     for (std::uint64_t i = 100; i < 103; ++i)
-        CHECK(cluster.shows(jobId(i), JobStatus::Succeeded, living));
+        CHECK(cluster.shows(jobId(i), JobStatus::Succeeded, newOwner));
     CHECK(cluster.witness.breaches().empty());
 }
 
@@ -112,13 +112,13 @@
     RestartCluster cluster;
     cluster.restartAll(Millis(3'000));
     cluster.clock.runFor(Millis(1'000));
-    cluster.handIn(4);
+    cluster.submitJob(4);
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.unserved() == 0);
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("The start of a life is a whole number wherever a worker tells it")
+TEST_CASE("A worker's start time is accepted only as a whole number")
 {
     const json entry = json::parse(R"({"service":"s","address":"10.0.0.1:80","zone":"z","state":"ready","capacity":{"cpu":16000,"mem_mb":32768}})");
     const json list = json::parse(R"({"clock_ms":7,"running":[],"ended":[]})");
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -29,7 +29,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A job handed in twice, at two entries, stays one job")
+TEST_CASE("A job submitted twice, at two entries, stays one job")
 {
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ step(2) }));
@@ -91,7 +91,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("Tasks of a worker that went silent start elsewhere once its lease is over")
+TEST_CASE("Tasks of an unresponsive worker start elsewhere once its lease has expired")
 {
     // Seen on prc-montevideo trouble-2: unanswered renewals extended the assumed lease again and again,
     // so the tasks did not start elsewhere until the owner changed.
@@ -105,7 +105,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A worker that is cut off and runs on keeps its tasks until its lease is over")
+TEST_CASE("A partitioned worker that keeps running keeps its tasks until its lease has expired")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
@@ -120,7 +120,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A wave takes no task away while another of its step is missing")
+TEST_CASE("A wave stops no task while another task of its step is missing")
 {
     // Seen on prc-montevideo trouble-2: tasks on an unresponsive worker counted as running.
     SmallCluster cluster(1, 3, 6, 0);
@@ -138,7 +138,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A wave is taken through the whole fleet in time, within the budgets of steps")
+TEST_CASE("A wave passes through the whole fleet in time, within the disruption budgets of steps")
 {
     SmallCluster cluster(1, 3, 6, 2);
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
@@ -155,7 +155,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A wave goes on after its owner was killed in the middle")
+TEST_CASE("A wave continues after its owner was killed in the middle")
 {
     SmallCluster cluster(1, 3, 6, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
@@ -173,7 +173,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A new owner takes no instance whose worker it has not met")
+TEST_CASE("A new owner takes no instance whose worker has not reported to it")
 {
     // Seen in random run 244: a worker that was partitioned when the owner changed had no reservations,
     // so its instance looked empty and was put into maintenance.
@@ -191,24 +191,24 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("Two owners in turn act on one instance only a while apart, a third one too")
+TEST_CASE("Successive owners act on one instance only with a minimum interval, also a third owner")
 {
     // Seen in random runs 218 and 244: the second owner's record omitted the instances that the first had
     // acted on, and the third owner acted on them at once.
     SmallCluster cluster(1, 4, 2, 6);
-    const auto handIn = [&](std::uint64_t number) { cluster.submit(0, "work", jobId(number), job({ step(30) })); };
-    handIn(1);
+    const auto submitJob = [&](std::uint64_t number) { cluster.submit(0, "work", jobId(number), job({ step(30) })); };
+    submitJob(1);
     for (std::uint64_t number = 2; number < 5; ++number) {
         cluster.clock.runFor(Millis(300));
         if (cluster.owner().value_or(0) != 0)
             cluster.kill(*cluster.owner());
-        handIn(number);
+        submitJob(number);
         cluster.clock.runFor(Millis(1'900));
     }
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A pool grows for tasks that wait for memory, also while a wave empties its instances")
+TEST_CASE("A pool grows for tasks that wait for memory, also while a wave evacuates its instances")
 {
     // Seen on tellelag-drift quiet-1, seed 31676: tasks waited 23 s with one full instance and one being
     // evacuated, since demand was counted in processor time only.
@@ -237,7 +237,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A new owner leaves old tasks alone while a worker that may run them is not found")
+TEST_CASE("A new owner starts no inherited tasks while a worker that may run them is missing")
 {
     // Seen on tellelag-drift trouble-3: a worker's entry was missing from the store when the owner
     // changed, and its tasks were started a second time.
@@ -263,7 +263,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A new owner counts the instances that the former one took down")
+TEST_CASE("A new owner counts the instances that the previous one took down")
 {
     // Seen on tellelag-drift trouble-3, seed 446303655478: an owner had taken down as many instances as
     // the wave allows, and its successor took down two more.
@@ -318,7 +318,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A new owner asks a worker whose entry comes back late before it starts old tasks")
+TEST_CASE("A new owner queries a worker whose entry reappears late before it starts inherited tasks")
 {
     // Seen in random run 20243: the entry reappeared between the takeover and the first list, its worker
     // did not answer yet, and its tasks were started a second time.
@@ -340,7 +340,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("An owner that hears nothing of the store starts nothing more and makes room for another")
+TEST_CASE("An owner without store updates starts nothing more and releases the ownership")
 {
     // Seen on tellelag-drift-grown trouble-3: an owner with a replica 11 s old started tasks of a job that
     // had been cancelled 7 s earlier.
@@ -358,7 +358,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A small machine owns only while no larger one can")
+TEST_CASE("A small machine becomes owner only while no larger one can")
 {
     SmallCluster cluster(1, 3, 2, 0);
     for (std::size_t i = 0; i < cluster.entries(); ++i) {
@@ -374,7 +374,7 @@
     CHECK(cluster.waitFor(Millis(4'000), [&] { return cluster.owner().has_value() && cluster.owner() != 2U; }));
 }
 
-TEST_CASE("A new owner does not wait for lives that ended before it came")
+TEST_CASE("A new owner does not wait for incarnations that ended before it took over")
 {
     // Seen on tellelag-drift-grown trouble-3: 250 incarnations that had ended with a move of their
     // instance delayed all inherited tasks for the maximum lease time, 6.6 s.
@@ -388,7 +388,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A draining worker's task stays while the stop of another of its step is in doubt")
+TEST_CASE("A draining worker's task stays while the stop of another task of its step is unacknowledged")
 {
     // Seen in random run 32582: the drain stopped a second task, and then the unanswered stop of the first
     // one was sent again.
@@ -408,7 +408,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("An owner goes on where it was when the store comes back and its lease still stands")
+TEST_CASE("An owner resumes its term when the store is available again and its lease is still valid")
 {
     // Seen on prc-montevideo trouble-3: after an outage that suspends leases, there was no owner until the
     // previous owner's lease had expired, and then all attempts were adopted again.
@@ -427,7 +427,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A stop that falls due while the store is away is sent when it is back")
+TEST_CASE("A stop that becomes due while the store is unavailable is sent once the store is available again")
 {
     // Seen in random run 40104: unanswered stops became due for repetition while the owner waited for the
     // store. They were never sent, and the tasks never started elsewhere.
@@ -468,7 +468,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A new owner leaves an instance alone for as long as the act on it is young")
+TEST_CASE("A new owner spares an instance only while the last action on it is recent")
 {
     // Seen in an incident on prc-montevideo: a pool stayed short for 4.5 s after a takeover, since the new
     // owner did not use any instance that the previous one had moved in its last seconds.
@@ -489,7 +489,7 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("A worker that answers is not taken as over, though its instance has left the list")
+TEST_CASE("A worker that answers is not treated as ended although its instance has left the list")
 {
     // The rule that ends incarnations that no list names was applied to all workers of the term.
     SmallCluster cluster(1, 3, 3, 0);
@@ -512,16 +512,16 @@
     requireNoBreach(cluster);
 }
 
-TEST_CASE("An instance that hears no changes shows a job's end all the same")
+TEST_CASE("An instance without store updates still shows a job's end")
 {
     // A job's measured time ends when its caller sees the end: a replica half a second old added a quarter
     // of a second per job on average, and more while the store was slow.
     SmallCluster cluster;
-    const std::size_t deaf = cluster.owner() == 0U ? 1 : 0;
-    cluster.submit(deaf, "work", jobId(1), job({ step(1) }));
+    const std::size_t partitioned = cluster.owner() == 0U ? 1 : 0;
+    cluster.submit(partitioned, "work", jobId(1), job({ step(1) }));
     REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.accepted().contains(jobId(1)); }));
-    cluster.cutWatches(deaf, true);
+    cluster.cutWatches(partitioned, true);
     REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, *cluster.owner()); }));
-    CHECK(cluster.waitFor(Millis(150), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, deaf); }));
+    CHECK(cluster.waitFor(Millis(150), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, partitioned); }));
     requireNoBreach(cluster);
 }
--- a/tests/jobs/unanswered_order_test.cpp
+++ b/tests/jobs/unanswered_command_test.cpp
@@ -25,7 +25,7 @@
         clock.runFor(Millis(3'000));
     }
 
-    void loseOrders(double share)
+    void loseCommands(double share)
     {
         for (auto& [worker, model] : workers.workers())
             model.trouble.lostOrders = share;
@@ -51,36 +51,36 @@
 
 } // namespace
 
-TEST_CASE("Tasks whose starts and stops were left unanswered come to work again")
+TEST_CASE("Tasks whose starts and stops were left unanswered run again")
 {
     LongRunningCluster cluster;
     REQUIRE(cluster.running() == LongRunningCluster::tasks);
-    cluster.loseOrders(1);
+    cluster.loseCommands(1);
     cluster.crashTwo();
     cluster.clock.runFor(Millis(9'000));
     CHECK(cluster.running() == LongRunningCluster::tasks - 2);
-    cluster.loseOrders(0);
+    cluster.loseCommands(0);
     cluster.clock.runFor(Millis(3'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Tasks whose starts and stops were left unanswered come to work again under the next owner")
+TEST_CASE("Tasks whose starts and stops were left unanswered run again under the next owner")
 {
     LongRunningCluster cluster;
-    cluster.loseOrders(1);
+    cluster.loseCommands(1);
     cluster.crashTwo();
     cluster.clock.runFor(Millis(9'000));
     cluster.kill(*cluster.owner());
     cluster.clock.runFor(Millis(500));
-    cluster.loseOrders(0);
+    cluster.loseCommands(0);
     cluster.clock.runFor(Millis(10'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
     CHECK(cluster.witness.breaches().empty());
 }
 
 /// Guards against stalled tasks that block each other in the same way: each counts as unavailable for the other.
-TEST_CASE("Tasks that stand still on two workers at once are started again, and come to work when the workers do")
+TEST_CASE("Tasks that stall on two workers at once are started again, and become ready once the workers resume")
 {
     LongRunningCluster cluster;
     const auto hang = [&](bool hanging) {
