--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -355,7 +355,7 @@
 }
 
 /// Releases the attempts of a worker whose incarnation has ended or whose lease has expired.
-/// \param open Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
+/// \param unacknowledged Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
 /// \param isIncarnationOver False: only the lease has expired.
 void StatusReconciler::releaseAll(WorkerBook& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver)
 {
