--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr Millis waitLogPause { 1'000 }; // Between two lines on one step that finds no room.
-/// Steps in one pass of which it is found out why they wait, by a look at each worker of the pool: the log takes 60 lines a
-/// second, and with a thousand steps that wait the others have their turn in the next passes.
-constexpr std::uint32_t mostWaitsExplained = 16;
-/// Workers asked at once for each suspect that waits: the emptiest one may just have crashed.
+constexpr Millis waitLogPause { 1'000 }; // Minimum time between two log lines on one waiting step.
+/// Maximum steps per pass whose wait is explained, which inspects each worker of the pool. The log accepts 60 lines a second;
+/// with a thousand waiting steps, the others follow in the next passes.
+constexpr std::uint32_t maxWaitsExplained = 16;
+/// Workers probed at once per waiting suspect: the emptiest worker may just have crashed.
 constexpr std::size_t livenessChecksPerSuspect = 2;
 
 } // namespace
 
-PlacementPass::PlacementPass(OwnerState& state, OrderDesk& orders, AdviceDesk& advice, std::function<bool()> isSettled)
+PlacementPass::PlacementPass(OwnerState& state, CommandDispatcher& dispatcher, AdviceClient& advice, std::function<bool()> isSettled)
     : m_state(state)
-    , m_orders(orders)
+    , m_dispatcher(dispatcher)
     , m_advice(advice)
     , m_isSettled(std::move(isSettled))
 {
@@ -36,11 +36,11 @@
     m_now = m_state.now();
     m_timeOfDay = m_state.options.loop->timeOfDay();
     m_configuration = configuration;
-    m_knowsQuotas = !m_state.options.isConfigurationCurrent || m_state.options.isConfigurationCurrent();
+    m_areQuotasCurrent = !m_state.options.isConfigurationCurrent || m_state.options.isConfigurationCurrent();
     m_state.organisations.startPass();
     if (!settled)
         m_state.endInheritedWaits();
-    m_state.waitingJobs.age(m_now);
+    m_state.waitingJobs.moveHopeless(m_now);
     for (auto next = m_state.walked.begin(); next != m_state.walked.end();) {
         OwnerJob& job = *(next++)->second;
         if (isFinal(job.state.status()))
@@ -49,10 +49,10 @@
             noteUnseen(job);
             continue;
         }
-        // Most jobs run: a pass looks at those of which something ended, or that wait.
+        // Most jobs only run: a pass inspects just the jobs that changed or wait.
         if (job.quietSince == job.state.changes())
             continue;
-        openDue(job);
+        openDueOccurrences(job);
         if (m_state.beginWait(job, m_now))
             continue;
         collect(job, *configuration);
@@ -102,10 +102,10 @@
 {
     std::map<const OrganisationAccount*, Resources> used;
     PoolRoom room;
-    for (const WorkerBook* book : sites.books) {
-        if (book->isOpen(m_now) || !book->bookings.empty())
-            room.capacity += book->entry.capacity;
-        for (const auto& [account, resources] : book->bookings.usedByAccount())
+    for (const WorkerBook* record : sites.records) {
+        if (record->isOpen(m_now) || !record->bookings.empty())
+            room.capacity += record->entry.capacity;
+        for (const auto& [account, resources] : record->bookings.usedByAccount())
             used[account] += resources;
     }
     for (const auto& [account, resources] : used)
@@ -121,23 +121,23 @@
     return inspected;
 }
 
-void PlacementPass::wakeAt(MonotonicInstant when)
+void PlacementPass::requestWakeAt(MonotonicInstant when)
 {
     if (!m_wake || when < *m_wake)
         m_wake = when;
 }
 
-void PlacementPass::openDue(OwnerJob& job)
+void PlacementPass::openDueOccurrences(OwnerJob& job)
 {
     job.state.openOccurrences(m_timeOfDay);
     if (const std::optional<Instant> due = job.state.nextDue())
-        wakeAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
+        requestWakeAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
 }
 
 void PlacementPass::collect(OwnerJob& job, const ServiceConfiguration& configuration)
 {
     const QueueSettings* queue = nullptr;
-    std::optional<bool> hopeless; // Looked up once a step of the job can start.
+    std::optional<bool> hopeless; // Determined when the first step of the job can start.
     const MonotonicInstant now = m_now;
     bool startsByTime = job.state.nextDue().has_value();
     for (const auto& [id, step] : job.state.steps()) {
@@ -147,7 +147,7 @@
         if (tasks.size() < step.idle() && job.state.isUnblocked(id)) {
             for (const TaskState& task : step.tasks) {
                 if (!task.succeeded && !task.live && task.notBefore > now) {
-                    wakeAt(task.notBefore);
+                    requestWakeAt(task.notBefore);
                     startsByTime = true;
                 }
             }
@@ -167,7 +167,7 @@
         job.quietSince.reset();
 }
 
-/// Its tasks may run at workers that nobody has asked yet; until then the quota counts them all.
+/// Charges all idle tasks of an inherited job to the quota: they may run on workers that have not reported yet.
 void PlacementPass::noteUnseen(const OwnerJob& job)
 {
     if (!job.account)
@@ -180,15 +180,15 @@
     }
 }
 
-/// Work that a quota holds back is no demand: more instances would not help it. While the configuration
-/// may be an old one, a quota may have been lowered since.
+/// Work that a quota holds back is not demand, since more instances would not help it. While the configuration may be
+/// outdated, all work with a quota is held: the quota may have been lowered.
 bool PlacementPass::isHeldByQuota(const Candidate& candidate, std::uint32_t tasks) const
 {
     const OwnerJob& job = *candidate.job;
     const OrganisationSettings* organisation = job.account ? m_configuration->organisations.find(job.state.record().organisation) : nullptr;
     if (!organisation || organisation->quota == Resources {})
         return false;
-    return !m_knowsQuotas || !fitsQuota(*job.account, organisation->quota, job.state.spec(candidate.step.step).needs, tasks);
+    return !m_areQuotasCurrent || !fitsQuota(*job.account, organisation->quota, job.state.spec(candidate.step.step).needs, tasks);
 }
 
 void PlacementPass::noteHeld(const Candidate& candidate, const PoolSites& sites, std::size_t tasks)
@@ -201,18 +201,18 @@
 PlacementPass::PoolSites& PlacementPass::sitesOf(const std::string& pool)
 {
     if (m_sites.empty()) {
-        for (auto& [id, book] : m_state.workers)
-            m_sites[book.entry.pool].books.push_back(&book);
+        for (auto& [id, record] : m_state.workers)
+            m_sites[record.entry.pool].records.push_back(&record);
     }
     PoolSites& sites = m_sites[pool];
     if (sites.placer)
         return sites;
     std::vector<PlacementSite> list;
-    list.reserve(sites.books.size());
-    for (const WorkerBook* book : sites.books) {
-        list.push_back(book->site(m_now));
-        sites.livenessChecks += m_now < book->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.wantedLevelOf(book->entry);
+    list.reserve(sites.records.size());
+    for (const WorkerBook* record : sites.records) {
+        list.push_back(record->site(m_now));
+        sites.livenessChecks += m_now < record->livenessCheckDueAt ? 1 : 0;
+        list.back().wanted = m_state.wantedLevelOf(record->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
@@ -220,7 +220,7 @@
     return sites;
 }
 
-/// A previous owner was lost while a task was on its last probation: the task does not start again.
+/// Fails a task permanently if a previous owner failed during the task's last probation.
 bool PlacementPass::failExhausted(const Candidate& candidate)
 {
     const auto exhausted = std::find_if(candidate.tasks.begin(), candidate.tasks.end(), [&](const TaskId& id) {
@@ -229,7 +229,7 @@
     });
     if (exhausted == candidate.tasks.end())
         return false;
-    m_orders.giveUp(*candidate.job, *exhausted);
+    m_dispatcher.giveUp(*candidate.job, *exhausted);
     return true;
 }
 
@@ -239,7 +239,7 @@
         return;
     PoolSites& sites = sitesOf(pool);
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
-    // A gang starts whole or not at all.
+    // All members of a gang start together or not at all.
     if (isHeldByQuota(candidate, step.gang ? step.count : 1)) {
         noteHeld(candidate, sites, candidate.tasks.size());
         return;
@@ -248,9 +248,9 @@
     static const std::map<std::string, std::string> none;
     if (candidate.queue && candidate.queue->advice) {
         std::vector<std::string> workers;
-        for (const WorkerBook* book : sites.books) {
-            if (book->isOpen(m_now))
-                workers.push_back(book->entry.id);
+        for (const WorkerBook* record : sites.records) {
+            if (record->isOpen(m_now))
+                workers.push_back(record->entry.id);
         }
         m_tickets = m_advice.ticketsFor(candidate.job->state.id(), candidate.step, workers);
         if (!m_tickets)
@@ -266,23 +266,23 @@
 {
     PlacementQuery query;
     query.quarantineKey = candidate.job->state.id();
-    query.tasksOfStep = [&sites, &candidate](std::size_t index) { return sites.books[index]->tasksOf(candidate.job->state.id(), candidate.step); };
+    query.tasksOfStep = [&sites, &candidate](std::size_t index) { return sites.records[index]->tasksOf(candidate.job->state.id(), candidate.step); };
     if (m_tickets)
-        query.admits = [this, &sites](std::size_t index) { return m_tickets->contains(sites.books[index]->entry.id); };
+        query.admits = [this, &sites](std::size_t index) { return m_tickets->contains(sites.records[index]->entry.id); };
     return query;
 }
 
-std::string PlacementPass::ticketFor(const WorkerBook& book) const
+std::string PlacementPass::ticketFor(const WorkerBook& record) const
 {
     if (!m_tickets)
         return {};
-    const auto ticket = m_tickets->find(book.entry.id);
+    const auto ticket = m_tickets->find(record.entry.id);
     return ticket == m_tickets->end() ? std::string() : ticket->second;
 }
 
-/// A task waits for room near its data as long as the work far from it would take longer: at the
-/// most it then ends twice as late as with the better choice.
-bool PlacementPass::mayGoFar(const Candidate& candidate)
+/// A task waits for room near its data for as long as a run far from its data would take in addition. It then ends at most
+/// twice as late as with the better choice.
+bool PlacementPass::mayIgnoreRack(const Candidate& candidate)
 {
     const PlacementOptions& options = m_state.options.placement;
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
@@ -294,7 +294,7 @@
     const MonotonicInstant until = since + std::chrono::duration_cast<Millis>(step.estimate * longer);
     if (m_now >= until)
         return true;
-    wakeAt(until);
+    requestWakeAt(until);
     return false;
 }
 
@@ -302,7 +302,7 @@
 {
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
     PlacementQuery query = queryFor(candidate, sites);
-    query.nearOnly = !mayGoFar(candidate);
+    query.nearOnly = !mayIgnoreRack(candidate);
     std::map<std::string, std::uint32_t> byHall;
     if (step.longRunning && m_state.options.placement.spreadsOverHalls) {
         byHall = tasksByHall(candidate);
@@ -310,7 +310,7 @@
     }
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
         const TaskId& task = candidate.tasks[i];
-        if (m_fair && i >= FairPlacement::tasksTogether && !m_fair->mayGoOn(candidate)) {
+        if (m_fair && i >= FairPlacement::tasksTogether && !m_fair->mayStartMore(candidate)) {
             m_fair->defer(candidate, i);
             return;
         }
@@ -323,7 +323,7 @@
         if (step.longRunning)
             query.quarantineKey = quarantineKey({ candidate.job->state.id(), task, 0 }, true);
         const std::optional<std::size_t> site = choose(step, query, sites);
-        // Others of its step need no verified worker, and may stand beside what the suspect is kept from.
+        // Other tasks of the step need no verified worker, and may share workers that are closed to the suspect.
         if (!site && query.suspicion > 0) {
             if (!sites.placer->choose(step, query)) {
                 noteWaiting(candidate, pool, 1);
@@ -336,24 +336,24 @@
             noteWait(candidate, sites, query, candidate.tasks.size() - i);
             return;
         }
-        WorkerBook& book = *sites.books[*site];
-        if (!m_orders.start(*candidate.job, task, candidate.job->state.nextAttempt(task), book, ticketFor(book)))
+        WorkerBook& record = *sites.records[*site];
+        if (!m_dispatcher.start(*candidate.job, task, candidate.job->state.nextAttempt(task), record, ticketFor(record)))
             continue;
-        bookAt(sites, *site, step, query);
-        ++byHall[book.entry.dataHall];
+        reserveAt(sites, *site, step, query);
+        ++byHall[record.entry.dataHall];
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
     }
 }
 
-/// \returns Where the tasks of the step are: as many look-ups as it has tasks, whatever the fleet.
+/// \returns The step's live tasks by data hall. Takes one look-up per task, independent of the fleet's size.
 std::map<std::string, std::uint32_t> PlacementPass::tasksByHall(const Candidate& candidate) const
 {
     std::map<std::string, std::uint32_t> tasks;
     for (const TaskState& task : candidate.job->state.steps().at(candidate.step).tasks) {
-        const WorkerBook* book = task.live ? m_state.worker(task.live->worker) : nullptr;
-        if (book && book->isHallOpen())
-            ++tasks[book->entry.dataHall];
+        const WorkerBook* record = task.live ? m_state.worker(task.live->worker) : nullptr;
+        if (record && record->isHallOpen())
+            ++tasks[record->entry.dataHall];
     }
     return tasks;
 }
@@ -368,54 +368,54 @@
     return verified;
 }
 
-/// \returns The query, narrowed to sites that `admits` lets in and at which the outcome of a suspect's start will be known.
+/// \returns The query, narrowed to sites that pass `admits` and at which the outcome of a suspect's start can be determined.
 PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const
 {
     PlacementQuery narrow = query;
     const bool mustBeEstablished = query.suspicion >= crashesToIsolate;
     narrow.admits = [this, &sites, mustBeEstablished, mayTake = query.admits, admits = std::move(admits)](std::size_t index) {
-        const WorkerBook& book = *sites.books[index];
-        return (!mustBeEstablished || book.isEstablished(m_now)) && admits(book) && (!mayTake || mayTake(index));
+        const WorkerBook& record = *sites.records[index];
+        return (!mustBeEstablished || record.isEstablished(m_now)) && admits(record) && (!mayTake || mayTake(index));
     };
     return narrow;
 }
 
-/// A suspect that is sent to a worker which is gone already would be blamed for its crash.
+/// Chooses only among probably live workers: the crash of a dead worker would be attributed to the suspect.
 std::optional<std::size_t> PlacementPass::chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const
 {
-    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& book) { return book.isProbablyUp(m_now); }));
+    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& record) { return record.isProbablyUp(m_now); }));
 }
 
-/// Asks a few workers for an answer: the suspect starts in the pass that follows the first one.
+/// Probes a few workers. The suspect starts in the pass after the first answer.
 void PlacementPass::checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
     ++sites.waitingSuspects;
-    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& book) { return m_now >= book.nextLivenessCheckAt; });
+    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& record) { return m_now >= record.nextLivenessCheckAt; });
     while (sites.livenessChecks < livenessChecksPerSuspect * sites.waitingSuspects) {
         const std::optional<std::size_t> site = sites.placer->choose(step, unasked);
         if (!site)
             return;
-        WorkerBook& book = *sites.books[*site];
-        book.checkLiveness(m_now, m_state.responses.overdueAfter());
-        wakeAt(book.livenessCheckDueAt);
+        WorkerBook& record = *sites.records[*site];
+        record.checkLiveness(m_now, m_state.responses.overdueAfter());
+        requestWakeAt(record.livenessCheckDueAt);
         ++sites.livenessChecks;
     }
 }
 
-/// \returns Crashes that may be the task's doing, as far as placement goes by them.
+/// \returns Crashes attributed to the task; 0 if placement does not isolate suspects.
 std::uint32_t PlacementPass::suspicionOf(const Candidate& candidate, const TaskId& task) const
 {
     return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspicion() : 0;
 }
 
-void PlacementPass::bookAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query)
+void PlacementPass::reserveAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query)
 {
     sites.placer->book(site, step);
     if (query.suspicion > 0)
         sites.placer->noteSuspect(site, query.quarantineKey, query.suspicion);
 }
 
-/// Counts what more instances would help: a task too large for any of them waits in vain.
+/// Adds waiting tasks to the demand, unless they are too large for any instance.
 void PlacementPass::noteWaiting(const Candidate& candidate, const std::string& pool, std::size_t tasks)
 {
     if (candidate.isCountedByGroup())
@@ -435,14 +435,14 @@
     }
 }
 
-/// Notes why a step waits, and logs it seldom enough for steps that wait long.
+/// Records and logs why a step waits, at a limited rate.
 void PlacementPass::noteWait(const Candidate& candidate, const PoolSites& sites, const PlacementQuery& query, std::size_t tasks, const std::string& heldByQuotaOf)
 {
     if (m_fair)
         m_fair->noteUnplaced(candidate, !heldByQuotaOf.empty());
     const MonotonicInstant now = m_now;
     OwnerState::WaitingStep& waiting = m_state.waits.try_emplace({ candidate.job->state.id(), candidate.step }, OwnerState::WaitingStep { .since = now, .explainedAt = std::nullopt, .wait = {} }).first->second;
-    if ((waiting.explainedAt && now - *waiting.explainedAt < waitLogPause) || m_waitsExplained == mostWaitsExplained)
+    if ((waiting.explainedAt && now - *waiting.explainedAt < waitLogPause) || m_waitsExplained == maxWaitsExplained)
         return;
     ++m_waitsExplained;
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
@@ -468,13 +468,13 @@
 void PlacementPass::placeGang(const Candidate& candidate, PoolSites& sites, const std::string& pool)
 {
     const StepSpec& step = candidate.job->state.spec(candidate.step.step);
-    // All or nothing: while one member is not over, or not yet allowed, none starts.
+    // All or nothing: no member starts while one is still live or not yet startable.
     if (candidate.tasks.size() < step.count)
         return;
     if (step.sameRack) {
         std::vector<std::string> racks;
-        for (const WorkerBook* book : sites.books)
-            racks.push_back(book->entry.rack);
+        for (const WorkerBook* record : sites.records)
+            racks.push_back(record->entry.rack);
         std::sort(racks.begin(), racks.end());
         racks.erase(std::unique(racks.begin(), racks.end()), racks.end());
         for (const std::string& rack : racks) {
@@ -499,7 +499,7 @@
     bool hasSuspect = false;
     query.tasksOfStep = [&](std::size_t index) { return members[index]; };
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
-        // A gang needs all its sites at once: a suspect of it may have to stand beside others.
+        // A gang needs all its sites at once, so its suspects are not isolated from other tasks.
         query.suspicion = std::min(suspicionOf(candidate, candidate.tasks[i]), crashesToIsolate - 1);
         std::optional<std::size_t> site;
         if (query.suspicion > 0)
@@ -520,8 +520,8 @@
     }
     const std::uint64_t number = job.nextAttempt(candidate.tasks.front());
     for (std::size_t i = 0; i < chosen.size(); ++i) {
-        WorkerBook& book = *sites.books[chosen[i]];
-        m_orders.start(*candidate.job, candidate.tasks[i], number, book, ticketFor(book), hasSuspect);
+        WorkerBook& record = *sites.records[chosen[i]];
+        m_dispatcher.start(*candidate.job, candidate.tasks[i], number, record, ticketFor(record), hasSuspect);
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
     }
