--- a/include/lanemoor/jobs/owner/fleet_keeper.h
+++ b/include/lanemoor/jobs/owner/fleet_keeper.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Moves and maintains instances while this instance owns the fleet.
+/// Moves and maintains instances while this process owns the fleet.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
@@ -22,7 +22,7 @@
 class HallEvacuations;
 class WorkMeter;
 
-/// What a fleet keeper works with. All of it outlives the keeper.
+/// Dependencies and settings of a fleet controller. All referenced objects outlive the controller.
 struct FleetKeeperOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
@@ -34,30 +34,30 @@
     EventLog* log = nullptr;
     WorkMeter* meter = nullptr; ///< Null: work is not measured.
     std::function<std::shared_ptr<const ServiceConfiguration>()> configuration;
-    std::string holder; ///< Name that acts carry.
-    /// Least time between acts of two owners on one instance: the platform must not see two
-    /// holders in turn within its lease time.
+    std::string holder; ///< Identifies this owner in calls to the platform.
+    /// Minimum time between calls of two owners for one instance: the platform must not receive calls of two
+    /// holders in succession within its lease time.
     Millis handover { 3'000 };
-    Millis maintenanceTime { 2'000 }; ///< Of one instance, as the platform says.
-    Millis moveTime { 1'500 }; ///< Of one instance between pools.
-    double actsPerSecond = 0; ///< That the platform takes from all instances together; 0: no limit.
+    Millis maintenanceTime { 2'000 }; ///< Duration of the maintenance of one instance, as the platform specifies it.
+    Millis moveTime { 1'500 }; ///< Duration of the move of one instance between pools.
+    double actsPerSecond = 0; ///< Rate limit of the platform for all instances together; 0: no limit.
     CapacityOptions capacity;
-    bool movesEvacuated = true; ///< Whether empty instances of evacuated data halls go to the reserve.
-    Millis planEvery { 100 }; ///< A pool that is short waits at most this long for the plan.
+    bool movesEvacuated = true; ///< Whether empty instances of evacuated data halls move to the reserve pool.
+    Millis planEvery { 100 }; ///< Max delay before the plan covers a pool that lacks instances.
     Millis listEvery { 1'000 };
-    Millis listEveryWhileActing { 300 }; ///< Also while waves or moves are under way; the list lags by some 800 ms.
+    Millis listEveryWhileActing { 300 }; ///< Interval while waves or moves are in progress; the list lags by about 800 ms.
 };
 
-/// Counts of one process since its start.
+/// Counters since the start of the process.
 struct FleetCounts {
     std::uint64_t maintained = 0;
     std::uint64_t moved = 0;
     std::uint64_t refused = 0;
-    std::uint64_t unknown = 0; ///< Acts without a usable answer.
+    std::uint64_t unknown = 0; ///< Calls without a usable response.
     std::uint64_t wavesFinished = 0;
 };
 
-/// \brief Lists the instances, takes waves through the fleet and sizes the pools by load.
+/// \brief Lists the instances, carries out maintenance waves and sizes the pools by load.
 class FleetKeeper {
 public:
     explicit FleetKeeper(FleetKeeperOptions options);
@@ -68,14 +68,14 @@
     void activate(const Ownership& ownership);
     void deactivate();
 
-    /// \brief Takes in a wave that operators ask for; one that is known changes nothing.
+    /// \brief Adds a wave that operators request; a known wave is ignored.
     void onWave(const WaveRequest& wave);
 
-    /// \brief Sends the calls to the store that wait for their retry. For the moment at which the store answers again.
+    /// \brief Repeats pending store calls at once. To be called when the store is available again.
     void retryStore();
 
-    /// \brief Notes that the store was out for long enough to hide the load: idle times restart, and nothing is powered off before
-    /// load was observed again.
+    /// \brief Notes the end of a store outage that was long enough to hide the load: idle times restart, and no instance is
+    /// powered off before the load has been observed again.
     void noteOutageOver();
 
     [[nodiscard]] const FleetCounts& counts() const noexcept;
--- a/include/lanemoor/jobs/owner/hall_evacuations.h
+++ b/include/lanemoor/jobs/owner/hall_evacuations.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Data halls that operators ask to evacuate.
+/// Requests of operators to evacuate data halls.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
@@ -17,24 +17,24 @@
 
 namespace lanemoor::jobs {
 
-/// What the evacuation list works with. All of it outlives the list.
+/// Dependencies and settings of the reader. All referenced objects outlive it.
 struct HallEvacuationsOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
     EventLog* log = nullptr;
-    std::string prefix; ///< Of the requests; the rest of a key names the data hall.
-    Millis readEvery { 700 }; ///< Well below the time in which a request must be in force.
-    Millis patience { 700 }; ///< For an answer of the store, which takes some 300 ms while it is slow.
-    Millis retryPause { 200 }; ///< After a call that failed.
-    Millis bound { 0 }; ///< No task may start in a data hall so long after the request to evacuate it; 0: no bound.
-    Millis startMargin { 1'000 }; ///< Of the bound, for a start on its way to a worker.
+    std::string prefix; ///< Key prefix of the requests; the rest of a key is the name of the data hall.
+    Millis readEvery { 700 }; ///< Interval; well below the time limit within which a request must be in force.
+    Millis patience { 700 }; ///< Time limit of a store call; a slow store takes about 300 ms.
+    Millis retryPause { 200 }; ///< Pause after a failed call.
+    Millis bound { 0 }; ///< Time after a request from which no task may start in the data hall; 0: no limit.
+    Millis startMargin { 1'000 }; ///< Share of the bound reserved for a start in transit to a worker.
 };
 
-/// \brief Reads the requests to evacuate data halls while this instance owns the fleet.
+/// \brief Reads the requests to evacuate data halls while this process owns the fleet.
 ///
-/// The requests are listed again and again rather than watched: a watch that receives nothing cannot be told from one
-/// whose events are lost, and a start in an evacuated data hall cannot be taken back. Where requests have a bound, the set of
-/// data halls is confirmed only for so long after the time of the request whose answer brought it.
+/// The requests are polled rather than watched: an idle watch cannot be distinguished from one whose events are lost, and a start in an
+/// evacuated data hall cannot be undone. If requests have a bound, the set of data halls stays confirmed only for that time, less a margin,
+/// after the read that returned it was sent.
 ///
 /// \code
 /// evacuations.start(); // Ownership gained.
@@ -48,10 +48,10 @@
     HallEvacuations(const HallEvacuations&) = delete;
     HallEvacuations& operator=(const HallEvacuations&) = delete;
 
-    /// \brief Sets the observer that is notified after the set of data halls, or whether it is confirmed, changed.
+    /// \brief Sets the observer that is notified when the set of data halls changes, or whether it is confirmed.
     void observe(std::function<void()> changed);
 
-    /// \brief Starts to read the requests; what was read before is discarded.
+    /// \brief Starts reading the requests and discards earlier results.
     void start();
 
     /// \brief Stops reading.
@@ -60,16 +60,16 @@
     /// \returns Whether the requests have been read since the last start.
     [[nodiscard]] bool isKnown() const noexcept;
 
-    /// \returns Whether tasks may be started by the set: it is known, and recent enough for the bound.
+    /// \returns Whether the set allows starts: it is known, and recent enough for the bound.
     [[nodiscard]] bool isConfirmed() const;
 
-    /// \returns When the store was asked for the set in force. Meaningful while it is known.
+    /// \returns When the read that returned the current set was sent. Only valid if `isKnown()`.
     [[nodiscard]] MonotonicInstant confirmedAt() const noexcept;
 
-    /// \returns Whether `dataHall` is being evacuated, as of the last answer of the store.
+    /// \returns Whether `dataHall` is being evacuated according to the last complete read.
     [[nodiscard]] bool contains(const std::string& dataHall) const;
 
-    /// \returns All data halls that are being evacuated, and when each request was first read here.
+    /// \returns All data halls that are being evacuated, with the time at which this process first read the request.
     [[nodiscard]] const std::map<std::string, MonotonicInstant>& requests() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/owner/ownership_keeper.h
+++ b/include/lanemoor/jobs/owner/ownership_keeper.h
@@ -14,96 +14,96 @@
 
 class StoreMirror;
 
-/// How ownership is held.
+/// Settings of an ownership lease.
 struct OwnershipOptions {
     std::string shard;
-    std::string holder; ///< Unique to this process, not only to its name: see `holderOf`.
-    std::string peer; ///< Where other instances reach it; empty: nowhere.
-    Millis leaseTime { 1'500 }; ///< Short, since a lost owner's pools stand still that long.
-    Millis renewEvery { 400 }; ///< Three renewals may fail before the lease is over.
+    std::string holder; ///< Unique per process, not only per instance: see `holderOf`.
+    std::string peer; ///< Address for other entry instances; empty: none.
+    Millis leaseTime { 1'500 }; ///< Short, since the pools of a crashed owner are stalled until it expires.
+    Millis renewEvery { 400 }; ///< Three renewals may fail before the lease expires.
     Millis retryPause { 150 };
-    /// How long a free ownership is left to others, who are better able to hold it.
+    /// Delay before claiming a free ownership, so that better suited processes claim it first.
     Millis claimDelay { 0 };
 };
 
-/// \returns The name of one process on an instance: the instance's own, and when the process began.
+/// \returns The holder name of a process: the name of its instance and its start time.
 [[nodiscard]] std::string holderOf(const std::string& instance, Instant startedAt);
 
 /// A term of ownership.
 struct Ownership {
-    std::uint64_t epoch = 0; ///< Revision of the owner's key: unique, and higher than any before.
-    std::uint64_t term = 0; ///< 1 for the first owner, one more for each later one.
+    std::uint64_t epoch = 0; ///< Revision of the owner's key; unique, and higher than all previous ones.
+    std::uint64_t term = 0; ///< Number of the owner, starting at 1.
 
     [[nodiscard]] bool operator==(const Ownership&) const = default;
 };
 
-/// Hears of gain and loss.
+/// Callbacks for changes of the ownership. All but `gained` and `lost` may be null.
 struct OwnershipObserver {
     std::function<void(const Ownership&)> gained;
     std::function<void()> lost;
-    std::function<void()> suspended; ///< The lease may be over, the store does not tell. Null: nobody is told.
-    std::function<void()> resumed; ///< It is not over. Null: nobody is told.
-    std::function<void(StoreOutcome)> claimFailed; ///< Null: nobody is told.
-    std::function<void(const std::string& holder)> endsLost; ///< A lost owner's lease is ended from here. Null: nobody is told.
+    std::function<void()> suspended; ///< The lease may have expired, and the store does not respond.
+    std::function<void()> resumed; ///< The lease turned out to be valid.
+    std::function<void(StoreOutcome)> claimFailed; ///< The claim failed with this outcome.
+    std::function<void(const std::string& holder)> endsLost; ///< This process revokes the lease of a crashed owner.
 };
 
-/// \brief Takes the ownership when nobody holds it, renews it, and knows when it may be over.
+/// \brief Claims the ownership when it is free, renews it, and tracks when it may expire.
 ///
-/// Whatever is done in the owner's name carries the epoch as a condition, and is sent only
-/// while `isHeld()`, whose time counts from before the renewal was sent.
+/// Every write on behalf of the owner carries the epoch as a condition, and is sent only while `isHeld()`. The validity counts from
+/// before the renewal was sent.
 class OwnershipKeeper {
 public:
-    /// \param mirror Copy of the keys of ownerships; its items are told to `observe`.
+    /// \param mirror Watch cache of the ownership keys; its items are also passed to `observe`.
     OwnershipKeeper(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer);
     ~OwnershipKeeper();
     OwnershipKeeper(const OwnershipKeeper&) = delete;
     OwnershipKeeper& operator=(const OwnershipKeeper&) = delete;
 
-    /// \brief Begins to compete for the ownership.
+    /// \brief Starts to compete for the ownership.
     void start();
 
-    /// \brief Renews the lease at once if the ownership is held. For the moment at which the store answers again.
+    /// \brief Renews the lease at once if the ownership is held. To be called when the store is available again.
     void renewNow();
 
-    /// \brief Takes in a change of the owner's key or the term's key.
+    /// \brief Applies a change of the owner's key or the term's key.
     void observe(const StoreItem& item);
 
-    /// \brief Gives the ownership up and competes no more. \param done Called when the store
-    /// answered, or at once if nothing was held.
+    /// \brief Releases the ownership and stops competing. \param done Called when the store
+    /// has responded, or at once if the ownership was not held.
     void release(const std::function<void()>& done);
 
-    /// \brief The process of the owner at `peer` is gone: ends what is left of its lease, so that nobody waits
-    /// for it. If it is alive all the same its writes fail, and it stops when its renewal does.
+    /// \brief Revokes the lease of the owner at `peer`, whose process has exited, so that no process waits for
+    /// its expiry. If the owner is alive after all, its writes fail, and it stops when its renewal fails.
     void endLost(const std::string& peer);
 
-    /// \brief Another owner was met: stops acting at once.
+    /// \brief Notes that another owner exists: stops acting at once.
     void noteSuperseded();
 
-    /// \brief Gives the ownership up and leaves it to others for `pause`.
+    /// \brief Releases the ownership and does not claim it for `pause`.
     void resign(Millis pause);
 
-    /// \returns Whether orders may be given now.
+    /// \returns Whether this process may send commands now.
     [[nodiscard]] bool isHeld() const noexcept;
 
-    /// \returns Since when orders may be given without a pause; meaningful while `isHeld()`.
+    /// \returns Start of the current uninterrupted period in which commands are allowed; only valid while `isHeld()`.
     [[nodiscard]] MonotonicInstant heldSince() const noexcept;
 
-    /// \returns The term that is held; meaningful while `isHeld()`.
+    /// \returns The current term; only valid while `isHeld()`.
     [[nodiscard]] const Ownership& ownership() const noexcept;
 
-    /// \returns The condition under which the owner writes.
+    /// \returns The precondition of all writes of the owner.
     [[nodiscard]] KeyRevision condition() const;
 
-    /// \returns Who holds the ownership, as far as this instance knows; empty: nobody.
+    /// \returns The current owner as far as known; empty: none.
     [[nodiscard]] std::string holder() const;
 
-    /// \returns Where the holder takes offers to relay its calls; empty: nowhere, or this process is the holder.
+    /// \returns The address at which the owner accepts offers to relay its calls; empty: none, or this process is the owner.
     [[nodiscard]] std::string holderPeer() const;
 
-    /// \returns The newest term that this instance heard of.
+    /// \returns The newest known term.
     [[nodiscard]] std::uint64_t lastTerm() const noexcept;
 
-    /// \returns Whether anybody holds the ownership, as far as this instance knows.
+    /// \returns Whether the ownership is held by any process, as far as known.
     [[nodiscard]] bool isOwned() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/owner/worker_book.h
+++ b/include/lanemoor/jobs/owner/worker_book.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What the owner keeps of one life of a worker.
+/// The owner's record of one incarnation of a worker.
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/owner/worker_session.h"
@@ -18,74 +18,74 @@
 
 namespace lanemoor::jobs {
 
-/// One life of a worker and what the owner gave it.
+/// One incarnation of a worker and its reservations, commands and health.
 struct WorkerBook {
     WorkerEntry entry;
-    MonotonicInstant knownSince; ///< When this process first heard of the life.
-    std::set<std::int64_t> formerStarts; ///< Of lives under this id that are over: what is still told of them counts for nothing.
-    bool listed = true; ///< False: its entry is gone from the store, though it may live on.
-    std::optional<MonotonicInstant> unlistedSince; ///< When the first complete list of instances that does not name the life was requested.
+    MonotonicInstant knownSince; ///< When this process first observed the incarnation.
+    std::set<std::int64_t> formerStarts; ///< Start times of ended incarnations with this id; later reports on them are ignored.
+    bool listed = true; ///< False: the entry was removed from the store, though the worker may still be up.
+    std::optional<MonotonicInstant> unlistedSince; ///< Request time of the first complete list of instances without this incarnation.
     std::shared_ptr<WorkerSession> session;
-    Bookings bookings; ///< Attempts that are not over.
-    std::map<Attempt, MonotonicInstant> strayStops; ///< Unwanted attempts, and when to stop them again.
+    Bookings bookings; ///< Attempts that have not ended.
+    std::map<Attempt, MonotonicInstant> strayStops; ///< Unwanted attempts, with the time of the next stop command.
     WorkerHealth health;
-    std::optional<Attempt> probingAttempt; ///< The latest attempt that began while the worker was probing.
+    std::optional<Attempt> probingAttempt; ///< The latest attempt started while the worker was probing.
     StartAnswers starts;
     Throttle throttle;
-    bool met = false; ///< Its first report was taken in.
-    bool endOrdered = false; ///< Its life ends by an order of this owner.
-    bool endSettled = false; ///< Its end was attributed.
-    bool evacuating = false; ///< It is to be emptied: no new work.
-    MonotonicInstant evacuatingSince; ///< Meaningful while evacuating.
-    bool hallEvacuated = false; ///< Its data hall is being evacuated: no new work.
-    bool hallLost = false; ///< Its data hall was lost, and the worker is not taken back yet: no new work.
-    MonotonicInstant noWorkBefore; ///< After it refused an order.
-    MonotonicInstant youngUntil; ///< The latest start is on probation until then.
-    MonotonicInstant livenessCheckDueAt; ///< When the answer to a liveness check is overdue.
-    MonotonicInstant nextLivenessCheckAt; ///< No check is sent before this.
-    std::string keptFor; ///< Label of the tasks that room was made for.
-    MonotonicInstant keptUntil; ///< When other tasks may come again.
-
-    /// \returns Capacity less what is booked.
+    bool met = false; ///< Its first report was processed.
+    bool endOrdered = false; ///< This owner has ordered the end of the incarnation.
+    bool endSettled = false; ///< The end of the incarnation was attributed.
+    bool evacuating = false; ///< Being emptied: not open for new tasks.
+    MonotonicInstant evacuatingSince; ///< Only valid while `evacuating`.
+    bool hallEvacuated = false; ///< The data hall is being evacuated: not open for new tasks.
+    bool hallLost = false; ///< The data hall was lost, and the worker is not readmitted yet: not open for new tasks.
+    MonotonicInstant noWorkBefore; ///< Not open before this, since the worker refused a command.
+    MonotonicInstant youngUntil; ///< End of the probation of the latest start.
+    MonotonicInstant livenessCheckDueAt; ///< Deadline of the pending liveness check.
+    MonotonicInstant nextLivenessCheckAt; ///< Time of the next liveness check at the earliest.
+    std::string keptFor; ///< Label of the tasks that the worker is reserved for.
+    MonotonicInstant keptUntil; ///< End of this reservation.
+
+    /// \returns The capacity that is not reserved.
     [[nodiscard]] Resources free() const;
 
-    /// \returns Tasks of one step and occurrence that are booked.
+    /// \returns The number of reserved tasks of one step and occurrence.
     [[nodiscard]] std::uint32_t tasksOf(const std::string& job, const StepId& step) const;
 
-    /// \returns Whether its data hall lets it have new work.
+    /// \returns Whether its data hall accepts new tasks.
     [[nodiscard]] bool isHallOpen() const noexcept { return !hallEvacuated && !hallLost; }
 
-    /// \returns Whether `entry` tells of the life that the session speaks with, as far as both say.
+    /// \returns Whether `entry` describes the incarnation of the session, as far as the start times are known.
     [[nodiscard]] bool isEntryOfLife() const;
 
-    /// \returns How many starts health lets the worker have now.
+    /// \returns The number of starts that the health of the worker currently allows.
     [[nodiscard]] std::uint32_t startsLeft(MonotonicInstant now) const;
 
-    /// \returns Whether new work may go there now.
+    /// \returns Whether the worker is open for new tasks.
     [[nodiscard]] bool isOpen(MonotonicInstant now) const;
 
-    /// \returns Whether the worker has answered so recently that a suspect may be sent: an independent crash in the meantime is unlikely.
+    /// \returns Whether the last response is recent enough to send a suspect task: an unrelated crash since then is unlikely.
     [[nodiscard]] bool isVerifiedUp(MonotonicInstant now) const;
 
-    /// \returns Whether the worker has answered so recently that it probably takes a suspect's start.
+    /// \returns Whether the last response is recent enough that the worker probably accepts the start of a suspect task.
     [[nodiscard]] bool isProbablyUp(MonotonicInstant now) const;
 
-    /// \returns Whether a recorded start may be sent: the worker is open, and its capacity still covers all bookings.
+    /// \returns Whether a recorded start may be sent: the worker is open, and its capacity still covers all reservations.
     [[nodiscard]] bool takesRecordedStart(MonotonicInstant now) const;
 
-    /// \returns Whether the life has been known for so long that a list of instances has shown it, which then can prove its end.
+    /// \returns Whether the incarnation is old enough to appear in a list of instances, so that a later list without it proves its end.
     [[nodiscard]] bool isEstablished(MonotonicInstant now) const { return now >= establishedAt(); }
 
     [[nodiscard]] MonotonicInstant establishedAt() const;
 
-    /// \brief Asks the worker for an answer, unless it was asked before and owes one.
-    /// \param overdueAfter How long the answer may take.
+    /// \brief Sends a liveness check, unless one is pending or was sent recently.
+    /// \param overdueAfter Time after which the response is overdue.
     void checkLiveness(MonotonicInstant now, Millis overdueAfter);
 
-    /// \brief The worker has answered. \returns Whether a liveness check waited for it.
+    /// \brief Notes a response of the worker. \returns Whether a liveness check was pending.
     bool noteAnswer() noexcept;
 
-    /// \returns The worker as placement sees it.
+    /// \returns The input of placement for this worker.
     [[nodiscard]] PlacementSite site(MonotonicInstant now) const;
 };
 
--- a/include/lanemoor/jobs/owner/worker_directory.h
+++ b/include/lanemoor/jobs/owner/worker_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The workers' entries in the store, and those that were removed of late.
+/// The workers' entries in the store, including recently removed ones.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/service_configuration.h"
@@ -13,37 +13,37 @@
 
 namespace lanemoor::jobs {
 
-/// A worker's entry. One that was removed is kept for a while, since the worker may run on.
+/// A worker's entry. A removed entry is kept for a while, since the worker may still be up.
 struct DirectoryEntry {
     WorkerEntry worker;
-    MonotonicInstant knownSince; ///< When this process first heard of the life, which had begun by then.
+    MonotonicInstant knownSince; ///< When this process first observed the incarnation, which had started by then.
     bool listed = true;
-    MonotonicInstant removedAt; ///< Meaningful if not listed.
+    MonotonicInstant removedAt; ///< Only valid if not `listed`.
 };
 
-/// \brief Workers by the id of their life.
+/// \brief Worker entries by worker id.
 class WorkerDirectory {
 public:
     explicit WorkerDirectory(const EventLoop& loop);
 
-    /// \returns Whether it changes anything: a heartbeat alone does not.
+    /// \returns Whether the entry has changed: a heartbeat alone is no change.
     bool put(const WorkerEntry& worker);
 
     void remove(const std::string& id);
 
-    /// \brief Drops entries that were removed, as a process that begins now would not know them.
+    /// \brief Drops all removed entries, since a process that starts now would not have them.
     void forgetRemoved();
 
-    /// \brief Drops entries that were removed so long ago that every lease there is over.
+    /// \brief Drops removed entries once all leases on their workers have expired.
     void forgetOld();
 
     [[nodiscard]] const std::map<std::string, DirectoryEntry>& all() const noexcept { return m_entries; }
 
-    /// \returns Pools in which a life has ended unannounced within the time that an owner may take to lose its ownership and be succeeded; nothing: this
-    /// process has not observed the workers for that long.
+    /// \returns The pools in which an incarnation has ended unannounced within the time that an owner may take to lose its ownership and be
+    /// succeeded; nothing: this process has not observed the workers for that long.
     [[nodiscard]] std::optional<std::set<std::string>> poolsWithRecentEnds() const;
 
-    /// \brief Sets who hears of changes.
+    /// \brief Sets the observer of changes.
     void observe(std::function<void(const std::string& id)> observer) { m_observer = std::move(observer); }
 
 private:
@@ -52,7 +52,7 @@
     const EventLoop& m_loop;
     MonotonicInstant m_observesSince;
     std::map<std::string, DirectoryEntry> m_entries;
-    std::map<std::string, MonotonicInstant> m_lastEnds; ///< By pool: when a life was last found to be replaced or removed unannounced.
+    std::map<std::string, MonotonicInstant> m_lastEnds; ///< By pool: when an incarnation was last replaced or removed unannounced.
     std::function<void(const std::string& id)> m_observer;
 };
 
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The owner's link to one life of a worker: its lease, its clock, what runs and ended there.
+/// The owner's session with one incarnation of a worker: lease, clock, running tasks and ended attempts.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/worker_control.h"
@@ -14,99 +14,100 @@
 
 class WorkerSession;
 
-/// How a session renews.
+/// Settings of a session.
 struct WorkerSessionOptions {
-    std::uint64_t epoch = 0; ///< Of the ownership.
-    MonotonicInstant inheritedLeaseOverBy; ///< Until when a lease of an earlier owner may last.
-    /// Of all that runs at the worker. The price of a lost owner (work lapses) against that of
-    /// a lost worker (its tasks wait as long).
+    std::uint64_t epoch = 0; ///< Epoch of the ownership.
+    MonotonicInstant inheritedLeaseOverBy; ///< Latest expiry of a lease of an earlier owner.
+    /// Lease of all attempts at the worker. A short lease fails running tasks when the owner crashes; a long
+    /// lease delays the tasks of a crashed worker.
     Millis leaseTime { 5'000 };
-    Millis wait { 1'000 }; ///< An answer waits this long for an end; a renewal comes at least as often.
-    Millis retryPause { 200 }; ///< After a renewal without an answer.
+    Millis wait { 1'000 }; ///< Long-poll time: the worker delays a response for up to this time until an attempt ends. Also the max renewal interval.
+    Millis retryPause { 200 }; ///< Pause after a renewal without a response.
     std::function<bool()> mayOrder; ///< Whether the ownership is held.
-    std::function<Millis()> overdueAfter; ///< How long after its wait a call without an answer is overdue.
+    std::function<Millis()> overdueAfter; ///< Time after the long-poll time at which a call without a response is overdue.
 };
 
-/// Hears what a session learns.
+/// Receives the events of a session.
 class WorkerSessionObserver {
 public:
     virtual ~WorkerSessionObserver() = default;
 
-    /// \brief A renewal was answered. The observer calls `acknowledge` once the ends are stored.
-    /// \param sentAt When the renewal was sent: orders answered before that are reflected in it.
+    /// \brief Response to a renewal. The observer calls `acknowledge` once the ended attempts are stored.
+    /// \param sentAt When the renewal was sent: the response reflects all commands answered before that.
     virtual void onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
 
-    /// \brief A probe was answered. It may have overtaken renewals, or been overtaken.
-    /// \param sentAt When the probe was sent: commands answered before that are reflected in it.
+    /// \brief Response to a probe. Probes and renewals may overtake each other.
+    /// \param sentAt When the probe was sent: the response reflects all commands answered before that.
     virtual void onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
 
-    /// \brief The worker lives: an answer told a newer time of its clock.
+    /// \brief The worker is up: a response carried a newer time of its clock.
     virtual void onHeard(WorkerSession& session) = 0;
 
-    /// \brief A probe is overdue, and nothing was answered since it was sent.
+    /// \brief A probe is overdue, and no response has been received since it was sent.
     virtual void onOverdue(WorkerSession& session) = 0;
 
-    /// \brief A renewal was not answered.
+    /// \brief A renewal has failed or timed out.
     virtual void onSilence(WorkerSession& session) = 0;
 
-    /// \brief The life is over, or its lease is: nothing runs there any more.
-    /// \param lifeOver False: the worker may answer again, with nothing running.
+    /// \brief The incarnation or its lease has ended: none of its attempts runs any more.
+    /// \param lifeOver False: only the lease has expired; the worker may respond again, with no running attempts.
     virtual void onOver(WorkerSession& session, bool lifeOver) = 0;
 
-    /// \brief The worker has started again under its id. Nothing that the former life held runs any more; an order to it whose
-    /// delivery is open may yet reach the new life.
-    /// \param startedAt Of the new life. \param wasOver The former life, or its lease, was known to be over before.
+    /// \brief The worker has restarted under its id. No attempt of the previous incarnation runs any more; an unacknowledged
+    /// command to the previous incarnation may still reach the new one.
+    /// \param startedAt Start time of the new incarnation. \param wasOver The previous incarnation, or its lease, was already known to have ended.
     virtual void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) = 0;
 
-    /// \brief The worker knows a later owner.
+    /// \brief The worker has rejected the call, since it has accepted calls of a later owner.
     virtual void onFenced(WorkerSession& session) = 0;
 };
 
-/// \brief Renews the lease on all that runs at one life of a worker.
+/// \brief Renews the lease of all attempts at one incarnation of a worker.
 ///
-/// A lease is a time on the worker's clock, which may be slow by 2%. The session knows the
-/// clock from the worker's answers and tells when the longest lease it gave is surely over.
+/// A lease is a time on the worker's clock, which may be slow by 2%. The session derives the clock from the worker's responses and
+/// computes when the longest granted lease has certainly expired.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
 public:
     WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife life, WorkerSessionOptions options, WorkerSessionObserver& observer);
 
-    /// \brief Sends the first renewal, which also keeps earlier owners out.
+    /// \brief Sends the first renewal, which also fences off earlier owners.
     void start();
 
-    /// \brief Ends the session; nothing is heard from it any more.
+    /// \brief Ends the session; the observer receives no further events.
     void close();
 
-    /// \brief Ends up to `sequence` are stored: the worker may forget them.
+    /// \brief Notes that ended attempts up to `sequence` are stored: the worker may discard them.
     void acknowledge(std::uint64_t sequence);
 
-    /// \brief Sets how long answers may wait for an end.
+    /// \brief Sets the long-poll time of renewals.
     void setWait(Millis wait) noexcept { m_options.wait = wait; }
 
-    /// \returns The lease that an order sent now should carry, on the worker's clock in ms;
-    /// nothing before the first answer.
+    /// \returns The lease for a command sent now, on the worker's clock in ms;
+    /// nothing before the first response.
     [[nodiscard]] std::optional<std::int64_t> leaseForOrder();
 
-    /// \brief Takes in the clock that came with the answer to an order.
-    /// \returns False if the clock went back: another incarnation may have answered.
+    /// \brief Applies the worker's clock from the response to a command.
+    /// \returns False if the clock went back: another incarnation may have responded.
     bool noteClock(std::int64_t workerClock);
 
-    /// \brief Asks the worker what it holds, beside the renewal that waits for an end. No second probe is sent before the first is overdue.
+    /// \brief Requests a status report without a long poll, in parallel to the pending renewal. Does nothing while an earlier probe is pending
+    /// and not overdue.
     void probe();
 
-    /// \brief Notes that a call to the worker is overdue: for a while answers wait less for an end, since a lost one hides the ends
-    /// until its call times out.
+    /// \brief Notes that a call to the worker is overdue: for a while renewals use a shorter long-poll time, since a lost response hides ended
+    /// attempts until its call times out.
     void noteOverdue();
 
-    /// \returns Whether a call to the worker was overdue lately.
+    /// \returns Whether a call to the worker was overdue recently.
     [[nodiscard]] bool wasOverdueLately() const { return m_loop.now() < m_shortWaitUntil; }
 
     /// \brief Probes the worker after `pause`.
     void probeAfter(Millis pause);
 
-    /// \returns The newest time of the worker's clock that an answer brought, ms: it lived then; 0 before the first answer.
+    /// \returns The newest time on the worker's clock that a response carried, ms: the worker was up then; 0 before the first response.
     [[nodiscard]] std::int64_t heardOnClock() const noexcept { return m_heardOnClock; }
 
-    /// \returns The worker's clock now, ms, as far as its answers tell; 0 before the first answer.
+    /// \returns The estimated current time on the worker's clock, ms; 0 before the first response.
     [[nodiscard]] std::int64_t clockNow() const;
 
     /// \returns Whether the worker is known to have been up at or after `instant`.
@@ -114,22 +115,22 @@
 
     [[nodiscard]] const WorkerLife& life() const noexcept { return m_life; }
 
-    /// \returns Whether the worker answered a renewal of this owner, which keeps all earlier ones out.
+    /// \returns Whether the worker has answered a renewal of this owner, which fences off all earlier owners.
     [[nodiscard]] bool isMet() const noexcept { return m_met; }
 
-    /// \returns Whether the last renewal got no answer.
+    /// \returns Whether the last renewal got no response.
     [[nodiscard]] bool isSilent() const noexcept { return m_silent; }
 
-    /// \returns Whether the life is known to be over.
+    /// \returns Whether the incarnation is known to have ended.
     [[nodiscard]] bool isLifeOver() const noexcept { return m_lifeOver; }
 
-    /// \returns When every lease given to this worker is surely over.
+    /// \returns When every lease granted to this worker has certainly expired.
     [[nodiscard]] MonotonicInstant leaseOverBy() const;
 
-    /// \brief The life is over, by proof from elsewhere.
+    /// \brief Notes the end of the incarnation, proved by another source.
     void noteLifeOver();
 
-    /// \brief The worker has told another start than that of this life, which is over.
+    /// \brief The worker reports another start time than that of this incarnation, which has therefore ended.
     void noteRestart(std::int64_t startedAt);
 
 private:
@@ -156,19 +157,19 @@
     bool m_met = false;
     bool m_silent = false;
     bool m_lifeOver = false;
-    bool m_lifeInDoubt = false; ///< Another life may answer under this id.
+    bool m_lifeInDoubt = false; ///< Another incarnation may respond under this id.
     MonotonicInstant m_probeFrom; ///< No probe is sent before this.
     MonotonicInstant m_shortWaitUntil;
-    MonotonicInstant m_renewalSentAt; ///< Of the renewal under way.
-    MonotonicInstant m_heardAt; ///< When an answer last told that it is this life.
+    MonotonicInstant m_renewalSentAt; ///< Send time of the pending renewal.
+    MonotonicInstant m_heardAt; ///< When a response last confirmed this incarnation.
     bool m_leaseLapsed = false;
     bool m_awaitingAcknowledgement = false;
     std::uint64_t m_storedUpTo = 0;
-    std::int64_t m_clockSample = 0; ///< The worker's clock, ms,
-    MonotonicInstant m_clockSampledBy; ///< which it had passed at this time of ours.
-    std::int64_t m_heardOnClock = 0; ///< Answers may overtake each other.
+    std::int64_t m_clockSample = 0; ///< A time on the worker's clock, ms,
+    MonotonicInstant m_clockSampledBy; ///< reached at this local time at the latest.
+    std::int64_t m_heardOnClock = 0; ///< Newest time on the worker's clock, ms; responses may overtake each other.
     MonotonicInstant m_answeredAt; ///< When `m_heardOnClock` was received.
-    std::int64_t m_longestLease = 0; ///< On the worker's clock, ms.
+    std::int64_t m_longestLease = 0; ///< Latest granted lease, on the worker's clock, ms.
     TimerId m_timer = 0;
     MonotonicInstant m_timerAt;
 };
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Times the suspicion. A task that could run and waits for three seconds counts as forgotten.
+/// Pause per crash of the task. A task that waits for three seconds although it could run counts as forgotten.
 constexpr Millis retryPauseStep { 570 };
 
-/// Crashes on record from which the next one needs neither an acknowledgement nor an owner that saw the silence: as many as the platform asks
-/// for before a task may fail.
+/// Number of recorded crashes from which a further crash is inferred without an acknowledgement, and without an owner that observed the
+/// unresponsive worker. Equals the number that the platform requires before a task may fail.
 constexpr std::uint32_t crashesToInfer = minConfirmedCrashes;
 
-constexpr std::size_t maxAttemptsLogged = 8; // In one line on a lost worker.
+constexpr std::size_t maxAttemptsLogged = 8; // Per log line on a crashed worker.
 constexpr Millis workerCountAge { 100 };
 
 bool isSameIncarnation(std::int64_t startedAt, std::int64_t otherStartedAt)
@@ -22,13 +22,13 @@
     return startedAt == 0 || otherStartedAt == 0 || startedAt == otherStartedAt;
 }
 
-/// \returns Whether an unacknowledged start probably reached the worker: it was up when the start was sent, and was not heard of again.
+/// \returns Whether an unacknowledged start probably reached the worker: the worker was up when it was sent, and has not responded since.
 bool wasProbablyDelivered(const LiveAttempt& live, const WorkerSession& session)
 {
     return live.sentOnClock > 0 && Millis(session.heardOnClock() - live.sentOnClock) < minProbation;
 }
 
-/// \returns Whether its progress tells that an attempt has run for much longer than the longest probation.
+/// \returns Whether the progress shows that an attempt has run for much longer than the longest probation.
 bool hasProgressed(const LiveAttempt& live, const StepSpec& step)
 {
     return step.longRunning ? live.percent >= 100 : step.estimate * live.percent / 100 >= 2 * maxProbation;
@@ -68,7 +68,7 @@
     return m_livingWorkers;
 }
 
-/// Index entries whose probations have been settled are dropped.
+/// Also drops index entries without unsettled probations.
 std::vector<CrashTracker::OpenStart> CrashTracker::openStartsAt(const std::string& worker)
 {
     std::vector<OpenStart> open;
@@ -92,7 +92,7 @@
     return open;
 }
 
-/// \returns Those at the incarnation that the session speaks with.
+/// \returns The starts at the incarnation of the session.
 std::vector<CrashTracker::OpenStart> CrashTracker::openStartsOf(const WorkerBook& worker)
 {
     std::vector<OpenStart> open = openStartsAt(worker.entry.id);
@@ -146,7 +146,7 @@
     for (const OpenStart& start : openStartsOf(worker)) {
         if (worker.bookings.contains(start.attempt()))
             continue;
-        // Its attempt is gone with an expired lease or a previous owner, but the worker answers.
+        // The attempt was discarded with an expired lease or a previous owner, but the worker responds.
         if (start.probation.isAcknowledged)
             survived.push_back(start.attempt());
         else
@@ -199,7 +199,7 @@
     }
 }
 
-/// \returns The live attempts at the worker of jobs that are not over.
+/// \returns The live attempts at the worker, without those of finished jobs.
 std::vector<LostAttempt> CrashTracker::bookedAttempts(const WorkerBook& worker) const
 {
     std::vector<LostAttempt> booked;
@@ -219,14 +219,16 @@
     return booked;
 }
 
-/// \returns Whether a start on record that no owner lived to see acknowledged or silent confirms a crash all the same: its incarnation has
-/// ended without a word to this owner, and earlier crashes of the task are on record. A single one may be a start that was never sent.
+/// \returns Whether a recorded start that no owner has seen acknowledged or overdue confirms a crash nevertheless: its incarnation has
+/// ended without a response to this owner, and the task has earlier recorded crashes. A single record may belong to a start that was
+/// never sent.
 bool CrashTracker::isInferred(const OpenStart& start, const WorkerBook& worker)
 {
     return !worker.session->isMet() && start.job->state.find(start.task)->crashes.total() >= crashesToInfer;
 }
 
-/// \returns What was at a worker that is over, the youngest first. \param open At that incarnation, those of booked attempts among them.
+/// \returns The attempts lost in a worker crash, latest start first.
+/// \param open Starts on probation at that incarnation, including those of reserved attempts.
 std::vector<LostAttempt> CrashTracker::lostAttempts(const WorkerBook& worker, const std::vector<OpenStart>& open) const
 {
     std::vector<LostAttempt> lost;
@@ -250,7 +252,7 @@
     noteInheritedLoss(worker);
     const std::vector<OpenStart> open = openStartsOf(worker);
     std::vector<LostAttempt> lost = worker.endOrdered ? std::vector<LostAttempt>() : lostAttempts(worker, open);
-    // A worker serves on for seconds after it has announced its end: it crashed if it fell silent right after a start.
+    // A draining worker continues for seconds: it crashed if it became unresponsive right after a start.
     const Millis probation = m_attributor.probation(livingWorkers(), m_state.now());
     const auto wasSurvived = [probation](const LostAttempt& each) { return each.isAdopted || each.survived.value_or(Millis(0)) >= probation; };
     if (worker.entry.draining && std::all_of(lost.begin(), lost.end(), wasSurvived))
@@ -259,7 +261,7 @@
         std::for_each(open.begin(), open.end(), [this](const OpenStart& start) { withdraw(start, "planned-end"); });
         return std::nullopt;
     }
-    // Of a worker that this owner never met, only what a previous owner left speaks.
+    // For a worker that never responded to this owner, only the records of a previous owner count.
     if (lost.empty() && !worker.session->isMet())
         return std::nullopt;
     const CrashVerdict verdict = m_attributor.attribute(lost, livingWorkers(), m_state.now());
@@ -269,7 +271,7 @@
         attributeCrash(suspect.attempt, worker.entry.id, suspect.survived.has_value());
     for (const LostAttempt& start : verdict.possibleSuspects)
         attributeCrash(start.attempt, worker.entry.id, false);
-    // The others were there by chance.
+    // The other starts are not the cause.
     std::for_each(open.begin(), open.end(), [this](const OpenStart& start) { withdraw(start, "survived"); });
     return verdict.failed;
 }
@@ -297,7 +299,7 @@
         m_state.options.log->change("first-starts-recorded", { { "pools", pools } });
 }
 
-/// Once inherited tasks start again, only the attempts that were adopted may be of previous owners.
+/// Once inherited tasks may start again, only adopted attempts can stem from previous owners.
 void CrashTracker::noteInheritedLoss(const WorkerBook& worker)
 {
     if (!m_isInheritedSettled)
@@ -325,7 +327,7 @@
     }
 }
 
-/// One line on what was at a worker that is over: for each attempt, the youngest first, how long the worker answered after it had
+/// Logs the attempts lost in a worker crash, latest start first, each with the time for which the worker responded after it had
 /// acknowledged the start.
 void CrashTracker::logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& verdict) const
 {
--- a/src/jobs/owner/crash_tracker.h
+++ b/src/jobs/owner/crash_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Tracks which starts workers survive, and attributes the crashes of those that do not.
+/// Tracks which starts workers survive, and attributes the crashes of workers that do not.
 
 #include "lanemoor/jobs/policy/crash_attribution.h"
 #include "owner_state.h"
@@ -11,50 +11,51 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Settles the probations of starts, over changes of owner too.
+/// \brief Settles the probations of starts, also across changes of owner.
 ///
-/// A start is on probation if its task is suspect or its worker is silent. The probation is stored, and only the fate of the worker's
-/// incarnation settles it: an answer shows that the worker survived, the proof that the incarnation is over makes it a crash, which is
-/// confirmed if the start had been acknowledged. An expired lease or the loss of an owner proves neither.
+/// A start is on probation if its task is suspect or its worker is unresponsive. The probation is stored, and only the fate of the worker's
+/// incarnation settles it: a response shows that the worker survived; proof that the incarnation has ended makes it a crash, which is
+/// confirmed if the start had been acknowledged. An expired lease or the crash of an owner proves neither.
 class CrashTracker {
 public:
     CrashTracker(OwnerState& state, SchedulerCounts& counts);
 
-    /// \brief Takes over the probations that a previous owner left with a job.
+    /// \brief Loads the probations that a previous owner stored with a job.
     void load(const OwnerJob& job);
 
-    /// \brief An attempt that a previous owner started was found running. Its worker may have survived the start for too short a time.
+    /// \brief Notes a running attempt that a previous owner started. Its worker may not have run it long enough to have survived the start.
     void noteAdopted(WorkerBook& worker, OwnerJob& job, const Attempt& attempt, std::int64_t workerClock);
 
-    /// \brief The worker has answered: settles the starts that it survived or never got.
+    /// \brief Notes a response: settles the starts that the worker survived or never received.
     void noteAnswer(WorkerBook& worker);
 
-    /// \brief A worker is silent: puts the starts on probation that it may not have survived. The proof that it is over takes a second
-    /// and more, in which the owner may be lost too.
+    /// \brief Notes an unresponsive worker: puts the starts on probation that may have crashed it. Proof of its end takes a second
+    /// or more, in which the owner may crash too.
     void noteSilence(WorkerBook& worker);
 
-    /// \brief A worker owes an answer: the starts on probation there may have crashed it. If this owner is lost before the worker is
-    /// silent for certain, the next one knows.
+    /// \brief Notes an overdue response: the starts on probation at the worker may have crashed it. The note is stored, so that it survives
+    /// a crash of this owner before the worker counts as unresponsive.
     void noteOverdue(WorkerBook& worker);
 
-    /// \brief The lease of a silent worker has expired, though it may live on: its probations outlast its attempts.
+    /// \brief Notes the expiry of the lease of an unresponsive worker, which may still be up: its probations outlast its attempts.
     void noteLeaseExpired(WorkerBook& worker);
 
-    /// \brief The worker's incarnation is over: attributes its crash, unless its end was ordered or announced.
-    /// \returns An attempt whose task fails permanently, if there is one.
+    /// \brief Notes the end of the incarnation: attributes its crash, unless the end was ordered or announced.
+    /// \returns An attempt whose task fails permanently, if any.
     [[nodiscard]] std::optional<Attempt> noteOver(WorkerBook& worker);
 
-    /// \brief The worker has survived a start of the attempt's task, which clears the task.
+    /// \brief Notes that the worker has survived a start of the attempt's task, which clears the task.
     void noteSurvived(WorkerBook& worker, OwnerJob& job, const Attempt& attempt);
 
-    /// \brief Tasks of previous owners are about to start again: a worker that has not answered by now may have crashed under them.
+    /// \brief To be called before tasks of previous owners start again: a worker that has not responded by now may have crashed
+    /// under one of them.
     void noteUnanswering();
 
-    /// \brief Settles probations at incarnations that no session speaks with.
-    /// \param isProvedOver Whether all that may live is known, so that an absent one is over.
+    /// \brief Settles probations at incarnations without a session.
+    /// \param isProvedOver Whether all incarnations that may be up are known, so that an unknown one has ended.
     void settleAbsent(bool isProvedOver);
 
-    /// \returns How long a suspect task waits before its next start, so that independent crashes become rarer and fall out of step.
+    /// \returns The pause before the next start of a suspect task, which makes coinciding unrelated crashes less likely.
     [[nodiscard]] Millis retryPause(const Attempt& attempt) const;
 
 private:
@@ -65,7 +66,7 @@
         Probation probation;
 
         [[nodiscard]] Attempt attempt() const { return { job->state.id(), task, probation.attempt }; }
-        /// \returns Whether it is the task's live attempt.
+        /// \returns Whether this is the task's live attempt.
         [[nodiscard]] bool isLive() const;
     };
 
@@ -85,7 +86,7 @@
     CrashAttributor m_attributor;
     bool m_isInheritedSettled = false; ///< Tasks of previous owners may start again.
     std::size_t m_livingWorkers = 0;
-    MonotonicInstant m_countWorkersAt; ///< When the living workers are counted anew.
+    MonotonicInstant m_countWorkersAt; ///< Next update of `m_livingWorkers`.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A batch task of the platform's callers takes some 1 s: before that, room may come by itself.
+/// Min wait of a task: batch tasks of the platform's callers take about 1 s, so capacity may become free without a displacement.
 constexpr Millis patience { 1'000 };
-/// Between two displacements: a stop and a start elsewhere take up to 0.9 s by the platform's bound.
+/// Between two displacements: by the platform's bound, a stop and a start on another worker take up to 0.9 s.
 constexpr Millis pause { 1'000 };
 
-/// Room that was made is kept so long: for the stop, and for the tasks to start.
+/// How long freed capacity is reserved: covers the stop and the start of the waiting tasks.
 constexpr Millis kept { 2'000 };
 
 } // namespace
@@ -52,7 +52,7 @@
             continue;
         m_state.options.log->decision("room-made", { { "worker", id }, { "job", job.id() }, { "label", spec.requiredLabel }, { "attempts", static_cast<std::int64_t>(moved.size()) } });
         for (const Attempt& attempt : moved) {
-            // Each stop takes a task of its step away: the others may have to wait for the next round.
+            // Each stop reduces the running tasks of its step: the other attempts may have to wait for the next run.
             if (mayDisrupt(m_state, m_state.job(attempt.job)->state, attempt.task))
                 m_orders.stop(attempt, id);
         }
@@ -63,8 +63,8 @@
     }
 }
 
-/// \returns Attempts without which the worker has room for a task of `step`; empty: it can't be made.
-/// Budgets may allow only some of them to go now.
+/// \returns The attempts to stop so that a task of `step` fits on the worker; empty: not possible.
+/// Budgets may allow only some of the stops now.
 std::vector<Attempt> Displacement::movable(const WorkerBook& worker, const StepSpec& step)
 {
     std::vector<Attempt> moved;
--- a/src/jobs/owner/displacement.h
+++ b/src/jobs/owner/displacement.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Makes room on workers with a label for tasks that can run nowhere else.
+/// Frees capacity on labelled workers for tasks that require the label.
 
 #include "order_desk.h"
 #include "other_sites.h"
@@ -8,10 +8,10 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Moves long-running tasks that don't need a label off workers that have it, if tasks
-/// that do need it have waited a while and another worker has room for the ones moved.
+/// \brief Moves long-running tasks that don't require a label off workers that have it, if tasks
+/// that require it have waited for a while and other workers have capacity for the moved ones.
 ///
-/// Batch tasks are left to end by themselves. One worker is cleared at a time, and never more of
+/// Batch tasks are not moved. One worker is cleared at a time, and never more tasks of
 /// a step than its disruption budget allows.
 class Displacement {
 public:
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::uint32_t atWorkPercent = 100;
-/// A stop takes up to 0.9 s at a worker by the platform's bound: so long after an attempt was
-/// adopted, a former owner's stop of it may still be under way.
+/// By the platform's bound a stop takes up to 0.9 s at a worker: for this long after an attempt was
+/// adopted, a stop command of a previous owner may still be in progress.
 constexpr Millis formerStops { 1'500 };
-/// Most batch tasks take less; those that take longer are stopped, since instances wait.
+/// Most batch tasks take less time; longer ones are stopped, since maintenance and moves wait for the instance.
 constexpr Millis batchPatience { 4'000 };
 
 bool isAtWork(const OwnerState& state, const TaskState& task)
@@ -64,7 +64,7 @@
     }
     for (const Attempt& attempt : stopping) {
         const Booking& booking = worker.bookings.at(attempt);
-        // Checked again one by one: each stop takes a task of its step away.
+        // Checked again for each attempt, since each stop reduces the running tasks of its step.
         if (!mayStop(attempt, booking, worker))
             continue;
         if (!booking.step->longRunning)
@@ -87,7 +87,7 @@
     return !mustFindRoom || m_others.hasRoomFor(job->state, { attempt.task.occurrence, attempt.task.step }, worker);
 }
 
-/// Members of a gang are left alone: all of them would have to move at once.
+/// Gang members are not moved: the whole gang would have to move at once.
 bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker)
 {
     const TaskState& task = *job.find(attempt.task);
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Empties workers that are to be maintained, moved or that drain.
+/// Empties workers before maintenance or a move, while they drain, and in evacuated data halls.
 
 #include "order_desk.h"
 #include "other_sites.h"
@@ -12,10 +12,9 @@
 namespace lanemoor::jobs {
 
 /// \brief Stops long-running tasks on workers that are being emptied, so that they start
-/// elsewhere; never more of a step at once than its disruption budget allows. Batch tasks are
-/// left to end by themselves for a while; in an evacuated data hall those with a checkpoint move that take longer there than elsewhere.
-/// On a worker that lives on, tasks stay that need a label and
-/// would find no room elsewhere: they go when another instance with it has come.
+/// on other workers; never more of a step at once than its disruption budget allows. Batch tasks may
+/// finish within a time limit; in an evacuated data hall, those with a checkpoint are moved if finishing takes longer than moving.
+/// On a worker that stays up, a task that requires a label remains until another worker with the label has capacity for it.
 class Evacuation {
 public:
     Evacuation(OwnerState& state, OrderDesk& orders);
@@ -30,14 +29,14 @@
     OwnerState& m_state;
     OrderDesk& m_orders;
     OtherSites m_others;
-    /// Pools and labels of which a batch task found no room elsewhere: no other one of the kind is looked at in this run.
+    /// Pools and labels without capacity for a batch task on another worker; further tasks of the same kind are skipped in this run.
     std::set<std::pair<std::string, std::string>> m_full;
 };
 
-/// \returns Whether the budget of its step allows that a long-running task is taken away now.
+/// \returns Whether the disruption budget of its step allows a stop of the long-running task now.
 [[nodiscard]] bool mayDisrupt(const OwnerState& state, const JobState& job, const TaskId& task);
 
-/// \returns Tasks of `step`, other than `except`, that are not at work as far as their workers tell.
+/// \returns The number of tasks of `step`, other than `except`, that are not reported as running.
 [[nodiscard]] std::uint32_t tasksAway(const OwnerState& state, const JobState& job, const StepId& step, std::uint32_t except);
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_keeper.cpp
@@ -25,16 +25,16 @@
 namespace {
 
 constexpr Millis storeRetry { 300 };
-constexpr int planShare = 10; // A plan takes a tenth of the time at the most.
-constexpr Millis useLogPause { 1'000 }; // Between lines on what the instances are doing.
-constexpr Millis recordLasts { 500 }; // An act is sent this soon after its record was asked for, or not at all.
-/// An act reaches the platform this soon after its record was asked for, with some time for its way.
+constexpr int planShare = 10; // Planning takes at most a tenth of the time.
+constexpr Millis useLogPause { 1'000 }; // Between two log lines on the use of the fleet.
+constexpr Millis recordLasts { 500 }; // A call is sent within this time after its record was requested, or not at all.
+/// Max time from the request of a call's record until the call reaches the platform, transit included.
 constexpr Millis actSpread { 700 };
-constexpr std::size_t mostActsUnderWay = 128; // Some hundred ms of answers on the few connections to the platform.
-constexpr Millis actsRefresh { 1'000 }; // Some three calls after the last act of a burst.
-constexpr Millis lateAct { 3'000 }; // An act without an answer is settled by the list after this.
-constexpr Millis retryBusy { 500 }; // An instance that was busy is looked at again after this.
-/// Beyond the maintenance time itself: the order's way, and the worker's start.
+constexpr std::size_t mostActsUnderWay = 128; // Worth some hundred ms of responses on the few connections to the platform.
+constexpr Millis actsRefresh { 1'000 }; // About three more writes after the last call of a burst.
+constexpr Millis lateAct { 3'000 }; // A call without a response is settled by the list after this time.
+constexpr Millis retryBusy { 500 }; // Pause before an instance that was busy is considered again.
+/// Margin beyond the maintenance time for the transit of the call and the start of the worker.
 constexpr Millis backMargin { 150 };
 
 } // namespace
@@ -106,28 +106,28 @@
     FleetCounts counts;
 
 private:
-    /// The life that the list last named on an instance.
+    /// The incarnation that the list last showed on an instance.
     struct ListedLife {
         std::string worker;
-        std::optional<MonotonicInstant> goneSince; ///< Since when lists name another one, or none.
+        std::optional<MonotonicInstant> goneSince; ///< Since when lists show another incarnation or none.
     };
 
-    /// An instance after an act, until the list must have caught up.
+    /// An instance after a call, until the list must reflect it.
     struct Acted {
         FleetInstance instance;
         MonotonicInstant until;
-        std::string emptied; ///< The worker that waits for an act without an answer; empty: none.
+        std::string emptied; ///< The worker kept empty because its call got no response; empty: none.
     };
 
     [[nodiscard]] bool mayAct() const { return m_active && m_options.ownership->isHeld() && m_mayAct; }
 
-    /// Calls `step` later unless the term is over by then.
+    /// Runs `step` after `pause` if the term has not ended.
     void later(Millis pause, std::function<void()> step) { m_options.loop->callAt(m_options.loop->now() + pause, unlessOver(std::move(step))); }
 
-    /// Calls `step`, which calls the store, later or when the store answers again.
+    /// Runs `step`, which calls the store, after a pause or when the store is available again.
     void laterAtStore(std::function<void()> step) { m_storeRetries.runLater(storeRetry, unlessOver(std::move(step))); }
 
-    /// \returns `step`, which does nothing once the term is over.
+    /// \returns `step`, wrapped so that it does nothing once the term has ended.
     [[nodiscard]] std::function<void()> unlessOver(std::function<void()> step)
     {
         return [self = weak_from_this(), generation = m_generation, step = std::move(step)] {
@@ -137,7 +137,7 @@
         };
     }
 
-    /// Wraps a callback so that it is heard within this term only.
+    /// Wraps a callback so that it only runs within this term.
     template <typename Result>
     std::function<void(Result)> inTerm(std::function<void(const Result&)> callback)
     {
@@ -148,8 +148,8 @@
         };
     }
 
-    /// What the former owner acted on of late is left alone for the time of a handover; all
-    /// else may be acted on at once.
+    /// Reads the calls of the previous owner. Instances of its recent calls are left alone during the handover; all
+    /// others may be changed at once.
     void readActs()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
@@ -167,7 +167,7 @@
         }));
     }
 
-    /// After a record without an answer: the next one must replace what is there now.
+    /// Reads the revision of the record after a write without a response: the next write must replace the current revision.
     void readActsRevision()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
@@ -180,8 +180,8 @@
         }));
     }
 
-    /// \param age When the record was written; it was written before now, so the act is at least
-    /// as old. The next owner must hear of it too, should this one not last.
+    /// \param age Age of the call when the record was written, so a lower bound of its age now. Kept in this owner's records too, for
+    /// the next owner in case this one crashes soon.
     void noteFormerAct(const std::string& instance, Millis age)
     {
         const MonotonicInstant asked = m_options.loop->now() - age;
@@ -189,7 +189,7 @@
         m_recentActs[instance] = asked;
     }
 
-    /// What the former owner acted on of late may be down for its maintenance, answered or not.
+    /// Instances of the previous owner's recent calls may be down for maintenance, whether or not the calls were answered.
     void noteFormerMaintenance(MaintenancePlan& plan)
     {
         for (const auto& [instance, actedBy] : m_formerActs) {
@@ -198,23 +198,23 @@
         }
     }
 
-    /// \returns When an instance whose maintenance begins at `begin` at the latest is surely back.
+    /// \returns When an instance whose maintenance begins no later than `begin` is certainly up again.
     [[nodiscard]] MonotonicInstant backAfter(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + backMargin; }
 
-    /// \returns Whether the former owner acted on it too short a time ago.
+    /// \returns Whether the previous owner's last call for the instance is too recent.
     [[nodiscard]] bool isBlocked(const std::string& instance) const
     {
         const auto found = m_formerActs.find(instance);
         return found != m_formerActs.end() && m_options.loop->now() < found->second + m_options.handover;
     }
 
-    /// \returns How long an act must stand in the record: for as long as a successor must leave
+    /// \returns How long a call must be kept in the record: as long as a successor must leave
     /// the instance alone, or count it as down.
     [[nodiscard]] Millis actsKept() const { return actSpread + std::max(m_options.handover, m_options.maintenanceTime + backMargin); }
 
-    /// Records an act under the ownership's condition before it is sent: an owner that was
-    /// superseded without knowing it can send none. Acts of one turn of the loop share a record.
-    /// \param send Told whether the act may be sent.
+    /// Records a call before it is sent, on condition of the ownership: an owner that was
+    /// superseded without noticing can't send any. Calls of one turn of the event loop share a record.
+    /// \param send Receives whether the call may be sent.
     void record(const std::string& instance, std::function<void(bool)> send)
     {
         m_recentActs[instance] = m_options.loop->now();
@@ -231,7 +231,7 @@
         std::map<std::string, Millis> ages;
         for (const auto& [instance, at] : m_recentActs)
             ages[instance] = std::chrono::duration_cast<Millis>(now - at);
-        // Under its own revision too: a record that is carried out late must not undo a newer one.
+        // Also conditional on its own revision: a delayed write must not undo a newer one.
         const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_actsRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
         m_mayAct = false;
         const MonotonicInstant sentAt = m_options.loop->now();
@@ -248,8 +248,8 @@
         }));
     }
 
-    /// A record says how old acts were when it was written: it is written again while that matters,
-    /// so that a successor need not take old acts for new ones.
+    /// A record holds the ages of calls at the time of writing. It is rewritten while these ages matter,
+    /// so that a successor does not take old calls for recent ones.
     void refreshActs()
     {
         const bool isOld = m_options.loop->now() - m_actsWrittenAt >= actsRefresh;
@@ -257,7 +257,7 @@
             writeActs();
     }
 
-    /// Reads how far the wave has come before it goes on.
+    /// Reads the progress of the wave before it continues.
     void begin(const WaveRequest& wave)
     {
         m_options.store->read(waveKey(wave.number), inTerm<ReadResult>([this, wave](const ReadResult& result) {
@@ -273,7 +273,7 @@
         }));
     }
 
-    /// Plans as soon as plans may: each list, and each act that is answered, asks for one.
+    /// Plans as soon as the time share permits; requested by each list and each answered call.
     void planSoon() { planAt(std::max(m_options.loop->now(), m_planFrom)); }
 
     void planAt(MonotonicInstant when)
@@ -295,13 +295,13 @@
         const MonotonicInstant begin = m_options.loop->now();
         plan();
         refreshActs();
-        // On a fleet of a thousand instances a plan takes some ms: it may take a part of the time only, whoever asks.
+        // A plan of a fleet of a thousand instances takes some ms: its share of the time is bounded regardless of the requests.
         const MonotonicInstant end = m_options.loop->now();
         m_planFrom = begin + planShare * (end - begin);
         planAt(std::max(end + m_options.planEvery, m_planFrom));
     }
 
-    /// Lists the fleet again and again.
+    /// Polls the list of the fleet.
     void list()
     {
         m_options.fleet->list(inTerm<FleetList>([this, askedAt = m_options.loop->now()](const FleetList& list) {
@@ -336,11 +336,11 @@
         }
     }
 
-    /// \returns Whether lists show by now what came of the act.
+    /// \returns Whether lists reflect the outcome of the call by now.
     [[nodiscard]] bool isCaughtUp(const Acted& acted) const { return m_options.loop->now() >= acted.until; }
 
-    /// An act without an answer whose worker is listed as before was not carried out: the
-    /// worker may have work again.
+    /// If a call without a response left the listed worker unchanged, it was not carried out: the
+    /// worker may be open for tasks again.
     void settleAct(const FleetInstance& instance)
     {
         const auto acted = m_acted.find(instance.id);
@@ -352,9 +352,9 @@
         }
     }
 
-    /// A life that the list named and names no more is over, whether its worker answers or not.
-    /// One list may be older than the one before, and an entry may be missing for a while: only
-    /// what lists show for longer than they lag is believed.
+    /// An incarnation that the list showed and no longer shows has ended, whether or not its worker responds.
+    /// A list may be older than the previous one, and an entry may be missing for a while, so a change
+    /// only counts once lists have shown it for longer than they lag.
     void noteLives(const FleetInstance& instance)
     {
         ListedLife& life = m_lives[instance.id];
@@ -372,7 +372,7 @@
         life = { instance.worker, std::nullopt };
     }
 
-    /// Shows an instance as it is after an act until the list must have caught up.
+    /// Overrides the listed instance with its state after a call, until the list must reflect it.
     void noteActed(const std::string& id, const std::string& pool, FleetState state, Millis time)
     {
         FleetInstance& instance = m_list[id];
@@ -383,10 +383,10 @@
         m_acted[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
     }
 
-    /// Instances that take work, by pool and kind.
+    /// Instances open for tasks, by pool and kind.
     using SoundCounts = std::map<std::pair<std::string, std::string>, std::size_t>;
 
-    /// \returns The use of the instance's worker, or null if that is not known.
+    /// \returns The use of the instance's worker, or null if it is unknown.
     [[nodiscard]] const WorkerUse* useOf(const FleetInstance& instance) const
     {
         const auto use = m_uses.find(instance.worker);
@@ -405,7 +405,7 @@
         return sound;
     }
 
-    /// \returns Whether tasks that need the worker's kind of instance have no other one of its pool.
+    /// \returns Whether no other open instance of the pool has this kind, which some tasks require.
     [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const SoundCounts& sound)
     {
         const auto known = sound.find({ instance.pool, instance.kind });
@@ -413,7 +413,7 @@
         return all == (takesWork(use) ? 1U : 0U);
     }
 
-    /// Empties a worker, or lets it have work again; the plan under way goes by that too.
+    /// Starts or stops the evacuation of a worker, and updates the current plan accordingly.
     void setEvacuating(const std::string& worker, bool evacuating)
     {
         m_options.scheduler->setEvacuating(worker, evacuating);
@@ -443,7 +443,7 @@
                 candidate.lastOfKind = candidate.pinned && isLastOfKind(instance, use, sound);
                 candidate.evacuatingSince = use->evacuatingSince;
             } else if (!candidate.reserve) {
-                // A worker that is not known here may run what nobody has looked at.
+                // An unknown worker may run tasks that are not recorded here.
                 candidate.up = false;
             }
             fleet.push_back(std::move(candidate));
@@ -461,7 +461,7 @@
         logUse();
     }
 
-    /// One line a second on what the instances are doing.
+    /// Logs the use of the fleet once per second.
     void logUse()
     {
         const MonotonicInstant now = m_options.loop->now();
@@ -496,7 +496,7 @@
         m_options.log->decision("fleet-use", { { "off", off }, { "away", away }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
     }
 
-    /// \returns Each pool's load before its instances are counted.
+    /// \returns The load of each pool, without its instances.
     [[nodiscard]] std::map<std::string, PoolLoad> demandedLoads()
     {
         std::map<std::string, PoolDemand> demands = m_options.scheduler->demands();
@@ -520,7 +520,7 @@
         return loads;
     }
 
-    /// \returns An instance as capacity planning sees it. \param use Null if its worker is not known.
+    /// \returns The input of capacity planning for an instance. \param use Null if its worker is unknown.
     [[nodiscard]] PoolInstance instanceOf(const FleetInstance& instance, const WorkerUse* use, bool reserve) const
     {
         const bool isUp = instance.state == FleetState::Up;
@@ -532,7 +532,7 @@
         seen.sound = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
         seen.coming = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
         const bool isClosed = this->isClosed(instance, use);
-        // One on its way there will take no work either.
+        // An instance that is moving there won't be open for tasks either.
         seen.sound = seen.sound && (reserve || !isClosed);
         if (isOrdered(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
@@ -549,7 +549,7 @@
         return seen;
     }
 
-    /// \returns The pool that the instance counts in: an instance on its way counts where it goes.
+    /// \returns The pool in which the instance counts: for a moving instance, the destination.
     [[nodiscard]] const std::string& destinationOf(const FleetInstance& instance) const
     {
         const auto moving = m_moving.find(instance.id);
@@ -579,10 +579,10 @@
         return list;
     }
 
-    /// \returns Whether an act on the instance is under way.
+    /// \returns Whether a call for the instance is in progress.
     [[nodiscard]] bool isOrdered(const std::string& instance) const { return m_moving.contains(instance) || m_acted.contains(instance); }
 
-    /// \returns Acts that the platform takes now, and that can all leave while their record is fresh.
+    /// \returns The number of calls that the platform accepts now and that can all be sent while their record is fresh.
     [[nodiscard]] std::size_t mostActs()
     {
         const std::size_t left = mostActsUnderWay - std::min(m_moving.size(), mostActsUnderWay);
@@ -607,14 +607,14 @@
         for (const CapacityDrain& drain : step.drains)
             this->drain(drain);
         moveDrained();
-        // Half of what is left, as for other instances that go off: a rise of load must find some.
+        // Half of the remaining calls, as for other instances that are powered off: a rise of load must find some.
         powerOffEvacuated((most - std::min(most, step.moves.size() + step.drains.size())) / 2);
     }
 
-    /// \returns Whether the instance's data hall is evacuated or lost. Of a lost one, workers serve that were taken back.
+    /// \returns Whether the instance's data hall is evacuated or lost. Readmitted workers of a lost hall count as open.
     [[nodiscard]] bool isClosed(const FleetInstance& instance, const WorkerUse* use) const { return !m_domains->serves(instance.dataHall) && !(use && use->sound); }
 
-    /// An instance of a data hall that is evacuated or lost is no help to the pool that it is emptied for.
+    /// An instance of a data hall that is evacuated or lost does not help the pool that it is drained for.
     void undrainClosed()
     {
         std::vector<std::string> closed;
@@ -627,7 +627,7 @@
             undrain(id);
     }
 
-    /// \returns Instances of evacuated data halls on which nothing runs, whatever the pool.
+    /// \returns Instances of evacuated data halls without tasks, in all pools.
     [[nodiscard]] std::vector<EmptiedInstance> emptied() const
     {
         std::vector<EmptiedInstance> list;
@@ -673,7 +673,7 @@
         m_draining.erase(found);
     }
 
-    /// Moves the instances whose workers are empty by now.
+    /// Moves the drained instances whose workers are empty.
     void moveDrained()
     {
         std::vector<CapacityDrain> empty;
@@ -690,7 +690,7 @@
             move({ drain.instance, drain.from, drain.to });
     }
 
-    /// One line for each change of a pool's size or target.
+    /// Logs each change of a pool's size or target.
     void logSize(const PoolLoad& pool)
     {
         const std::pair<std::uint32_t, std::uint32_t> size { static_cast<std::uint32_t>(pool.instances.size()), m_capacity.target(pool) };
@@ -706,7 +706,7 @@
     {
         const std::string worker = m_list[move.instance].worker;
         m_moving[move.instance] = move.to;
-        // No task may be placed there between this decision and the act.
+        // No task may be placed there between this decision and the call.
         setEvacuating(worker, true);
         m_options.log->decision("instance-move", { { "instance", move.instance }, { "from", move.from }, { "to", move.to }, { "worker", worker } });
         record(move.instance, [this, move, worker](bool may) {
@@ -737,8 +737,8 @@
         if (outcome == FleetOutcome::NotDone)
             m_actBudget.drain();
         counts.unknown += outcome == FleetOutcome::Unknown ? 1 : 0;
-        // An act without an answer may yet be carried out: the instance stays empty, and
-        // the list will show where it is.
+        // A call without a response may still be carried out: the instance stays empty, and
+        // the list will show its pool.
         noteActed(move.instance, move.from, FleetState::Moving, outcome == FleetOutcome::Unknown ? lateAct : retryBusy);
         if (outcome == FleetOutcome::Unknown)
             m_acted[move.instance].emptied = worker;
@@ -848,8 +848,8 @@
 
     void writeStatus(std::uint64_t number, bool finished)
     {
-        // A wave is called running only while nothing was said of it, so that this, carried out
-        // late, can't take back that it is finished.
+        // The status "running" is only written if the wave has none, so that a delayed write
+        // can't revert "finished".
         std::vector<KeyRevision> expected { m_options.ownership->condition() };
         if (!finished)
             expected.push_back({ m_options.documents->waveStatusKey(number), 0 });
@@ -861,8 +861,8 @@
         }));
     }
 
-    /// For a successor; if this write is lost, it orders some maintenance again, which the
-    /// platform knows as done.
+    /// Stores the progress for a successor. If this write is lost, the successor orders some maintenance again, which the
+    /// platform recognises as done.
     void writeRecord(const MaintenancePlan& plan)
     {
         const Transaction transaction { .expected = { m_options.ownership->condition() }, .writes = { { waveKey(plan.wave().number), encode(plan.done()), 0 } }, .removals = {} };
@@ -874,30 +874,30 @@
     bool m_active = false;
     TimerId m_planTimer = 0;
     MonotonicInstant m_planDueAt;
-    MonotonicInstant m_planFrom; ///< No plan before this.
-    WorkerUses m_uses; ///< When the plan under way began, with what it changed since.
+    MonotonicInstant m_planFrom; ///< Time of the next plan at the earliest.
+    WorkerUses m_uses; ///< As of the start of the current plan, with the changes that it has made.
     bool m_listAnswers = true;
     std::uint64_t m_generation = 0;
     Ownership m_ownership;
-    bool m_mayAct = false; ///< The former owner's acts are known, and no record is under way.
+    bool m_mayAct = false; ///< The previous owner's calls are known, and no write of the record is in progress.
     std::uint64_t m_actsRevision = 0;
-    std::map<std::string, MonotonicInstant> m_formerActs; ///< When the former owner's act on an instance was over at the latest.
+    std::map<std::string, MonotonicInstant> m_formerActs; ///< Latest time at which the previous owner's call for an instance took effect.
     MonotonicInstant m_actsWrittenAt;
-    std::map<std::string, MonotonicInstant> m_recentActs; ///< When acts, the former owner's too, were asked for.
-    std::vector<std::function<void(bool)>> m_unsent; ///< Acts that wait for their record.
+    std::map<std::string, MonotonicInstant> m_recentActs; ///< When calls, including those of the previous owner, were requested.
+    std::vector<std::function<void(bool)>> m_unsent; ///< Calls that wait for their record.
     std::map<std::uint64_t, WaveRequest> m_waves;
     std::map<std::uint64_t, MaintenancePlan> m_plans;
     std::set<std::uint64_t> m_finished;
     std::map<std::string, FleetInstance> m_list;
-    std::map<std::string, Acted> m_acted; ///< Instances that the list may show as they were.
-    std::map<std::string, std::string> m_moving; ///< Instances whose move is not answered yet, and where they go.
-    std::map<std::string, CapacityDrain> m_draining; ///< Instances that are emptied for another pool.
+    std::map<std::string, Acted> m_acted; ///< Instances that the list may show in their previous state.
+    std::map<std::string, std::string> m_moving; ///< Destinations of moves without a response yet, by instance.
+    std::map<std::string, CapacityDrain> m_draining; ///< Instances that are drained for another pool.
     std::map<std::string, ListedLife> m_lives; ///< By instance.
     std::map<std::string, MonotonicInstant> m_idleSince;
-    std::shared_ptr<const FailureDomainStatus> m_domains; ///< As of the plan under way.
+    std::shared_ptr<const FailureDomainStatus> m_domains; ///< As of the current plan.
     CapacityPlan m_capacity;
     EvacuationMoves m_evacuationMoves;
-    CallBudget m_actBudget; ///< For acts on instances. A drain counts when it begins.
+    CallBudget m_actBudget; ///< For calls that change instances. A drain counts when it begins.
     MonotonicInstant m_useLoggedAt;
     std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> m_loggedSizes; ///< Instances and target, by pool.
 };
--- a/src/jobs/owner/hall_evacuations.cpp
+++ b/src/jobs/owner/hall_evacuations.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int readsWithinTrust = 4; // So that some may fail before the set is unconfirmed.
+constexpr int readsWithinTrust = 4; // Some reads may fail before the set is unconfirmed.
 
-/// \returns How long a set is confirmed; 0: for ever.
+/// \returns How long a set is confirmed; 0: without limit.
 Millis trustOf(const HallEvacuationsOptions& options)
 {
     return std::max(options.bound - options.startMargin, options.bound / 2);
@@ -47,7 +47,7 @@
     [[nodiscard]] bool isConfirmed() const { return known && (!hasBound() || m_options.loop->now() < m_trustedUntil); }
 
     std::function<void()> changed;
-    std::map<std::string, MonotonicInstant> requests; ///< When each was first read, by data hall.
+    std::map<std::string, MonotonicInstant> requests; ///< First read time of each request, by data hall.
     bool known = false;
     MonotonicInstant confirmedAt;
 
@@ -125,7 +125,7 @@
 
     [[nodiscard]] std::int64_t age() const { return std::chrono::duration_cast<Millis>(m_options.loop->now() - confirmedAt).count(); }
 
-    /// \returns Whether there were none.
+    /// \returns Whether the set is unchanged.
     bool noteChanges()
     {
         bool isSame = true;
@@ -155,12 +155,12 @@
     }
 
     HallEvacuationsOptions m_options;
-    std::uint64_t m_generation = 0; ///< Of the calls and timers under way.
-    std::set<std::string> m_pending; ///< Of the pages read so far.
-    MonotonicInstant m_askedAt; ///< For the first of these pages.
-    MonotonicInstant m_trustedUntil; ///< Meaningful with a bound.
+    std::uint64_t m_generation = 0; ///< Calls and timers of earlier generations are ignored.
+    std::set<std::string> m_pending; ///< Data halls in the pages read so far.
+    MonotonicInstant m_askedAt; ///< Send time of the read of the first page.
+    MonotonicInstant m_trustedUntil; ///< Only valid with a bound.
     TimerId m_trustTimer = 0;
-    bool m_isUnconfirmed = false; ///< It was logged that the set is too old.
+    bool m_isUnconfirmed = false; ///< The expiry of the set was logged.
 };
 
 HallEvacuations::HallEvacuations(HallEvacuationsOptions options)
--- a/src/jobs/owner/hall_inventory.h
+++ b/src/jobs/owner/hall_inventory.h
@@ -1,21 +1,21 @@
 #pragma once
 /// \file
-/// Counts what remains in data halls that do not serve, and why.
+/// Counts the attempts that remain in data halls that are evacuated or lost.
 
 #include "lanemoor/jobs/owner/evacuation_report.h"
 #include "owner_state.h"
 
 namespace lanemoor::jobs {
 
-/// \brief Looks at the workers' books for operators; made for one look.
+/// \brief Evaluates the worker records for the reports to operators. Valid for one report only.
 class HallInventory {
 public:
     HallInventory(const OwnerState& state, const FailureDomainStatus& status);
 
-    /// \returns All data halls that do not serve.
+    /// \returns Reports on all data halls that are evacuated or lost.
     [[nodiscard]] std::vector<HallReport> halls() const;
 
-    /// \returns Data halls that do not serve, with how many of some attempts are there; those without any too if `all`.
+    /// \returns Data halls that are evacuated or lost, with the number of the given attempts there; those without any only if `all`.
     [[nodiscard]] std::vector<ClosedHallReport> closedFor(const std::vector<AttemptReport>& attempts, bool all) const;
 
 private:
--- a/src/jobs/owner/hall_watch.h
+++ b/src/jobs/owner/hall_watch.h
@@ -1,12 +1,12 @@
 #pragma once
 /// \file
-/// Keeps lost data halls from getting work, and lets them have work again part by part.
+/// Excludes lost data halls from placement, and readmits their workers step by step.
 
 #include "owner_state.h"
 
 namespace lanemoor::jobs {
 
-/// \brief Takes the findings of the detector over into the workers' books, and logs them.
+/// \brief Applies the findings of the detector to the worker records, and logs them.
 class HallWatch {
 public:
     explicit HallWatch(OwnerState& state)
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Between two looks at workers beyond the bound: each look counts all workers.
+/// Between two checks of failing workers beyond the bound: each check counts all workers.
 constexpr Millis ejectionPause { 250 };
-/// A run time below it is not judged: an end that is reported some tenths of a second late would make a short task look slow.
+/// Shorter run times are ignored: with an end that is reported some tenths of a second late, a short task would appear slow.
 constexpr Millis shortestJudged { 1'000 };
 constexpr double thousandths = 1'000;
 
@@ -22,7 +22,7 @@
     return worker.session && worker.session->isMet() && !worker.session->isSilent() && worker.starts.isAnswering();
 }
 
-/// \returns Whether the worker counts for the bound on ejections: what is closed or drains serves no more, and is not judged.
+/// \returns Whether the worker counts for the bound on ejections. Closed or draining workers serve no more tasks, and are not evaluated.
 bool mayServe(const WorkerBook& worker)
 {
     return worker.listed && worker.isHallOpen() && !worker.entry.draining;
@@ -108,8 +108,8 @@
     consider(worker);
 }
 
-/// Members of a gang wait for each other, and best-effort tasks are slowed down by throttling: their times say nothing of the worker. Nor
-/// do those that were reported while calls were overdue.
+/// Gang members wait for each other, and throttling slows best-effort tasks down: their run times are no evidence on the worker. Neither
+/// are run times that were reported while calls were overdue.
 void HealthMonitor::noteRunTime(WorkerBook& worker, const JobState& job, const Attempt& attempt, Millis observed)
 {
     const StepSpec& step = job.spec(attempt.task.step);
@@ -189,7 +189,7 @@
 void HealthMonitor::eject(WorkerBook& worker, HealthFault fault)
 {
     const MonotonicInstant now = m_state.now();
-    // Without an attempt since the last backoff the worker was not probed: it only left the stops of earlier attempts unanswered.
+    // Without an attempt since the last backoff the worker was not probed: only stops of earlier attempts are unanswered.
     if (worker.health.isOut(now) && !worker.probingAttempt)
         worker.health.postponeProbe(m_state.options.health, now);
     else
@@ -242,7 +242,7 @@
         const WorkerBook* book = m_state.worker(id);
         if (book && book->health.isOut(now))
             return false;
-        // Another incarnation has no record: it was not taken back but begins anew.
+        // A new incarnation has no record: it was not readmitted but starts afresh.
         if (book && book->health.ejectedUntil() != MonotonicInstant {})
             m_state.options.log->change("worker-readmitted", { { "worker", id }, { "pool", book->entry.pool }, { "probed", std::int64_t { book->health.wasReadmitted() } } });
         return true;
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Collects the evidence of workers' health and leaves out those that fail.
+/// Collects evidence on the health of workers and ejects failing ones.
 
 #include "lanemoor/jobs/owner/job_report.h"
 #include "lanemoor/jobs/policy/ejection_bound.h"
@@ -14,10 +14,10 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Judges workers for one term of ownership. A new owner learns the same again from its own calls.
+/// \brief Evaluates the health of workers during one term of ownership. A new owner collects the evidence again from its own calls.
 ///
-/// Attempts at a worker that is left out continue. Crash accounting doesn't read health, and health doesn't read crash
-/// accounting: a crashed worker comes back as another incarnation without a record.
+/// Attempts on an ejected worker continue. Crash accounting doesn't depend on health, and health doesn't depend on crash
+/// accounting: a crashed worker returns as another incarnation without a record.
 class HealthMonitor {
 public:
     HealthMonitor(OwnerState& state, SchedulerCounts& counts);
@@ -32,10 +32,10 @@
     void noteStopAnswered(WorkerBook& worker);
     void noteProbeOverdue(WorkerBook& worker);
 
-    /// \brief A report shows that a start has arrived.
+    /// \brief Notes a start that a status report confirms.
     void noteStartConfirmed(WorkerBook& worker, const Attempt& attempt) { worker.starts.noteSettled(attempt); }
 
-    /// \brief The worker has answered any call.
+    /// \brief Notes a response to any call.
     void noteHeard(WorkerBook& worker);
     ///@}
 
@@ -44,17 +44,17 @@
     void noteSuccess(WorkerBook& worker);
     void noteFailure(WorkerBook& worker, const std::string& job);
 
-    /// \brief Compares a run time with those at the worker's peers. \param observed From the order to the report.
+    /// \brief Compares a run time with those on the worker's peers. \param observed From the command to the report.
     void noteRunTime(WorkerBook& worker, const JobState& job, const Attempt& attempt, Millis observed);
     ///@}
 
-    /// \brief Ejects workers that fail as far as the bound allows, and logs those that are back. To be called before work is placed.
+    /// \brief Ejects failing workers as far as the bound allows, and logs readmitted ones. To be called before placement.
     void run();
 
-    /// \returns All workers with what is known of their health.
+    /// \returns Reports on the health of all workers.
     [[nodiscard]] std::vector<WorkerReport> reports() const;
 
-    /// \returns How many workers are ejected or probing, by pool.
+    /// \returns The number of workers that are ejected or probing, by pool.
     [[nodiscard]] std::map<std::string, std::uint32_t> ejectedByPool() const;
 
 private:
@@ -69,9 +69,9 @@
     OwnerState& m_state;
     SchedulerCounts& m_counts;
     RunTimeRanks m_ranks;
-    std::set<std::string> m_failing; ///< Workers that should be ejected, as far as they are known.
+    std::set<std::string> m_failing; ///< Candidates for ejection.
     std::set<std::string> m_out; ///< Workers that are ejected or probing.
-    MonotonicInstant m_nextEjectionAt; ///< Those beyond the bound are looked at again then.
+    MonotonicInstant m_nextEjectionAt; ///< Next check of the candidates beyond the bound.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/inherited_losses.h
+++ b/src/jobs/owner/inherited_losses.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Where an owner before this one may have lost a worker without recording it.
+/// Worker crashes that a previous owner may not have recorded.
 
 #include "lanemoor/jobs/model/worker_control.h"
 
@@ -11,22 +11,22 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Evidence of crashes that a previous owner may not have recorded.
+/// \brief Evidence of worker crashes that a previous owner may not have recorded.
 ///
-/// A start that crashed its worker leaves a life that is over. Where no life has ended, the tasks that wait have crashed none, and their first
-/// start under this owner needs no record.
+/// A start that crashes its worker ends an incarnation. Where no incarnation has ended, the waiting tasks have crashed no worker, and their
+/// first start under this owner needs no record.
 class InheritedLosses {
 public:
-    /// \param pools With lives that ended shortly before this term; nothing: unknown, any pool may have some.
+    /// \param pools Pools in which incarnations ended shortly before this term; nothing: unknown, so any pool may be affected.
     void begin(std::optional<std::set<std::string>> pools);
 
-    /// \brief A life of the pool ended, or had not answered when the tasks of previous owners were to start again.
+    /// \brief An incarnation of the pool has ended, or had not responded when the tasks of previous owners were about to start again.
     void noteLoss(const std::string& pool) { m_pools.insert(pool); }
 
-    /// \brief The worker of an adopted attempt was lost, which is not attributed to it.
+    /// \brief The worker of an adopted attempt has crashed, and the crash is not attributed to the attempt.
     void noteLoss(const std::string& job, const TaskId& task) { m_tasks.insert({ job, task }); }
 
-    /// \returns The pools as they stand in logs: `any` or their names; empty: none.
+    /// \returns The pools as logged: `any` or their names; empty: none.
     [[nodiscard]] std::string text() const;
 
     [[nodiscard]] bool concernPool(const std::string& pool) const { return m_isUnknown || m_pools.contains(pool); }
--- a/src/jobs/owner/other_sites.h
+++ b/src/jobs/owner/other_sites.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Whether a task that would be taken off its worker could run on another one of the pool.
+/// Capacity on other workers of the pool for a task that is to be moved.
 
 #include "owner_state.h"
 
@@ -8,7 +8,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Looks for room on other workers. Lives for one pass, and remembers what is free.
+/// \brief Searches for capacity on other workers. Caches the free capacity of each worker; valid for one pass.
 class OtherSites {
 public:
     explicit OtherSites(const OwnerState& state)
@@ -16,12 +16,12 @@
     {
     }
 
-    /// \param avoidLabel Workers with it don't count; empty: all do.
-    /// \returns Whether an open worker other than `worker` has room for one more task of the step.
+    /// \param avoidLabel Workers with this label are excluded; empty: none.
+    /// \returns Whether an open worker other than `worker` has capacity for one more task of the step.
     [[nodiscard]] bool hasRoomFor(const JobState& job, const StepId& step, const WorkerBook& worker, const std::string& avoidLabel = {});
 
-    /// \brief Counts a task of `step` as on its way to another worker, so that its room is not
-    /// promised twice.
+    /// \brief Reserves capacity for a task of `step` that is being moved, so that the same capacity is not
+    /// used twice.
     void promise(const StepSpec& step) { m_promised += footprint(step); }
 
     [[nodiscard]] const Resources& freeOn(const WorkerBook& worker);
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// For jobs whose queue is gone: what the platform's configurations usually allow.
+/// Default for jobs of a removed queue: the usual value in the platform's configurations.
 constexpr std::uint32_t attemptsWithoutQueue = 3;
 
-/// Jobs that are due by time, that last, that must be spread, or that few sites may take are looked at one by one, and so are those that
-/// need advice: in a group they would keep others from being looked at.
+/// Jobs with occurrences, long-running, gang or spread steps, or few suitable workers are evaluated one by one, and so are
+/// jobs that need advice: in a group they would delay the evaluation of others.
 bool mayWaitInGroup(const OwnerJob& job, const QueueSettings* queue)
 {
     const JobRecord& record = job.state.record();
@@ -24,7 +24,7 @@
     return job.account && job.state.status() == JobStatus::Queued && record.spec.occurrences == 0 && isPlain && queue && !queue->advice;
 }
 
-/// Adds what a step's tasks ask for that could start.
+/// Adds the demand of a step whose tasks could start.
 void addStep(const OwnerState& state, const StepSpec& step, WaitingJob& waiting)
 {
     const auto count = static_cast<std::int64_t>(step.count);
@@ -82,7 +82,7 @@
 std::optional<std::int64_t> OwnerState::instanceTimeOf(const StepSpec& step) const
 {
     const Resources needs = footprint(step);
-    Resources capacity; // Of the largest instance that could run it.
+    Resources capacity; // Of the largest suitable instance.
     for (const InstanceShape& shape : shapes) {
         const bool isLabelled = step.requiredLabel.empty() || step.requiredLabel == shape.kind || racks.contains(step.requiredLabel);
         if (isLabelled && shape.capacity.covers(needs) && shape.capacity.milliCpu > capacity.milliCpu)
@@ -157,9 +157,9 @@
     }
 }
 
-/// Under overload every job would end a little late if the oldest always came first; those that
-/// can still make it come before those that can't. What has begun goes on: putting it last once its
-/// objective was past cost 0.036 on further/, since work that was half done is thrown away.
+/// Under overload with oldest-first order, every job would end slightly late; jobs that can still
+/// meet their objective come before those that can't. Jobs that have begun are exempt: placing them last
+/// once they missed their objective cost 0.036 on further/, since half-done work is thrown away.
 bool OwnerState::isHopeless(const OwnerJob& job, MonotonicInstant now) const
 {
     return now >= hopelessFrom(job);
@@ -186,7 +186,7 @@
 {
     if (!job.openBefore.contains({ task.occurrence, task.step }) || !job.state.isUnseen(task))
         return false;
-    // The queue may have been moved to another pool since.
+    // The queue may have changed its pool since.
     return inheritedLosses.concernTask(job.state.id(), task) || inheritedLosses.concernPool(poolOf(job.state)) || inheritedLosses.concernPool(job.state.record().pool);
 }
 
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What the owner of a shard knows while it owns it. Lives for one term of ownership.
+/// State of a shard's owner during one term of ownership.
 
 #include "inherited_losses.h"
 #include "lanemoor/adapters/event_log.h"
@@ -26,21 +26,21 @@
 
 namespace lanemoor::jobs {
 
-/// A job under way and what placement needs of it.
+/// An unfinished job and its input to placement.
 struct OwnerJob {
     JobState state;
-    bool inherited = false; ///< From before this term: its tasks may run where nobody has looked yet.
-    std::set<StepId> openBefore; ///< Steps whose tasks a previous owner may have started without a record.
-    MonotonicInstant objective; ///< When it should have ended.
-    Millis chain { 0 }; ///< Declared work time of its longest chain of steps.
-    OrganisationAccount* account = nullptr; ///< Of the organisation that handed it in; null: not known.
-    /// Its changes when a pass found that nothing of it can start before another one; nothing: not looked at since.
+    bool inherited = false; ///< Submitted before this term: its tasks may run on workers that have not been asked yet.
+    std::set<StepId> openBefore; ///< Steps with tasks that a previous owner may have started without a record.
+    MonotonicInstant objective; ///< When the job should have ended.
+    Millis chain { 0 }; ///< Declared work time of the critical path of its steps.
+    OrganisationAccount* account = nullptr; ///< Account of the submitting organisation; null: unknown.
+    /// The job's change count when a pass found that none of its tasks can start until it changes; nothing: not evaluated since.
     std::optional<std::uint64_t> quietSince;
-    bool beyondRate = false; ///< It came beyond what the organisation may send a second.
+    bool beyondRate = false; ///< Submitted beyond the rate of its organisation.
     bool waitsInGroup = false; ///< See OwnerState::beginWait.
 };
 
-/// What instances there are, whatever their pool.
+/// Kind and capacity of instances, regardless of their pool.
 struct InstanceShape {
     std::string kind;
     Resources capacity;
@@ -48,113 +48,113 @@
     [[nodiscard]] bool operator==(const InstanceShape&) const = default;
 };
 
-/// An owner's copy of the jobs that is older does not know all cancels that must have taken effect.
+/// Max age of the owner's replica of the jobs for starts: an older replica may lack cancels that must have taken effect.
 constexpr Millis oldestCopyOfStarts { 2'000 };
 
-/// \brief Jobs and workers of one term, and what the parts of the owner share.
+/// \brief Jobs and workers of one term, shared by the components of the owner.
 struct OwnerState {
     const JobSchedulerOptions& options;
     Ownership ownership;
-    MonotonicInstant inheritedLeaseOverBy; ///< Leases given by earlier owners are over by then.
-    OrganisationUse organisations; ///< Outlives the bookings, which point into it.
+    MonotonicInstant inheritedLeaseOverBy; ///< Leases granted by earlier owners have expired by then.
+    OrganisationUse organisations; ///< Outlives the reservations, which point into it.
     std::map<std::string, OwnerJob> jobs;
-    std::map<std::string, OwnerJob*> walked; ///< Those that a pass looks at one by one; the others wait in groups.
-    WaitingJobs waitingJobs; ///< Of organisations.
+    std::map<std::string, OwnerJob*> walked; ///< Jobs that a pass evaluates one by one; the others wait in groups.
+    WaitingJobs waitingJobs; ///< Waiting jobs in groups by organisation.
     ShareDeficits deficits { options.admission.deficitMemory };
-    std::map<std::string, WorkerBook> workers; ///< By id of the life.
+    std::map<std::string, WorkerBook> workers; ///< By worker id.
     std::unique_ptr<ProgressWriter> writer;
     LoadForecast forecast;
     HallLossDetector hallLosses;
-    ResponseTime responses; ///< Of starts.
-    /// A step that found no room.
+    ResponseTime responses; ///< Response times of starts.
+    /// A step for which no worker had capacity.
     struct WaitingStep {
-        MonotonicInstant since; ///< When it first found none.
-        std::optional<MonotonicInstant> explainedAt; ///< When `wait` was found out and logged.
-        StepWait wait; ///< Why it found none.
+        MonotonicInstant since; ///< When this was first found.
+        std::optional<MonotonicInstant> explainedAt; ///< When `wait` was determined and logged.
+        StepWait wait; ///< The reason.
     };
     std::map<std::pair<std::string, StepId>, WaitingStep> waits; ///< By job and step.
-    /// Tasks with starts on probation, by id of the worker; a task whose probations are settled may still be listed.
+    /// Tasks with starts on probation, by worker id; may include tasks whose probations are settled.
     std::map<std::string, std::set<std::pair<std::string, TaskId>>> probations;
     InheritedLosses inheritedLosses;
-    std::function<void()> requestPass; ///< Asks for placement soon.
-    /// Begins to speak with the life of a worker that started then (Unix ms; 0: not told).
+    std::function<void()> requestPass; ///< Requests a placement pass.
+    /// Opens a session with a worker's incarnation by its start time (Unix ms; 0: unknown).
     std::function<void(WorkerBook& worker, std::int64_t startedAt)> beginSession;
     std::size_t inheritedInGroups = 0; ///< Jobs of earlier terms that wait in groups.
-    std::set<std::string> racks; ///< Of all instances that the platform lists, whatever their pool.
-    std::vector<InstanceShape> shapes; ///< Of the same, each once.
-    std::int64_t fleetMilliCpu = 0; ///< Of the same together, those that are off included.
+    std::set<std::string> racks; ///< Of all listed instances, regardless of their pool.
+    std::vector<InstanceShape> shapes; ///< Distinct shapes of the same instances.
+    std::int64_t fleetMilliCpu = 0; ///< Total capacity of the same instances, including powered-off ones.
 
-    MonotonicInstant nextEvacuationAt; ///< When workers that are to be emptied are looked at again.
-    MonotonicInstant nextDisplacementAt; ///< When room may be made on a worker again.
-    std::map<std::string, PoolDemand> demands; ///< As last reckoned.
-    std::map<std::pair<std::string, std::string>, std::uint32_t> wanted; ///< Level by pool and label, of labels that tasks require.
+    MonotonicInstant nextEvacuationAt; ///< Time of the next run of the evacuation.
+    MonotonicInstant nextDisplacementAt; ///< Time of the next displacement at the earliest.
+    std::map<std::string, PoolDemand> demands; ///< As of the last computation.
+    std::map<std::pair<std::string, std::string>, std::uint32_t> wanted; ///< Demand level by pool and label, for labels that tasks require.
 
-    /// \returns How much the labels of a worker are wanted in its pool.
+    /// \returns The highest demand level of the worker's labels in its pool.
     [[nodiscard]] std::uint32_t wantedLevelOf(const WorkerEntry& worker) const;
 
-    /// \brief Takes in the platform's list.
+    /// \brief Applies the platform's list of instances.
     void noteInstances(const std::vector<FleetInstance>& instances);
 
     [[nodiscard]] MonotonicInstant now() const { return options.loop->now(); }
     [[nodiscard]] std::shared_ptr<const ServiceConfiguration> configuration() const { return options.configuration(); }
 
-    /// \brief Lets a job wait in its organisation's group, if it may.
-    /// \returns Whether it does.
+    /// \brief Adds a job to the waiting group of its organisation, if it qualifies.
+    /// \returns Whether the job was added.
     bool beginWait(OwnerJob& job, MonotonicInstant now);
 
-    /// \brief Passes look at the job by itself from now on.
+    /// \brief Takes the job out of its group, so that passes evaluate it individually.
     void endWait(OwnerJob& job);
 
-    /// \brief The same for all jobs of earlier terms: they wait for workers to be asked.
+    /// \brief Calls `endWait` for all jobs of earlier terms, which depend on the reports of workers.
     void endInheritedWaits();
 
-    /// \returns The part that a task of the step takes of the largest instance that could run it, as thousandths of a core; nothing: no
-    /// instance can.
+    /// \returns The share of the largest suitable instance that a task of the step takes, as thousandths of a core; nothing: no
+    /// instance is suitable.
     [[nodiscard]] std::optional<std::int64_t> instanceTimeOf(const StepSpec& step) const;
 
     [[nodiscard]] OwnerJob* job(const std::string& id);
     [[nodiscard]] WorkerBook* worker(const std::string& id);
 
-    /// \returns The task of an attempt that its job counts as live at the worker, or null.
+    /// \returns The task whose live attempt at the worker is `attempt`, or null.
     [[nodiscard]] const TaskState* liveTask(const Attempt& attempt, const std::string& worker);
 
-    /// \returns The account of the organisation that handed a job in, or null.
+    /// \returns The account of the organisation that submitted a job, or null.
     [[nodiscard]] OrganisationAccount* accountOf(const JobRecord& record) { return record.organisation.empty() ? nullptr : &organisations.account(record.organisation); }
 
-    /// \returns The pool that runs the job now.
+    /// \returns The current pool of the job's queue.
     [[nodiscard]] std::string poolOf(const JobState& job) const;
 
-    /// \returns Failures of a task with which the job fails.
+    /// \returns The number of failures of one task after which the job fails.
     [[nodiscard]] std::uint32_t mostAttemptsOf(const JobState& job) const;
 
-    /// \returns Whether the job will end late whatever is done: it comes after the others.
+    /// \returns Whether the job can't meet its objective any more, so that it is placed after the others.
     [[nodiscard]] bool isHopeless(const OwnerJob& job, MonotonicInstant now) const;
 
-    /// \returns From when on that is so, if nothing of the job begins before; the end of time for a job of which it is never so.
+    /// \returns When the job becomes hopeless if none of its tasks starts before; the max time point for a job that never does.
     [[nodiscard]] MonotonicInstant hopelessFrom(const OwnerJob& job) const;
 
-    /// \returns When an attempt of the task that starts now should have ended.
+    /// \returns The expected end of an attempt of the task that starts now.
     [[nodiscard]] MonotonicInstant expectedEnd(const OwnerJob& job, const TaskId& task) const;
 
-    /// \returns Whether the task may have crashed a worker under a previous owner that did not record it.
+    /// \returns Whether the task may have crashed a worker under a previous owner without a record.
     [[nodiscard]] bool mayHaveCrashedBefore(const OwnerJob& job, const TaskId& task) const;
 
     /// \brief Puts a live attempt at a worker on probation, which is stored.
     /// \returns False if it is on probation already.
     bool beginProbation(OwnerJob& job, const Attempt& attempt, const WorkerBook& worker);
 
-    /// \returns Whether the copy of the jobs is young enough to know all cancels that must have taken effect.
+    /// \returns Whether the replica of the jobs is recent enough to include all cancels that must have taken effect.
     [[nodiscard]] bool knowsCancels() const;
 
-    /// \returns Whether all that may forbid a start is known young enough: the ownership, cancels, evacuations, and the quota of the
-    /// job's organisation. To be asked when a start is sent: the pass that decided it may have been held up since it began.
+    /// \returns Whether all that may forbid a start is recent enough: ownership, cancels, evacuations, and the quota of the
+    /// job's organisation. To be checked when a start is sent, since the placement pass may have been delayed after its decision.
     [[nodiscard]] bool mayStart(const OwnerJob& job) const;
 
-    /// \brief Marks a job's progress as to be stored.
+    /// \brief Schedules the job's progress for storing.
     void store(const std::string& id) { writer->markChanged(id); }
 };
 
-/// \returns `id` as it stands in logs, for example `5c0e7a21d94b36f8/0/1/17#2`.
+/// \returns The name of `attempt` in logs, for example `5c0e7a21d94b36f8/0/1/17#2`.
 [[nodiscard]] std::string nameOf(const Attempt& attempt);
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/ownership_keeper.cpp
+++ b/src/jobs/owner/ownership_keeper.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Kept free at the end of a lease for what was decided just before to leave this process.
+/// Reserve before the lease expires, for commands that were decided just before to leave this process.
 constexpr Millis leaseMargin { 100 };
 
-/// Between two leases that are ended for lost owners: whoever is wrong about one must not go on so.
+/// Between two revocations: a process that wrongly takes owners for crashed must not revoke one lease after another.
 constexpr Millis endLostPause { 10'000 };
 
-/// \returns Whether `holder` is an earlier process of the instance of `own`.
+/// \returns Whether `holder` is a previous process on the instance of `own`.
 bool isFormerLife(const std::string& holder, const std::string& own)
 {
     return holder != own && holder.substr(0, holder.rfind('-')) == own.substr(0, own.rfind('-'));
@@ -85,7 +85,7 @@
         m_holder = owner ? owner->holder : std::string();
         m_holderPeer = owner ? owner->peer : std::string();
         m_holderLease = owner ? item.lease : 0;
-        // This process began after that one ended: they are of one instance.
+        // Both run on one instance, and this process started after the owner's process had exited.
         if (owner && !m_held && isFormerLife(m_holder, m_options.holder))
             endHolderLease();
         if (m_held && item.revision > m_ownership.epoch)
@@ -128,7 +128,7 @@
             return;
         m_held = false;
         m_observer.lost();
-        // What is left of the lease is given back, so that the next owner need not wait for it.
+        // Revoked so that the next owner doesn't wait for its expiry.
         m_store.endLease(m_lease, [](const LeaseResult&) {});
         later(&Impl::compete);
     }
@@ -203,7 +203,7 @@
             m_observer.claimFailed(outcome);
     }
 
-    /// A claim whose answer was lost may be carried out later: without its lease it can't be.
+    /// Without the lease, a claim whose response was lost can't be carried out later.
     void abandonClaim()
     {
         m_claiming = false;
@@ -236,8 +236,8 @@
         });
     }
 
-    /// Past its lease's time the ownership is not used, but it may still stand: while the store is
-    /// away, leases may wait. Only the store's word ends it, or another owner.
+    /// After the lease time the ownership is suspended but may still be valid: while the store is
+    /// unavailable, leases may not expire. Only a reply of the store or another owner ends it.
     void renew()
     {
         if (m_loop.now() >= m_validUntil)
@@ -288,13 +288,13 @@
     bool m_claiming = false;
     bool m_held = false;
     bool m_released = false;
-    bool m_suspended = false; ///< Held, but its lease may be over.
+    bool m_suspended = false; ///< Held, but the lease may have expired.
     std::uint64_t m_lease = 0;
     std::uint64_t m_lastTerm = 0;
-    std::string m_holder; ///< By the store's word.
-    std::string m_holderPeer; ///< The same holder's address for peers.
-    std::uint64_t m_holderLease = 0; ///< That its key is bound to; 0: not known, or ended from here.
-    MonotonicInstant m_endLostFrom; ///< No lease is ended for a lost owner before this.
+    std::string m_holder; ///< As read from the store.
+    std::string m_holderPeer; ///< Address of this holder for peers.
+    std::uint64_t m_holderLease = 0; ///< Lease of the holder's key; 0: unknown, or already revoked by this process.
+    MonotonicInstant m_endLostFrom; ///< Time of the next revocation at the earliest.
     std::uint64_t m_claimedTerm = 0;
     Ownership m_ownership;
     MonotonicInstant m_validUntil;
--- a/src/jobs/owner/worker_book.cpp
+++ b/src/jobs/owner/worker_book.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Between two liveness checks without an answer. A worker that is gone is known to be silent by then.
+/// Between two liveness checks without a response. A worker that is down is known to be unresponsive by then.
 constexpr Millis livenessCheckPause { 2'000 };
-constexpr Millis probablyUpFor { 500 }; // After an answer; renewals bring one each second.
-constexpr Millis fleetListPause { 1'000 }; // Between two lists of instances, at most.
+constexpr Millis probablyUpFor { 500 }; // After a response; renewals bring one every second.
+constexpr Millis fleetListPause { 1'000 }; // Max time between two lists of instances.
 
 } // namespace
 
--- a/src/jobs/owner/worker_directory.cpp
+++ b/src/jobs/owner/worker_directory.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/// A worker's lease lasts 10 s at most by the platform's bound; clocks may be slow by 2%.
+/// By the platform's bound, a worker's lease lasts at most 10 s; clocks may be slow by 2%.
 constexpr Millis keptAfterRemoval { 12'000 };
 
-/// From the crash of a worker to the takeover by an owner that does not find it on record: a second until the worker is silent, one until
-/// an owner without the store gives up, and some until its successor has read the store. What the store did not answer meanwhile is
-/// found at the takeover.
+/// Max time from the crash of a worker to the takeover by an owner without a record of it: one second until the worker counts as
+/// unresponsive, one until an owner without the store resigns, and some until its successor has read the store. Changes during a store
+/// outage are found at the takeover.
 constexpr Millis recentEnds { 12'000 };
 
 } // namespace
@@ -47,7 +47,7 @@
         m_observer(id);
 }
 
-/// Starts at a worker that announces its end stop seconds before its entry goes.
+/// A draining worker gets its last start seconds before its entry is removed.
 void WorkerDirectory::noteEnd(const WorkerEntry& worker)
 {
     if (!worker.draining)
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// A worker's clock loses at most this part of the time (the platform's bound, 2%).
+/// Min speed of a worker's clock: by the platform's bound it may be slow by 2%.
 constexpr double slowestClock = 0.98;
-/// For rounding and for the worker's own timer.
+/// For rounding and the worker's own timer.
 constexpr Millis leaseSlack { 50 };
-/// Answers on different connections overtake each other by less than this, but for answers that are held up.
+/// Responses on different connections overtake each other by less than this, unless one is delayed.
 constexpr Millis usualOvertaking { 100 };
-/// While ends wait for the store, the lease is renewed this often.
+/// Renewal interval while ended attempts are not stored yet.
 constexpr Millis unstoredRenewal { 700 };
-/// A worker that was heard of so long ago is the same life still: one that has ended is back after a second at the soonest.
+/// Within this time after a response the worker is the same incarnation: a restart takes at least a second.
 constexpr Millis freshLife { 900 };
-/// Where calls were lost lately, an answer waits this long for an end.
+/// Long-poll time after recent lost calls.
 constexpr Millis shortWait { 150 };
 constexpr Millis shortWaitTime { 3'000 };
 
@@ -107,13 +107,14 @@
     });
 }
 
-/// \returns Whether the worker may have started again since it was last heard of.
+/// \returns Whether the worker may have restarted since its last response.
 bool WorkerSession::mayBeAnotherLife() const
 {
     return m_lifeInDoubt || (m_met && m_loop.now() - m_heardAt > freshLife);
 }
 
-/// A clock that went back may be that of another life under this id, which the next renewal may not tell to forget its ends.
+/// A clock that went back may belong to another incarnation under this id. The next renewal must not make that one discard its ended
+/// attempts.
 void WorkerSession::doubtLife()
 {
     if (!std::exchange(m_lifeInDoubt, true) && m_options.mayOrder())
@@ -180,9 +181,9 @@
         watchLease();
         return;
     }
-    // A renewal into the silence only asks: if it gave a lease too, the end of the longest
-    // lease would move on for ever, and with it the time when the tasks may start elsewhere. Nor does one that another life may
-    // answer: that one has another clock and counts its ends anew.
+    // Renewals of an unresponsive worker carry no lease: otherwise the latest lease expiry would advance without end, and
+    // with it the time when the tasks may start elsewhere. Nor do renewals that another incarnation may
+    // answer, since its clock differs and it numbers its ended attempts anew.
     const bool onlyAsks = m_silent || mayBeAnotherLife();
     RenewOrder order { .leaseUntil = onlyAsks ? 0 : leaseForOrder().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = onlyAsks ? 0 : m_storedUpTo };
     if (m_met && !onlyAsks && !m_awaitingAcknowledgement)
@@ -200,7 +201,7 @@
     });
 }
 
-/// A renewal that is overdue may be lost, and with it the ends that it would have reported: probes report them until it times out.
+/// An overdue renewal may be lost together with the ended attempts in its response: probes report them until it times out.
 void WorkerSession::watchRenewal(MonotonicInstant overdueAt, Millis pause)
 {
     m_loop.callAt(overdueAt, [self = weak_from_this(), sentAt = m_renewalSentAt, pause] {
@@ -247,7 +248,7 @@
     }
     if (m_life.startedAt == 0)
         m_life.startedAt = result.startedAt;
-    // A call of this session can't have been answered by an earlier life, so this is a later one.
+    // An earlier incarnation can't answer a call of this session, so this is a later one.
     if (!isOfThisLife(result)) {
         noteRestart(result.startedAt);
         return;
@@ -257,7 +258,7 @@
     noteThisLife();
     noteClock(result.workerClock);
     m_awaitingAcknowledgement = true;
-    // Ends that are not stored in time must not cost the lease.
+    // Slow storing of ended attempts must not let the lease expire.
     renewAt(m_loop.now() + unstoredRenewal);
     m_observer.onAnswer(*this, result, sentAt);
 }
@@ -270,7 +271,7 @@
     m_observer.onOver(*this, false);
 }
 
-/// The renewals of a silent worker time out one after another, and the lease may be over long before the next one does.
+/// The renewals of an unresponsive worker time out one after another, and the lease may expire long before the next one does.
 void WorkerSession::endLeaseInTime()
 {
     m_loop.callAt(leaseOverBy(), [self = weak_from_this()] {
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -1,5 +1,5 @@
-/// Workers that fail quietly took work from the others: a worker that answers nothing looked empty, and its starts waited for the end of
-/// their lease, 5 s and more, while they attracted others.
+/// Guards against workers with unreported faults that attract tasks: an unresponsive worker appeared empty, and starts sent to it waited
+/// for the expiry of their lease, 5 s and more.
 
 #include "standins/model/job_cluster.h"
 #include "support.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Twenty instances in five racks, and a job of 24 short tasks each 100 ms: half of the pool is busy.
+/// Twenty instances in five racks, and a job of 24 short tasks every 100 ms, so that half of the pool is busy.
 struct BusyPool : model::JobCluster {
     explicit BusyPool(bool judges = true)
         : model::JobCluster(1, entryCount)
@@ -34,7 +34,7 @@
         m_times.clear();
     }
 
-    /// Gives each fifth worker trouble, or none.
+    /// Sets the faults of every `each`th worker, and clears those of the others.
     void trouble(const model::WorkerTrouble& trouble, int each = 5)
     {
         int number = 0;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Waits for the jobs that are still running.
+    /// Waits for the running jobs.
     void settle(Millis time)
     {
         const MonotonicInstant end = clock.now() + time;
@@ -66,10 +66,10 @@
         std::sort(m_times.begin(), m_times.end());
     }
 
-    /// \returns The time that a share of the jobs was done in.
+    /// \returns The quantile `share` of the jobs' durations.
     [[nodiscard]] Millis time(double share) const { return m_times.at(static_cast<std::size_t>(share * static_cast<double>(m_times.size() - 1))); }
 
-    /// \returns How many jobs took longer.
+    /// \returns The number of jobs that took longer.
     [[nodiscard]] std::size_t count(Millis time) const
     {
         return static_cast<std::size_t>(std::count_if(m_times.begin(), m_times.end(), [&](Millis each) { return each > time; }));
@@ -96,7 +96,7 @@
     std::vector<Millis> m_times;
 };
 
-/// \returns How many workers the owner has ejected or is probing.
+/// \returns The number of workers that the owner has ejected or is probing.
 std::size_t ejectedAt(model::JobCluster& cluster)
 {
     const std::vector<WorkerReport> workers = cluster.entry(cluster.owner().value()).workers().workers;
@@ -119,12 +119,12 @@
     CHECK(pool.time(1) <= Millis(800));
 }
 
-/// Guards against sending work to a worker until its renewal has timed out.
+/// Guards against sending tasks to an unresponsive worker until its renewal times out.
 TEST_CASE("Workers that answer nothing cost the jobs that ran there and hardly any other")
 {
     for (const model::WorkerTrouble& trouble : { model::WorkerTrouble { .cutOff = true }, model::WorkerTrouble { .lostAnswers = 1, .lostRenewals = 1 }, model::WorkerTrouble { .lostOrders = 1 } }) {
         BusyPool pool;
-        // A start is overdue after 100 ms at the soonest: two jobs are handed in by then.
+        // A start is overdue after 100 ms at the earliest: two jobs are submitted by then.
         const std::size_t affected = pool.open() + 2;
         pool.trouble(trouble);
         pool.serve(Millis(6'000));
@@ -137,7 +137,7 @@
     }
 }
 
-/// Guards against a burst that fills idle workers which have not answered for a second.
+/// Guards against a burst that fills idle workers without a response for a second.
 TEST_CASE("A burst goes past idle workers that have stopped answering")
 {
     BusyPool pool;
@@ -151,7 +151,7 @@
     CHECK(pool.open() == 0);
 }
 
-/// Guards against waiting without end for the answer to a stop.
+/// Guards against waiting without limit for the response to a stop.
 TEST_CASE("A start that never arrived is given up at a worker that answers renewals and never an order")
 {
     BusyPool pool;
@@ -162,7 +162,7 @@
     CHECK(pool.witness.breaches().empty());
 }
 
-/// Guards against emptying a pool of which many workers look ill.
+/// Guards against ejecting most of a pool of which many workers appear unhealthy.
 TEST_CASE("Of a third of a pool that fails all its tasks a fifth of the pool is ejected")
 {
     BusyPool pool;
@@ -225,7 +225,7 @@
         };
         pool.submit(1, "work", poison, job({ step(1) }));
         pool.serve(Millis(15'000));
-        // Its first start may be lost at a failing worker, where it expires after 7 s.
+        // Its first start may be lost at a failing worker, where its lease expires after 7 s.
         pool.settle(Millis(20'000));
         CHECK(pool.waitFor(Millis(10'000), [&] { return pool.status(1, poison) == JobStatus::Failed; }));
         CHECK(crashes == 3);
--- a/tests/jobs/hall_evacuation_test.cpp
+++ b/tests/jobs/hall_evacuation_test.cpp
@@ -1,6 +1,5 @@
-/// Evacuation of a data hall.
-///
-/// Seen: nothing read the operators' requests, so that tasks went on starting in data halls that were to be empty.
+/// Evacuation of data halls. Guards against ignored requests: tasks kept starting in data halls that were to
+/// be emptied.
 
 #include "support.h"
 
@@ -14,7 +13,7 @@
 
 const std::string evacuated = "hall-a";
 
-/// Eight instances in the pool and four beside it, of two data halls in turn, with a long-running job and quick ones.
+/// Eight instances in the pool and four in the reserve, alternating between two data halls, with a long-running job and short jobs.
 struct TwoHalls : model::JobCluster {
     explicit TwoHalls(std::uint64_t seed = 1, Millis bound = Millis(0))
         : model::JobCluster(seed, 3)
@@ -31,7 +30,7 @@
         playWithQuickJobs(Millis(3'000));
     }
 
-    /// Plays on and submits a job each 100 ms.
+    /// Runs for `time` and submits a job every 100 ms.
     void playWithQuickJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
@@ -42,7 +41,7 @@
         }
     }
 
-    /// \returns Attempts that run in a data hall.
+    /// \returns The number of attempts that run in a data hall.
     std::size_t runningIn(const std::string& hall)
     {
         std::size_t running = 0;
@@ -103,7 +102,7 @@
         CHECK(cluster.workers.instances().at(id).pool == "off");
 }
 
-/// Guards against starts by an old set of data halls while the store answers the owner's other calls.
+/// Guards against starts based on an outdated set of data halls while the store answers the owner's other calls.
 TEST_CASE("Nothing starts while the store confirms no set of evacuated data halls, and starts go on when it does")
 {
     TwoHalls cluster(1, Millis(5'000));
@@ -122,7 +121,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// Guards against a deployment without evacuations that stands still when ranges are refused.
+/// Guards against a deployment without evacuations that stalls when range reads are refused.
 TEST_CASE("Without a bound on evacuations tasks start by the last set that is known")
 {
     TwoHalls cluster;
@@ -133,7 +132,7 @@
     CHECK(cluster.witness.starts() > starts);
 }
 
-/// Guards against a bound that refused answers of one read use up.
+/// Guards against a bound that a single refused read exhausts.
 TEST_CASE("Single refused reads of the evacuations delay no start")
 {
     TwoHalls cluster(1, Millis(5'000));
@@ -147,7 +146,7 @@
     }
 }
 
-/// Guards against instances that stand without work in the pools until a request is withdrawn.
+/// Guards against instances that stay idle in the pools until a request is withdrawn.
 TEST_CASE("Empty instances of an evacuated data hall go off, others take their places, and the hall serves again afterwards")
 {
     TwoHalls cluster;
@@ -166,7 +165,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// Guards against moves that a request costs which is withdrawn at once, and against a hall that stays closed.
+/// Guards against moves for a request that is withdrawn at once, and against a hall that stays closed.
 TEST_CASE("A request that is withdrawn in the middle moves no instance, and its data hall serves again")
 {
     TwoHalls cluster;
@@ -207,7 +206,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// Guards against an evacuation that the cut hides: its workers are told of nothing, and must get nothing once they are back.
+/// Guards against an evacuation during a network partition: the hall's workers are not notified, and must get no starts after it heals.
 TEST_CASE("A data hall that is evacuated while it is cut off gets no starts when it is reached again")
 {
     TwoHalls cluster(1, Millis(5'000));
--- a/tests/jobs/lost_owner_test.cpp
+++ b/tests/jobs/lost_owner_test.cpp
@@ -1,4 +1,4 @@
-/// How soon an owner that is lost has a successor.
+/// How soon a crashed owner is succeeded.
 
 #include "lanemoor/jobs/owner/ownership_keeper.h"
 #include "support.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Entries offer the owner to carry its calls, so that all have a link to it.
+/// Entry instances offer to relay the owner's calls, so that each has a link to the owner.
 struct LinkedCluster : SmallCluster {
     LinkedCluster()
         : SmallCluster(1, 3, 4, 2, 1)
@@ -19,7 +19,7 @@
     }
 };
 
-/// \returns Milliseconds until another entry than `former` owns.
+/// \returns Milliseconds until another entry instance than `former` is the owner.
 std::int64_t untilSucceeded(SmallCluster& cluster, std::size_t former)
 {
     const MonotonicInstant from = cluster.clock.now();
@@ -82,7 +82,7 @@
     cluster.submit(0, "work", jobId(1), job({ step(1), step(1, { 0 }) }));
     REQUIRE(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 1; }));
     const std::string busy = cluster.witness.workerOf(jobId(1), {});
-    // Its entry stays for some seconds.
+    // The entry of the crashed worker remains for some seconds.
     for (const auto& [id, worker] : cluster.workers.workers()) {
         if (worker.alive && id != busy) {
             cluster.workers.crash(id, Millis(600'000));
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -1,5 +1,5 @@
-/// Random faults on the models of the platform. A breach prints its seed; a seed that ever
-/// failed is kept in the list below with a line on its cause.
+/// Random faults on the models of the platform. A violation prints its seed; each seed that ever
+/// failed is kept in the lists below with its cause.
 
 #include "support.h"
 
@@ -16,27 +16,27 @@
 constexpr Millis runLength { 25'000 };
 constexpr Millis longestTrouble { 6'000 }; // Of the store or of entry instances.
 constexpr Millis recovery { 20'000 };
-constexpr Millis evacuationTime { 5'000 }; // In which an evacuation must be in force.
-/// What needs one of few instances waits for others to end.
+constexpr Millis evacuationTime { 5'000 }; // Time limit for an evacuation to be in force.
+/// Tasks that require one of few instances wait for others to end.
 constexpr Millis recoveryOfMixed { 60'000 };
 
-/// Which faults a run knows. The seeds that are kept must go on drawing what they drew.
+/// The faults of a run. Kinds are only appended, so that the kept seeds draw the same sequences.
 enum class Faults {
-    First, ///< Those of store, entry instances and workers that stop.
-    Second, ///< Also those of the fleet's interface, and workers that drain or lose their entry.
-    All, ///< Also outages of the store in which leases wait.
-    Relayed, ///< The faults of `All`, with calls carried by other entry instances, whose links break and go silent.
-    Organised, ///< The faults of `All`, with organisations whose quotas change and are often used up.
-    Ending, ///< The faults of `All`, on instances that do not guard their room, which shrinks and grows, with tasks that end their workers.
-    Restarting, ///< The faults of `All`, with workers that start again under their ids, one each 6 s.
-    RestartingOften, ///< The same, one each 2 s.
-    Halls, ///< The faults of `All`, fewer of them, in three data halls that operators ask to evacuate and that lose their power.
-    Bridged, ///< The faults of `Relayed` on three data halls, some of which are cut from each other, in one direction or both.
-    Quiet, ///< The faults of `All`, with workers that fail quietly: single ones and whole racks.
-    Mixed, ///< The same as `All` on two pools, with instances of two kinds that do not guard their room, labels and racks.
+    First, ///< Faults of the store, entry instances and workers that stop.
+    Second, ///< Also faults of the fleet's interface, and workers that drain or lose their entry.
+    All, ///< Also store outages during which leases don't expire.
+    Relayed, ///< The faults of `All`, with calls relayed by other entry instances, whose links break or become unresponsive.
+    Organised, ///< The faults of `All`, with organisations whose quotas change and are often exhausted.
+    Ending, ///< The faults of `All`, on instances that accept tasks beyond their capacity, which changes, and with poison tasks.
+    Restarting, ///< The faults of `All`, with workers that restart under their ids, one every 6 s.
+    RestartingOften, ///< The same, one every 2 s.
+    Halls, ///< The faults of `All` at a lower rate, in three data halls that operators evacuate and that lose power.
+    Bridged, ///< The faults of `Relayed` on three data halls with partitions between them, in one direction or both.
+    Quiet, ///< The faults of `All`, with unreported faults of single workers and whole racks.
+    Mixed, ///< The faults of `All` on two pools, with instances of two kinds that accept tasks beyond their capacity, labels and racks.
 };
 
-/// One run: jobs arrive, faults come and go, then all heals and every job must end.
+/// One run: jobs arrive, faults come and go, then all faults are cleared and every job must end.
 class RandomRun {
 public:
     RandomRun(std::uint64_t seed, Faults faults)
@@ -94,7 +94,7 @@
     }
 
 private:
-    /// Adds what only mixed runs have.
+    /// Adds the instances and pools of mixed runs.
     void mix()
     {
         const Resources capacity { .milliCpu = 6'000, .memoryMb = 8'000 };
@@ -107,10 +107,10 @@
         m_cluster.clock.runFor(Millis(500));
     }
 
-    /// \returns Whether other faults are to leave time for those that only this kind of run has.
+    /// \returns Whether other faults are less frequent, to leave time for those specific to this kind of run.
     [[nodiscard]] bool hasFewFaults() const { return m_faults == Faults::Ending || m_faults == Faults::Halls; }
 
-    /// Adds two data halls to that of the other instances.
+    /// Adds two data halls to the one of the other instances.
     void addHalls()
     {
         const Resources capacity { .milliCpu = 8'000, .memoryMb = 16'000 };
@@ -126,7 +126,7 @@
     {
         const std::string hall = std::array { "hall", "hall-b", "hall-c" }.at(pickLater(0, 2));
         if (pickLater(0, 3) == 0) {
-            // The store serves all other calls, and the owner must keep to the bound.
+            // The store serves all other calls, and the owner must still respect the bound.
             m_cluster.store.trouble.refusedRanges = m_cluster.documents.evacuationPrefix();
             m_cluster.clock.after(Millis(pickLater(500, 9'000)), [this] { m_cluster.store.trouble.refusedRanges.clear(); });
             return;
@@ -136,11 +136,11 @@
             return;
         }
         m_cluster.evacuate(hall);
-        // Some are withdrawn in the middle.
+        // Some requests are withdrawn before the evacuation is complete.
         m_cluster.clock.after(Millis(pickLater(300, 12'000)), [this, hall] { m_cluster.evacuate(hall, false); });
     }
 
-    /// Gives organisations other quotas; the largest gang fits the least of them.
+    /// Changes the quotas of the organisations; the largest gang fits the smallest one.
     void organise()
     {
         constexpr std::int64_t core = 1'000;
@@ -156,16 +156,16 @@
         m_cluster.configure(configuration);
     }
 
-    /// Makes a job of a mixed run ask for more.
+    /// Adds requirements to a job of a mixed run.
     void ask(std::vector<StepSpec>& steps)
     {
         for (StepSpec& spec : steps) {
-            // There are few instances of kind b: tasks that last might take all of them for ever.
+            // There are few instances of kind b: long-running tasks might occupy all of them permanently.
             if (pick(0, 3) == 0)
                 spec.requiredLabel = pick(0, 1) == 0 || spec.longRunning ? "a" : "b";
             if (pick(0, 3) == 0)
                 spec.preferredRack = pick(0, 1) == 0 ? "r-0" : "r-b";
-            // A gang of that size might find no room in the whole fleet.
+            // A gang of that size might not fit into the whole fleet.
             if (pick(0, 5) == 0 && !spec.gang)
                 spec.needs.milliCpu = 3'000;
         }
@@ -173,12 +173,12 @@
 
     std::uint64_t pick(std::uint64_t least, std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(least, most)(m_cluster.random); }
 
-    /// Draws that leave those of the first kinds of fault as they are.
+    /// Draws from a second generator, so that the draws of the first kinds of fault stay the same.
     std::uint64_t pickLater(std::uint64_t least, std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(least, most)(m_laterRandom); }
 
     std::size_t anyEntry() { return pick(0, m_cluster.entries() - 1); }
 
-    /// Gives a worker other room; the largest gang of the runs fits half of it.
+    /// Changes the capacity of a worker; the largest gang of the runs fits half of it.
     void resize()
     {
         model::WorkerModel* worker = anyWorker();
@@ -188,7 +188,7 @@
         m_cluster.workers.resize(worker->entry.id, { .milliCpu = cores * 1'000, .memoryMb = cores * 2'000 });
     }
 
-    /// Starts a worker again under its id, often faster than anybody finds it silent.
+    /// Restarts a worker under its id, often before it counts as unresponsive.
     void restart()
     {
         if (const model::WorkerModel* worker = anyWorker())
@@ -215,7 +215,7 @@
         std::string organisation;
         if (m_faults == Faults::Organised)
             organisation = std::array { "north", "south", "east" }.at(pickLater(0, 2));
-        // Tasks that last might use a quota up for ever.
+        // Long-running tasks might exhaust a quota permanently.
         if (m_faults == Faults::Organised && steps[0].longRunning)
             organisation = "east";
         m_cluster.submit(anyEntry(), queue, id, job(steps), organisation);
@@ -359,7 +359,7 @@
         });
     }
 
-    /// Gives a worker or all workers of its rack one of the troubles that nobody reports.
+    /// Sets one of the unreported faults on a worker or on all workers of its rack.
     void faultOfQuietWorkers()
     {
         const model::WorkerModel* first = anyWorker();
@@ -406,7 +406,7 @@
         m_cluster.clock.after(Millis(pickLater(500, 4'000)), [this] { m_cluster.peers.trouble = {}; });
     }
 
-    /// Cuts two data halls from each other, or what one of them sends to the other.
+    /// Partitions two data halls from each other, in one direction or both.
     void cutHalls()
     {
         const std::size_t from = pickLater(0, 2);
@@ -492,7 +492,7 @@
         }
     }
 
-    /// \returns Where each instance is, and what runs there.
+    /// \returns The pool, state and number of running attempts of each instance.
     std::string instancesText()
     {
         std::string text;
@@ -509,8 +509,8 @@
     std::mt19937_64 m_laterRandom;
     std::uint64_t m_jobs = 0;
     std::uint64_t m_waves = 0;
-    std::set<std::string> m_ending; ///< Jobs whose first tasks end their workers.
-    std::uint64_t m_version = 1; ///< Of the configuration, in runs with organisations.
+    std::set<std::string> m_ending; ///< Jobs whose first tasks crash their workers.
+    std::uint64_t m_version = 1; ///< Version of the configuration, in runs with organisations.
 };
 
 /// \returns The number in an environment variable, or `otherwise`.
@@ -525,51 +525,51 @@
 TEST_CASE("Random runs that failed once keep the promises")
 {
     constexpr std::array<std::uint64_t, 10> seeds {
-        42, // The members of a gang on a hanging worker waited for ever.
-        785, // A stuck task was stopped beside the budget of its step.
-        1'094, // A late success was dropped, and a third attempt began after it was stored.
-        7'315, // The same with the newer start still on its way; the lease had lapsed.
-        218, // The second owner's record of acts left out the first one's; later, a late record undid a newer one.
-        244, // An instance whose worker had not been met looked empty and was maintained.
-        4'564, // A new owner took a task away while a former one's stop of another was under way.
-        10'873, // A record of acts that was carried out late undid a newer one.
-        8'163, // A member of a failed gang ran on while the gang started again.
-        20'243, // A worker whose entry came back after the takeover was not asked before old tasks started.
+        42, // The members of a gang with one member on a hanging worker waited without end.
+        785, // A stuck task was stopped without regard to the disruption budget of its step.
+        1'094, // A late success was dropped, and a third attempt began after the success had been stored.
+        7'315, // The same with the newer start in transit; the lease had expired.
+        218, // The second owner's record of calls omitted the first owner's; later, a delayed record undid a newer one.
+        244, // An instance whose worker had not responded yet appeared empty and was maintained.
+        4'564, // A new owner stopped a task while a previous owner's stop of another one was in progress.
+        10'873, // A delayed write of the record of calls undid a newer one.
+        8'163, // A member of a failed gang kept running while the gang restarted.
+        20'243, // A worker whose entry reappeared after the takeover was not asked for its tasks before inherited tasks started.
     };
     for (const std::uint64_t seed : seeds)
         RandomRun(seed, Faults::First).play();
     constexpr std::array<std::uint64_t, 2> laterSeeds {
-        32'582, // A draining worker's task was stopped while the stop of another of its step was in doubt.
-        36'394, // The same, of two jobs.
+        32'582, // A draining worker's task was stopped while the stop of another task of its step was unacknowledged.
+        36'394, // The same with two jobs.
     };
     for (const std::uint64_t seed : laterSeeds)
         RandomRun(seed, Faults::Second).play();
-    // A failure that a new owner heard of beside a newer attempt was dropped.
+    // A failure reported to a new owner in parallel to a newer attempt was dropped.
     RandomRun(62'262, Faults::All).play();
-    // Quotas were lowered while the store was silent to the owner, which went on by the former ones.
+    // Quotas were lowered while the store was unresponsive to the owner, which continued with the previous ones.
     RandomRun(140, Faults::Organised).play();
     RandomRun(5'108, Faults::Organised).play();
-    // A stop without an answer was sent again after an outage, when another of its step had been lost.
+    // An unacknowledged stop was sent again after an outage, when another task of its step had failed with its worker.
     RandomRun(110'400, Faults::All).play();
     constexpr std::array<std::uint64_t, 9> poisonSeeds {
         511'149, // Crashes and probations were not stored when the owner lost the store.
-        512'461, // The owner was lost before it saw the worker of a first start fall silent.
-        513'850, // The end of workers that no list had shown was not proved, and their crashes stayed unconfirmed.
+        512'461, // The owner crashed before it noticed that the worker of a first start was unresponsive.
+        513'850, // The end of workers that never appeared in a list was not proved, and their crashes stayed unconfirmed.
         500'703, // The same.
         503'048, // The same.
-        600'150, // The same, with an owner lost before the silence.
-        700'046, // A crash before the answer beside acknowledged starts was not counted.
-        800'121, // Unproved ends, and a count that was not stored.
+        600'150, // The same, with an owner that crashed before the worker counted as unresponsive.
+        700'046, // A crash before the response, next to acknowledged starts, was not counted.
+        800'121, // Unproved ends of workers, and a crash count that was not stored.
         800'194, // The worker had announced its end just before the crash.
     };
     for (const std::uint64_t seed : poisonSeeds)
         RandomRun(seed, Faults::Ending).play();
-    // A lease that was given on the clock of a worker's previous incarnation outlasted what the next owner allowed for.
+    // A lease granted on the clock of a worker's previous incarnation lasted longer than the next owner assumed.
     RandomRun(21'078, Faults::Restarting).play();
-    // Two entry instances stored one job with equal values while answers were lost; others were told as accepted, and were not stored.
+    // Two entry instances stored one job with equal values while responses were lost; other jobs were reported as accepted but not stored.
     RandomRun(50'000'173, Faults::Restarting).play();
     RandomRun(50'000'222, Faults::Restarting).play();
-    // A suspect that waited for the rack of its data never had a wait on record, and waited without end.
+    // A suspect task that waited for the rack of its data never had a recorded wait, and waited without end.
     RandomRun(113, Faults::Mixed).play();
 }
 
@@ -637,7 +637,7 @@
         RandomRun(seed, Faults::Quiet).play();
 }
 
-/// Runs of this sort that failed once are kept in the next test.
+/// Seeds of this kind that failed are kept in the next test.
 TEST_CASE("No promise is broken in random runs with workers that start again under their ids")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 10'000);
@@ -646,7 +646,7 @@
         RandomRun(seed, Faults::Restarting).play();
 }
 
-/// Guards against failing jobs over starts that never reached a worker, silent workers that live, and owners that were lost.
+/// Guards against failing jobs over starts that never reached a worker, over unresponsive workers that are up, and over crashed owners.
 TEST_CASE("No task is given up that has ended no worker where many workers start again")
 {
     for (const std::uint64_t seed : { 26, 822, 844, 1'115, 1'217, 11'845, 13'140, 13'581, 13'989 })
--- a/tests/jobs/resized_worker_test.cpp
+++ b/tests/jobs/resized_worker_test.cpp
@@ -1,4 +1,4 @@
-/// Workers whose room shrinks and grows while they run.
+/// Workers whose capacity shrinks and grows at run time.
 
 #include "support.h"
 
@@ -13,7 +13,7 @@
 constexpr Resources whole { .milliCpu = 8'000, .memoryMb = 16'000 };
 constexpr Resources quarter { .milliCpu = 2'000, .memoryMb = 4'000 };
 
-/// A cluster of workers that start whatever they are told.
+/// A cluster of workers that accept starts beyond their capacity.
 struct ResizedCluster : SmallCluster {
     explicit ResizedCluster(std::uint64_t seed = 1, std::size_t instances = 4)
         : SmallCluster(seed, 3, instances, 0)
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Plays on, and hands in more than there is room for.
+    /// Runs for `time` and submits more jobs than fit.
     void playWithJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
--- a/tests/jobs/store_outage_test.cpp
+++ b/tests/jobs/store_outage_test.cpp
@@ -1,5 +1,5 @@
-/// Outages of the store over each step of a job and of the fleet, seen from outside: what was accepted runs once and ends, and
-/// no promise is broken, whatever the store did with the writes under way.
+/// Store outages during each step of a job and of the fleet: each accepted job runs once and ends, and
+/// no guarantee is violated, regardless of the store's handling of the pending writes.
 
 #include "support.h"
 
@@ -31,9 +31,9 @@
 }
 
 constexpr Millis outageTime { 4'000 };
-constexpr Millis settleTime { 20'000 }; // Calls, leases and late writes of an outage are over by then.
+constexpr Millis settleTime { 20'000 }; // Calls, leases and late writes of an outage have ended by then.
 
-/// A cluster that has run a job, so that the owner knows its workers.
+/// A cluster that has run a job, so that the owner has sessions with its workers.
 struct OutageCluster : SmallCluster {
     explicit OutageCluster(std::uint64_t seed)
         : SmallCluster(seed)
@@ -48,7 +48,7 @@
         witness.noteTrouble(clock.now() + outageTime + settleTime);
     }
 
-    /// Ends the outage, and checks that all that was accepted ends as it should.
+    /// Ends the outage, and checks that every accepted job ends as required.
     void endOutage()
     {
         store.trouble = {};
@@ -105,7 +105,7 @@
         DYNAMIC_SECTION(outage.name)
         {
             OutageCluster cluster(13);
-            // More than the pool holds, so that instances come from the reserve.
+            // More jobs than fit into the pool, so that instances come from the reserve.
             for (std::uint64_t i = 2; i < 12; ++i)
                 cluster.submit(i % 3, "work", jobId(i), job({ step(8) }));
             cluster.clock.runFor(Millis(150));
@@ -167,7 +167,7 @@
     cluster.endOutage();
 }
 
-// Guards against watches and renewals that wait for their own timers: a copy was up to 2 s behind a store that was back.
+// Guards against watches and renewals that wait for their own timers: a replica lagged up to 2 s behind a store that was available again.
 TEST_CASE("When a silent store is back, the owner renews and its copy is fresh within 300 ms")
 {
     SmallCluster cluster(3);
@@ -181,7 +181,7 @@
     CHECK(cluster.entry(owner).shards().front().copyAgeMillis <= 300);
 }
 
-// Guards against repeats of calls that are answered in time: all entry instances share the store's rates.
+// Guards against hedging calls that are answered in time: all entry instances share the store's rate limits.
 TEST_CASE("Without trouble the store gets as many calls as without this part")
 {
     std::vector<std::uint64_t> calls;
@@ -206,7 +206,7 @@
     CHECK(calls[0] == calls[1]);
 }
 
-// Guards the way from a refused id to the outage: the state of the store and what is not stored yet.
+// Covers the metrics that lead from a refused id to the outage: the state of the store and the unsaved changes.
 TEST_CASE("Metrics tell the state of the store and the changes that wait for it")
 {
     SmallCluster cluster(17);
@@ -230,14 +230,14 @@
     CHECK(shows("lanemoor_unsaved_changes 0"));
 }
 
-// Guards against writes that wait out their time-out of 1 s where the answers to all writes are lost.
+// Guards against writes that wait for their time-out of 1 s while the responses to all writes are lost.
 TEST_CASE("A job is accepted within 400 ms though the answers to all writes are lost")
 {
     SmallCluster cluster(18);
     cluster.store.trouble = { .leasesWait = true, .lostAnswers = 1 };
     cluster.submit(0, "work", jobId(1), job({ step(2) }));
     CHECK(cluster.waitFor(Millis(1'700), [&] { return cluster.accepted().contains(jobId(1)); }));
-    // By now the response times are known: the first calls may wait 800 ms.
+    // The response times are known by now: the first calls may wait 800 ms.
     cluster.store.trouble = {};
     cluster.submit(0, "work", jobId(2), job({ step(2) }));
     cluster.clock.runFor(Millis(1'000));
--- a/tests/jobs/worker_entry_test.cpp
+++ b/tests/jobs/worker_entry_test.cpp
@@ -1,5 +1,5 @@
-/// Entries under the workers' prefix of the store may come from another writer: they name no worker to use, and
-/// cost the other workers nothing.
+/// Entries under the workers' prefix of the store may come from another writer. Invalid ones are ignored, and
+/// don't affect other workers.
 
 #include "lanemoor/jobs/operator/operator_api.h"
 #include "platform/wire.h"
@@ -26,7 +26,7 @@
     return platform::readWorker("i", entry.dump()).has_value();
 }
 
-/// \returns Calls to workers that the entry has made itself.
+/// \returns The number of calls that the entry instance has sent to workers itself.
 std::uint64_t callsToWorkers(SmallCluster& cluster)
 {
     const std::string text = cluster.entry(0).metrics();
@@ -54,7 +54,7 @@
         entry[field] = nullptr;
         CHECK_FALSE(namesWorker(entry));
     }
-    // What is 0 or empty may be left out.
+    // Fields that are 0 or empty may be omitted.
     json brief = soundEntry();
     for (const char* field : { "version", "slots", "cold_left_ms", "labels", "seq" })
         brief.erase(field);
