--- a/include/lanemoor/jobs/model/forward_declarations.h
+++ b/include/lanemoor/jobs/model/forward_declarations.h
@@ -12,7 +12,7 @@
 class JobScheduler;
 class JobState;
 class KeyValueStore;
-class OwnershipKeeper;
+class OwnershipManager;
 class PeerTransport;
 class PlacementAdvisor;
 class PlatformDocuments;
--- a/include/lanemoor/jobs/owner/fleet_keeper.h
+++ b/include/lanemoor/jobs/owner/fleet_controller.h
@@ -5,7 +5,7 @@
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
 #include "lanemoor/jobs/model/service_configuration.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "lanemoor/jobs/policy/capacity_plan.h"
 
 #include <cstdint>
@@ -23,12 +23,12 @@
 class WorkMeter;
 
 /// Dependencies and settings of a fleet controller. All referenced objects outlive the controller.
-struct FleetKeeperOptions {
+struct FleetControllerOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
     FleetControl* fleet = nullptr;
     JobScheduler* scheduler = nullptr;
-    OwnershipKeeper* ownership = nullptr;
+    OwnershipManager* ownership = nullptr;
     const HallEvacuations* evacuations = nullptr;
     const PlatformDocuments* documents = nullptr;
     EventLog* log = nullptr;
@@ -40,12 +40,12 @@
     Millis handover { 3'000 };
     Millis maintenanceTime { 2'000 }; ///< Duration of the maintenance of one instance, as the platform specifies it.
     Millis moveTime { 1'500 }; ///< Duration of the move of one instance between pools.
-    double actsPerSecond = 0; ///< Rate limit of the platform for all instances together; 0: no limit.
+    double callsPerSecond = 0; ///< Rate limit of the platform for all instances together; 0: no limit.
     CapacityOptions capacity;
-    bool movesEvacuated = true; ///< Whether empty instances of evacuated data halls move to the reserve pool.
+    bool movesEvacuatedInstances = true; ///< Whether empty instances of evacuated data halls move to the reserve pool.
     Millis planEvery { 100 }; ///< Max delay before the plan covers a pool that lacks instances.
     Millis listEvery { 1'000 };
-    Millis listEveryWhileActing { 300 }; ///< Interval while waves or moves are in progress; the list lags by about 800 ms.
+    Millis listEveryWithPendingChanges { 300 }; ///< Interval while waves or moves are in progress; the list lags by about 800 ms.
 };
 
 /// Counters since the start of the process.
@@ -58,12 +58,12 @@
 };
 
 /// \brief Lists the instances, carries out maintenance waves and sizes the pools by load.
-class FleetKeeper {
+class FleetController {
 public:
-    explicit FleetKeeper(FleetKeeperOptions options);
-    ~FleetKeeper();
-    FleetKeeper(const FleetKeeper&) = delete;
-    FleetKeeper& operator=(const FleetKeeper&) = delete;
+    explicit FleetController(FleetControllerOptions options);
+    ~FleetController();
+    FleetController(const FleetController&) = delete;
+    FleetController& operator=(const FleetController&) = delete;
 
     void activate(const Ownership& ownership);
     void deactivate();
--- a/include/lanemoor/jobs/owner/hall_evacuations.h
+++ b/include/lanemoor/jobs/owner/hall_evacuations.h
@@ -24,7 +24,7 @@
     EventLog* log = nullptr;
     std::string prefix; ///< Key prefix of the requests; the rest of a key is the name of the data hall.
     Millis readEvery { 700 }; ///< Interval; well below the time limit within which a request must be in force.
-    Millis patience { 700 }; ///< Time limit of a store call; a slow store takes about 300 ms.
+    Millis readTimeout { 700 }; ///< Time limit of a store call; a slow store takes about 300 ms.
     Millis retryPause { 200 }; ///< Pause after a failed call.
     Millis bound { 0 }; ///< Time after a request from which no task may start in the data hall; 0: no limit.
     Millis startMargin { 1'000 }; ///< Share of the bound reserved for a start in transit to a worker.
--- a/include/lanemoor/jobs/owner/job_retirement.h
+++ b/include/lanemoor/jobs/owner/job_retirement.h
@@ -14,7 +14,7 @@
 
 namespace lanemoor::jobs {
 
-class OwnershipKeeper;
+class OwnershipManager;
 class StoreMirror;
 
 /// What a retirement works with. All of it outlives the retirement.
@@ -23,7 +23,7 @@
     KeyValueStore* store = nullptr;
     StoreMirror* mirror = nullptr;
     const JobCatalog* catalog = nullptr;
-    const OwnershipKeeper* ownership = nullptr;
+    const OwnershipManager* ownership = nullptr;
     EventLog* log = nullptr;
     Millis statusTime { 120'000 }; ///< A finished job's status is shown at least this long.
 };
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -9,7 +9,7 @@
 #include "lanemoor/jobs/model/service_configuration.h"
 #include "lanemoor/jobs/owner/evacuation_report.h"
 #include "lanemoor/jobs/owner/job_report.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "lanemoor/jobs/policy/admission_options.h"
 #include "lanemoor/jobs/policy/checkpoint_move.h"
 #include "lanemoor/jobs/policy/crash_attribution.h"
@@ -49,7 +49,7 @@
     WorkerDirectory* directory = nullptr;
     WorkerControl* workers = nullptr;
     PlacementAdvisor* advisor = nullptr;
-    OwnershipKeeper* ownership = nullptr;
+    OwnershipManager* ownership = nullptr;
     const HallEvacuations* evacuations = nullptr;
     EventLog* log = nullptr;
     WorkMeter* meter = nullptr; ///< Null: work is not measured.
--- a/include/lanemoor/jobs/owner/ownership_keeper.h
+++ b/include/lanemoor/jobs/owner/ownership_manager.h
@@ -44,20 +44,20 @@
     std::function<void()> suspended; ///< The lease may have expired, and the store does not respond.
     std::function<void()> resumed; ///< The lease turned out to be valid.
     std::function<void(StoreOutcome)> claimFailed; ///< The claim failed with this outcome.
-    std::function<void(const std::string& holder)> endsLost; ///< This process revokes the lease of a crashed owner.
+    std::function<void(const std::string& holder)> revokingLease; ///< This process revokes the lease of a crashed owner.
 };
 
 /// \brief Claims the ownership when it is free, renews it, and tracks when it may expire.
 ///
 /// Every write on behalf of the owner carries the epoch as a condition, and is sent only while `isHeld()`. The validity counts from
 /// before the renewal was sent.
-class OwnershipKeeper {
+class OwnershipManager {
 public:
     /// \param mirror Watch cache of the ownership keys; its items are also passed to `observe`.
-    OwnershipKeeper(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer);
-    ~OwnershipKeeper();
-    OwnershipKeeper(const OwnershipKeeper&) = delete;
-    OwnershipKeeper& operator=(const OwnershipKeeper&) = delete;
+    OwnershipManager(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer);
+    ~OwnershipManager();
+    OwnershipManager(const OwnershipManager&) = delete;
+    OwnershipManager& operator=(const OwnershipManager&) = delete;
 
     /// \brief Starts to compete for the ownership.
     void start();
@@ -74,7 +74,7 @@
 
     /// \brief Revokes the lease of the owner at `peer`, whose process has exited, so that no process waits for
     /// its expiry. If the owner is alive after all, its writes fail, and it stops when its renewal fails.
-    void endLost(const std::string& peer);
+    void revokeCrashedOwner(const std::string& peer);
 
     /// \brief Notes that another owner exists: stops acting at once.
     void noteSuperseded();
--- a/include/lanemoor/jobs/owner/queue_counts_writer.h
+++ b/include/lanemoor/jobs/owner/queue_counts_writer.h
@@ -11,14 +11,14 @@
 
 namespace lanemoor::jobs {
 
-class OwnershipKeeper;
+class OwnershipManager;
 
 /// What a writer of counts works with. All of it outlives the writer.
 struct QueueCountsWriterOptions {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
     const JobCatalog* catalog = nullptr;
-    const OwnershipKeeper* ownership = nullptr;
+    const OwnershipManager* ownership = nullptr;
     std::function<std::shared_ptr<const ServiceConfiguration>()> configuration;
     std::function<bool()> isCurrent; ///< Whether the copy of the jobs is fresh enough to count.
     Millis writeEvery { 1'000 }; ///< Half of the age that a count may have.
--- a/include/lanemoor/jobs/owner/worker_directory.h
+++ b/include/lanemoor/jobs/owner/worker_directory.h
@@ -32,10 +32,10 @@
     void remove(const std::string& id);
 
     /// \brief Drops all removed entries, since a process that starts now would not have them.
-    void forgetRemoved();
+    void dropRemoved();
 
     /// \brief Drops removed entries once all leases on their workers have expired.
-    void forgetOld();
+    void dropExpired();
 
     [[nodiscard]] const std::map<std::string, DirectoryEntry>& all() const noexcept { return m_entries; }
 
--- a/include/lanemoor/jobs/owner/worker_book.h
+++ b/include/lanemoor/jobs/owner/worker_record.h
@@ -19,32 +19,32 @@
 namespace lanemoor::jobs {
 
 /// One incarnation of a worker and its reservations, commands and health.
-struct WorkerBook {
+struct WorkerRecord {
     WorkerEntry entry;
     MonotonicInstant knownSince; ///< When this process first observed the incarnation.
-    std::set<std::int64_t> formerStarts; ///< Start times of ended incarnations with this id; later reports on them are ignored.
+    std::set<std::int64_t> previousStarts; ///< Start times of ended incarnations with this id; later reports on them are ignored.
     bool listed = true; ///< False: the entry was removed from the store, though the worker may still be up.
     std::optional<MonotonicInstant> unlistedSince; ///< Request time of the first complete list of instances without this incarnation.
     std::shared_ptr<WorkerSession> session;
-    Bookings bookings; ///< Attempts that have not ended.
+    Bookings reservations; ///< Attempts that have not ended.
     std::map<Attempt, MonotonicInstant> strayStops; ///< Unwanted attempts, with the time of the next stop command.
     WorkerHealth health;
     std::optional<Attempt> probingAttempt; ///< The latest attempt started while the worker was probing.
     StartAnswers starts;
     Throttle throttle;
-    bool met = false; ///< Its first report was processed.
-    bool endOrdered = false; ///< This owner has ordered the end of the incarnation.
-    bool endSettled = false; ///< The end of the incarnation was attributed.
+    bool hasReported = false; ///< Its first report was processed.
+    bool isEndOrdered = false; ///< This owner has ordered the end of the incarnation.
+    bool isEndAttributed = false; ///< The end of the incarnation was attributed.
     bool evacuating = false; ///< Being emptied: not open for new tasks.
     MonotonicInstant evacuatingSince; ///< Only valid while `evacuating`.
     bool hallEvacuated = false; ///< The data hall is being evacuated: not open for new tasks.
     bool hallLost = false; ///< The data hall was lost, and the worker is not readmitted yet: not open for new tasks.
-    MonotonicInstant noWorkBefore; ///< Not open before this, since the worker refused a command.
-    MonotonicInstant youngUntil; ///< End of the probation of the latest start.
+    MonotonicInstant closedUntil; ///< Not open before this, since the worker refused a command.
+    MonotonicInstant probationUntil; ///< End of the probation of the latest start.
     MonotonicInstant livenessCheckDueAt; ///< Deadline of the pending liveness check.
     MonotonicInstant nextLivenessCheckAt; ///< Time of the next liveness check at the earliest.
     std::string keptFor; ///< Label of the tasks that the worker is reserved for.
-    MonotonicInstant keptUntil; ///< End of this reservation.
+    MonotonicInstant reservedUntil; ///< End of this reservation.
 
     /// \returns The capacity that is not reserved.
     [[nodiscard]] Resources free() const;
@@ -56,7 +56,7 @@
     [[nodiscard]] bool isHallOpen() const noexcept { return !hallEvacuated && !hallLost; }
 
     /// \returns Whether `entry` describes the incarnation of the session, as far as the start times are known.
-    [[nodiscard]] bool isEntryOfLife() const;
+    [[nodiscard]] bool isEntryOfIncarnation() const;
 
     /// \returns The number of starts that the health of the worker currently allows.
     [[nodiscard]] std::uint32_t startsLeft(MonotonicInstant now) const;
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -17,13 +17,13 @@
 /// Settings of a session.
 struct WorkerSessionOptions {
     std::uint64_t epoch = 0; ///< Epoch of the ownership.
-    MonotonicInstant inheritedLeaseOverBy; ///< Latest expiry of a lease of an earlier owner.
+    MonotonicInstant inheritedLeaseExpiresBy; ///< Latest expiry of a lease of an earlier owner.
     /// Lease of all attempts at the worker. A short lease fails running tasks when the owner crashes; a long
     /// lease delays the tasks of a crashed worker.
     Millis leaseTime { 5'000 };
     Millis wait { 1'000 }; ///< Long-poll time: the worker delays a response for up to this time until an attempt ends. Also the max renewal interval.
     Millis retryPause { 200 }; ///< Pause after a renewal without a response.
-    std::function<bool()> mayOrder; ///< Whether the ownership is held.
+    std::function<bool()> maySendCommands; ///< Whether the ownership is held.
     std::function<Millis()> overdueAfter; ///< Time after the long-poll time at which a call without a response is overdue.
 };
 
@@ -34,24 +34,24 @@
 
     /// \brief Response to a renewal. The observer calls `acknowledge` once the ended attempts are stored.
     /// \param sentAt When the renewal was sent: the response reflects all commands answered before that.
-    virtual void onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
+    virtual void onRenewalAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
 
     /// \brief Response to a probe. Probes and renewals may overtake each other.
     /// \param sentAt When the probe was sent: the response reflects all commands answered before that.
-    virtual void onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
+    virtual void onProbeAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) = 0;
 
     /// \brief The worker is up: a response carried a newer time of its clock.
-    virtual void onHeard(WorkerSession& session) = 0;
+    virtual void onAlive(WorkerSession& session) = 0;
 
     /// \brief A probe is overdue, and no response has been received since it was sent.
-    virtual void onOverdue(WorkerSession& session) = 0;
+    virtual void onProbeOverdue(WorkerSession& session) = 0;
 
     /// \brief A renewal has failed or timed out.
-    virtual void onSilence(WorkerSession& session) = 0;
+    virtual void onUnresponsive(WorkerSession& session) = 0;
 
     /// \brief The incarnation or its lease has ended: none of its attempts runs any more.
-    /// \param lifeOver False: only the lease has expired; the worker may respond again, with no running attempts.
-    virtual void onOver(WorkerSession& session, bool lifeOver) = 0;
+    /// \param isIncarnationOver False: only the lease has expired; the worker may respond again, with no running attempts.
+    virtual void onEnded(WorkerSession& session, bool isIncarnationOver) = 0;
 
     /// \brief The worker has restarted under its id. No attempt of the previous incarnation runs any more; an unacknowledged
     /// command to the previous incarnation may still reach the new one.
@@ -68,7 +68,7 @@
 /// computes when the longest granted lease has certainly expired.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
 public:
-    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife life, WorkerSessionOptions options, WorkerSessionObserver& observer);
+    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer);
 
     /// \brief Sends the first renewal, which also fences off earlier owners.
     void start();
@@ -84,7 +84,7 @@
 
     /// \returns The lease for a command sent now, on the worker's clock in ms;
     /// nothing before the first response.
-    [[nodiscard]] std::optional<std::int64_t> leaseForOrder();
+    [[nodiscard]] std::optional<std::int64_t> leaseForCommand();
 
     /// \brief Applies the worker's clock from the response to a command.
     /// \returns False if the clock went back: another incarnation may have responded.
@@ -99,33 +99,33 @@
     void noteOverdue();
 
     /// \returns Whether a call to the worker was overdue recently.
-    [[nodiscard]] bool wasOverdueLately() const { return m_loop.now() < m_shortWaitUntil; }
+    [[nodiscard]] bool wasOverdueLately() const { return m_loop.now() < m_reducedWaitUntil; }
 
     /// \brief Probes the worker after `pause`.
     void probeAfter(Millis pause);
 
     /// \returns The newest time on the worker's clock that a response carried, ms: the worker was up then; 0 before the first response.
-    [[nodiscard]] std::int64_t heardOnClock() const noexcept { return m_heardOnClock; }
+    [[nodiscard]] std::int64_t lastSeenOnClock() const noexcept { return m_lastSeenOnClock; }
 
     /// \returns The estimated current time on the worker's clock, ms; 0 before the first response.
     [[nodiscard]] std::int64_t clockNow() const;
 
     /// \returns Whether the worker is known to have been up at or after `instant`.
-    [[nodiscard]] bool answeredSince(MonotonicInstant instant) const noexcept { return m_heardOnClock > 0 && m_answeredAt >= instant; }
+    [[nodiscard]] bool answeredSince(MonotonicInstant instant) const noexcept { return m_lastSeenOnClock > 0 && m_answeredAt >= instant; }
 
-    [[nodiscard]] const WorkerLife& life() const noexcept { return m_life; }
+    [[nodiscard]] const WorkerLife& incarnation() const noexcept { return m_incarnation; }
 
     /// \returns Whether the worker has answered a renewal of this owner, which fences off all earlier owners.
-    [[nodiscard]] bool isMet() const noexcept { return m_met; }
+    [[nodiscard]] bool hasAnswered() const noexcept { return m_hasAnswered; }
 
     /// \returns Whether the last renewal got no response.
-    [[nodiscard]] bool isSilent() const noexcept { return m_silent; }
+    [[nodiscard]] bool isUnresponsive() const noexcept { return m_unresponsive; }
 
     /// \returns Whether the incarnation is known to have ended.
-    [[nodiscard]] bool isLifeOver() const noexcept { return m_lifeOver; }
+    [[nodiscard]] bool isIncarnationOver() const noexcept { return m_incarnationOver; }
 
     /// \returns When every lease granted to this worker has certainly expired.
-    [[nodiscard]] MonotonicInstant leaseOverBy() const;
+    [[nodiscard]] MonotonicInstant leaseExpiresBy() const;
 
     /// \brief Notes the end of the incarnation, proved by another source.
     void noteLifeOver();
@@ -138,38 +138,38 @@
     void renewAt(MonotonicInstant when);
     void watchRenewal(MonotonicInstant overdueAt, Millis pause);
     void watchProbe(MonotonicInstant sentAt, MonotonicInstant overdueAt);
-    void answered(const RenewResult& result, MonotonicInstant sentAt);
-    void watchLease();
-    void endLeaseInTime();
-    void doubtLife();
-    void noteThisLife();
-    [[nodiscard]] bool mayBeAnotherLife() const;
-    [[nodiscard]] bool isOfThisLife(const RenewResult& result) const noexcept { return result.startedAt == 0 || m_life.startedAt == 0 || result.startedAt == m_life.startedAt; }
-    void hurry(MonotonicInstant when);
+    void handleResponse(const RenewResult& result, MonotonicInstant sentAt);
+    void checkLeaseExpiry();
+    void scheduleLeaseExpiry();
+    void suspectRestart();
+    void confirmIncarnation();
+    [[nodiscard]] bool mayHaveRestarted() const;
+    [[nodiscard]] bool isOfThisIncarnation(const RenewResult& result) const noexcept { return result.startedAt == 0 || m_incarnation.startedAt == 0 || result.startedAt == m_incarnation.startedAt; }
+    void renewBy(MonotonicInstant when);
 
     EventLoop& m_loop;
     WorkerControl& m_control;
-    WorkerLife m_life;
+    WorkerLife m_incarnation;
     WorkerSessionOptions m_options;
     WorkerSessionObserver& m_observer;
     bool m_closed = false;
     bool m_renewing = false;
-    bool m_met = false;
-    bool m_silent = false;
-    bool m_lifeOver = false;
-    bool m_lifeInDoubt = false; ///< Another incarnation may respond under this id.
-    MonotonicInstant m_probeFrom; ///< No probe is sent before this.
-    MonotonicInstant m_shortWaitUntil;
+    bool m_hasAnswered = false;
+    bool m_unresponsive = false;
+    bool m_incarnationOver = false;
+    bool m_restartSuspected = false; ///< Another incarnation may respond under this id.
+    MonotonicInstant m_nextProbeAt; ///< No probe is sent before this.
+    MonotonicInstant m_reducedWaitUntil;
     MonotonicInstant m_renewalSentAt; ///< Send time of the pending renewal.
-    MonotonicInstant m_heardAt; ///< When a response last confirmed this incarnation.
-    bool m_leaseLapsed = false;
+    MonotonicInstant m_confirmedAt; ///< When a response last confirmed this incarnation.
+    bool m_leaseExpired = false;
     bool m_awaitingAcknowledgement = false;
     std::uint64_t m_storedUpTo = 0;
     std::int64_t m_clockSample = 0; ///< A time on the worker's clock, ms,
     MonotonicInstant m_clockSampledBy; ///< reached at this local time at the latest.
-    std::int64_t m_heardOnClock = 0; ///< Newest time on the worker's clock, ms; responses may overtake each other.
-    MonotonicInstant m_answeredAt; ///< When `m_heardOnClock` was received.
-    std::int64_t m_longestLease = 0; ///< Latest granted lease, on the worker's clock, ms.
+    std::int64_t m_lastSeenOnClock = 0; ///< Newest time on the worker's clock, ms; responses may overtake each other.
+    MonotonicInstant m_answeredAt; ///< When `m_lastSeenOnClock` was received.
+    std::int64_t m_latestLease = 0; ///< Latest granted lease, on the worker's clock, ms.
     TimerId m_timer = 0;
     MonotonicInstant m_timerAt;
 };
--- a/src/jobs/owner/admission_desk.cpp
+++ b/src/jobs/owner/admission_desk.cpp
@@ -118,7 +118,7 @@
 AdmissionDesk::ByPool AdmissionDesk::acceptedByPool() const
 {
     ByPool accepted;
-    for (const auto& [id, job] : m_state.walked) {
+    for (const auto& [id, job] : m_state.individualJobs) {
         const JobRecord& record = job->state.record();
         if (!job->account || isFinal(job->state.status()) || !hasObjective(record.spec))
             continue;
@@ -163,7 +163,7 @@
 {
     std::map<std::string, std::int64_t> present;
     for (const auto& [id, book] : m_state.workers) {
-        if (book.isOpen(m_state.now()) || !book.bookings.empty())
+        if (book.isOpen(m_state.now()) || !book.reservations.empty())
             present[book.entry.pool] += book.entry.capacity.milliCpu;
     }
     std::map<std::string, std::int64_t> asked;
--- a/src/jobs/owner/other_sites.cpp
+++ b/src/jobs/owner/alternative_workers.cpp
@@ -1,8 +1,8 @@
-#include "other_sites.h"
+#include "alternative_workers.h"
 
 namespace lanemoor::jobs {
 
-const Resources& OtherSites::freeOn(const WorkerBook& worker)
+const Resources& AlternativeWorkers::freeOn(const WorkerRecord& worker)
 {
     const auto [place, isNew] = m_free.try_emplace(worker.entry.id);
     if (isNew)
@@ -10,11 +10,11 @@
     return place->second;
 }
 
-bool OtherSites::hasRoomFor(const JobState& job, const StepId& step, const WorkerBook& worker, const std::string& avoidLabel)
+bool AlternativeWorkers::hasRoomFor(const JobState& job, const StepId& step, const WorkerRecord& worker, const std::string& avoidLabel)
 {
     const StepSpec& spec = job.spec(step.step);
     Resources needed = footprint(spec);
-    needed += m_promised;
+    needed += m_reserved;
     for (const auto& [id, other] : m_state.workers) {
         if (&other == &worker || other.entry.pool != worker.entry.pool || !other.isOpen(m_state.now()))
             continue;
--- a/src/jobs/owner/other_sites.h
+++ b/src/jobs/owner/alternative_workers.h
@@ -9,26 +9,26 @@
 namespace lanemoor::jobs {
 
 /// \brief Searches for capacity on other workers. Caches the free capacity of each worker; valid for one pass.
-class OtherSites {
+class AlternativeWorkers {
 public:
-    explicit OtherSites(const OwnerState& state)
+    explicit AlternativeWorkers(const OwnerState& state)
         : m_state(state)
     {
     }
 
     /// \param avoidLabel Workers with this label are excluded; empty: none.
     /// \returns Whether an open worker other than `worker` has capacity for one more task of the step.
-    [[nodiscard]] bool hasRoomFor(const JobState& job, const StepId& step, const WorkerBook& worker, const std::string& avoidLabel = {});
+    [[nodiscard]] bool hasRoomFor(const JobState& job, const StepId& step, const WorkerRecord& worker, const std::string& avoidLabel = {});
 
     /// \brief Reserves capacity for a task of `step` that is being moved, so that the same capacity is not
     /// used twice.
-    void promise(const StepSpec& step) { m_promised += footprint(step); }
+    void reserve(const StepSpec& step) { m_reserved += footprint(step); }
 
-    [[nodiscard]] const Resources& freeOn(const WorkerBook& worker);
+    [[nodiscard]] const Resources& freeOn(const WorkerRecord& worker);
 
 private:
     const OwnerState& m_state;
-    Resources m_promised;
+    Resources m_reserved;
     std::map<std::string, Resources> m_free; ///< By worker.
 };
 
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t crashesToInfer = minConfirmedCrashes;
 
 constexpr std::size_t maxAttemptsLogged = 8; // Per log line on a crashed worker.
-constexpr Millis workerCountAge { 100 };
+constexpr Millis maxWorkerCountAge { 100 };
 
 bool isSameIncarnation(std::int64_t startedAt, std::int64_t otherStartedAt)
 {
@@ -25,7 +25,7 @@
 /// \returns Whether an unacknowledged start probably reached the worker: the worker was up when it was sent, and has not responded since.
 bool wasProbablyDelivered(const LiveAttempt& live, const WorkerSession& session)
 {
-    return live.sentOnClock > 0 && Millis(session.heardOnClock() - live.sentOnClock) < minProbation;
+    return live.sentOnClock > 0 && Millis(session.lastSeenOnClock() - live.sentOnClock) < minProbation;
 }
 
 /// \returns Whether the progress shows that an attempt has run for much longer than the longest probation.
@@ -36,7 +36,7 @@
 
 } // namespace
 
-bool CrashTracker::OpenStart::isLive() const
+bool CrashTracker::ProbationStart::isLive() const
 {
     const TaskState* state = job->state.find(task);
     return state && state->live && state->live->number == probation.attempt;
@@ -59,19 +59,19 @@
     }
 }
 
-std::size_t CrashTracker::livingWorkers()
+std::size_t CrashTracker::aliveWorkerCount()
 {
-    if (m_state.now() >= m_countWorkersAt) {
-        m_countWorkersAt = m_state.now() + workerCountAge;
-        m_livingWorkers = static_cast<std::size_t>(std::count_if(m_state.workers.begin(), m_state.workers.end(), [](const auto& worker) { return !worker.second.session->isLifeOver(); }));
+    if (m_state.now() >= m_nextWorkerCountAt) {
+        m_nextWorkerCountAt = m_state.now() + maxWorkerCountAge;
+        m_aliveWorkerCount = static_cast<std::size_t>(std::count_if(m_state.workers.begin(), m_state.workers.end(), [](const auto& worker) { return !worker.second.session->isIncarnationOver(); }));
     }
-    return m_livingWorkers;
+    return m_aliveWorkerCount;
 }
 
 /// Also drops index entries without unsettled probations.
-std::vector<CrashTracker::OpenStart> CrashTracker::openStartsAt(const std::string& worker)
+std::vector<CrashTracker::ProbationStart> CrashTracker::probationStartsAt(const std::string& worker)
 {
-    std::vector<OpenStart> open;
+    std::vector<ProbationStart> open;
     const auto indexed = m_state.probations.find(worker);
     if (indexed == m_state.probations.end())
         return open;
@@ -93,14 +93,14 @@
 }
 
 /// \returns The starts at the incarnation of the session.
-std::vector<CrashTracker::OpenStart> CrashTracker::openStartsOf(const WorkerBook& worker)
+std::vector<CrashTracker::ProbationStart> CrashTracker::probationStartsOf(const WorkerRecord& worker)
 {
-    std::vector<OpenStart> open = openStartsAt(worker.entry.id);
-    std::erase_if(open, [&](const OpenStart& start) { return !isSameIncarnation(start.probation.workerStartedAt, worker.session->life().startedAt); });
+    std::vector<ProbationStart> open = probationStartsAt(worker.entry.id);
+    std::erase_if(open, [&](const ProbationStart& start) { return !isSameIncarnation(start.probation.workerStartedAt, worker.session->incarnation().startedAt); });
     return open;
 }
 
-void CrashTracker::withdraw(const OpenStart& start, std::string_view reason)
+void CrashTracker::withdraw(const ProbationStart& start, std::string_view reason)
 {
     if (!start.job->state.withdrawProbation(start.attempt()))
         return;
@@ -108,43 +108,43 @@
     m_state.store(start.job->state.id());
 }
 
-void CrashTracker::noteSurvived(WorkerBook& worker, OwnerJob& job, const Attempt& attempt)
+void CrashTracker::noteSurvived(WorkerRecord& worker, OwnerJob& job, const Attempt& attempt)
 {
-    worker.bookings.noteSurvived(attempt);
+    worker.reservations.noteSurvived(attempt);
     if (!job.state.noteAttemptSurvived(attempt))
         return;
     m_state.options.log->decision("task-cleared", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
     m_state.store(attempt.job);
 }
 
-void CrashTracker::noteAdopted(WorkerBook& worker, OwnerJob& job, const Attempt& attempt, std::int64_t workerClock)
+void CrashTracker::noteAdopted(WorkerRecord& worker, OwnerJob& job, const Attempt& attempt, std::int64_t workerClock)
 {
     const std::uint32_t suspicion = job.state.find(attempt.task)->suspicion();
     if (suspicion == 0) {
         job.state.noteConfirmed(attempt, workerClock);
         return;
     }
-    worker.bookings.noteSuspect(attempt, suspicion);
+    worker.reservations.noteSuspect(attempt, suspicion);
     m_state.beginProbation(job, attempt, worker);
     if (job.state.noteConfirmed(attempt, workerClock))
         m_state.store(attempt.job);
 }
 
-void CrashTracker::noteAnswer(WorkerBook& worker)
+void CrashTracker::noteAnswer(WorkerRecord& worker)
 {
-    if (worker.bookings.suspects().empty() && !m_state.probations.contains(worker.entry.id))
+    if (worker.reservations.suspects().empty() && !m_state.probations.contains(worker.entry.id))
         return;
-    const Millis probation = m_attributor.probation(livingWorkers(), m_state.now());
+    const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
     std::vector<Attempt> survived;
-    for (const auto& [attempt, suspicion] : worker.bookings.suspects()) {
+    for (const auto& [attempt, suspicion] : worker.reservations.suspects()) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isLive = task && task->live && task->live->number == attempt.number;
-        if (!isLive || (!task->live->crashAttributed && task->live->confirmedOnClock > 0 && Millis(worker.session->heardOnClock() - task->live->confirmedOnClock) >= probation))
+        if (!isLive || (!task->live->crashAttributed && task->live->confirmedOnClock > 0 && Millis(worker.session->lastSeenOnClock() - task->live->confirmedOnClock) >= probation))
             survived.push_back(attempt);
     }
-    for (const OpenStart& start : openStartsOf(worker)) {
-        if (worker.bookings.contains(start.attempt()))
+    for (const ProbationStart& start : probationStartsOf(worker)) {
+        if (worker.reservations.contains(start.attempt()))
             continue;
         // The attempt was discarded with an expired lease or a previous owner, but the worker responds.
         if (start.probation.isAcknowledged)
@@ -156,43 +156,43 @@
         if (OwnerJob* job = m_state.job(attempt.job))
             noteSurvived(worker, *job, attempt);
         else
-            worker.bookings.noteSurvived(attempt);
+            worker.reservations.noteSurvived(attempt);
     }
     if (!survived.empty())
         m_state.requestPass();
 }
 
-void CrashTracker::noteSilence(WorkerBook& worker)
+void CrashTracker::noteSilence(WorkerRecord& worker)
 {
-    if (worker.endOrdered || worker.bookings.empty())
+    if (worker.isEndOrdered || worker.reservations.empty())
         return;
-    const Millis probation = m_attributor.probation(livingWorkers(), m_state.now());
-    for (const LostAttempt& lost : bookedAttempts(worker)) {
+    const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
+    for (const LostAttempt& lost : reservedAttempts(worker)) {
         if (lost.isAdopted || lost.survived.value_or(Millis(0)) >= probation)
             continue;
         OwnerJob& job = *m_state.job(lost.attempt.job);
         if (m_state.beginProbation(job, lost.attempt, worker))
-            worker.bookings.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspicion());
+            worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspicion());
         if (job.state.noteSilence(lost.attempt))
             m_state.store(lost.attempt.job);
     }
 }
 
-void CrashTracker::noteOverdue(WorkerBook& worker)
+void CrashTracker::noteOverdue(WorkerRecord& worker)
 {
-    for (const OpenStart& start : openStartsOf(worker)) {
+    for (const ProbationStart& start : probationStartsOf(worker)) {
         if (start.job->state.noteSilence(start.attempt()))
             m_state.store(start.job->state.id());
     }
 }
 
-void CrashTracker::noteLeaseExpired(WorkerBook& worker)
+void CrashTracker::noteLeaseExpired(WorkerRecord& worker)
 {
-    if (worker.endOrdered)
+    if (worker.isEndOrdered)
         return;
-    noteInheritedLoss(worker);
+    noteInheritedFailure(worker);
     noteSilence(worker);
-    for (const OpenStart& start : openStartsOf(worker)) {
+    for (const ProbationStart& start : probationStartsOf(worker)) {
         const TaskState* task = m_state.liveTask(start.attempt(), worker.entry.id);
         if (task && task->live->phase != AttemptPhase::Recording)
             start.job->state.keepProbation(start.attempt());
@@ -200,42 +200,42 @@
 }
 
 /// \returns The live attempts at the worker, without those of finished jobs.
-std::vector<LostAttempt> CrashTracker::bookedAttempts(const WorkerBook& worker) const
+std::vector<LostAttempt> CrashTracker::reservedAttempts(const WorkerRecord& worker) const
 {
-    std::vector<LostAttempt> booked;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    std::vector<LostAttempt> reserved;
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
         const OwnerJob* job = m_state.job(attempt.job);
         if (!task || isFinal(job->state.status()) || task->live->crashAttributed || task->live->phase == AttemptPhase::Recording)
             continue;
-        LostAttempt& entry = booked.emplace_back(LostAttempt { .attempt = attempt, .isLongRunning = booking.step->longRunning, .survived = std::nullopt, .isAdopted = task->live->adopted && !worker.bookings.suspects().contains(attempt), .isInherited = job->inherited, .before = task->crashes });
-        if (entry.isAdopted && hasProgressed(*task->live, *booking.step))
+        LostAttempt& entry = reserved.emplace_back(LostAttempt { .attempt = attempt, .isLongRunning = reservation.step->longRunning, .survived = std::nullopt, .isAdopted = task->live->adopted && !worker.reservations.suspects().contains(attempt), .isInherited = job->inherited, .before = task->crashes });
+        if (entry.isAdopted && hasProgressed(*task->live, *reservation.step))
             continue;
         if (task->live->confirmedOnClock > 0)
-            entry.survived = Millis(std::max<std::int64_t>(worker.session->heardOnClock() - task->live->confirmedOnClock, 0));
+            entry.survived = Millis(std::max<std::int64_t>(worker.session->lastSeenOnClock() - task->live->confirmedOnClock, 0));
         else if (wasProbablyDelivered(*task->live, *worker.session))
             entry.survived = Millis(0);
     }
-    return booked;
+    return reserved;
 }
 
 /// \returns Whether a recorded start that no owner has seen acknowledged or overdue confirms a crash nevertheless: its incarnation has
 /// ended without a response to this owner, and the task has earlier recorded crashes. A single record may belong to a start that was
 /// never sent.
-bool CrashTracker::isInferred(const OpenStart& start, const WorkerBook& worker)
+bool CrashTracker::isInferred(const ProbationStart& start, const WorkerRecord& worker)
 {
-    return !worker.session->isMet() && start.job->state.find(start.task)->crashes.total() >= crashesToInfer;
+    return !worker.session->hasAnswered() && start.job->state.find(start.task)->crashes.total() >= crashesToInfer;
 }
 
 /// \returns The attempts lost in a worker crash, latest start first.
 /// \param open Starts on probation at that incarnation, including those of reserved attempts.
-std::vector<LostAttempt> CrashTracker::lostAttempts(const WorkerBook& worker, const std::vector<OpenStart>& open) const
+std::vector<LostAttempt> CrashTracker::lostAttempts(const WorkerRecord& worker, const std::vector<ProbationStart>& open) const
 {
     std::vector<LostAttempt> lost;
-    if (worker.session->isMet())
-        lost = bookedAttempts(worker);
-    for (const OpenStart& start : open) {
-        if (worker.bookings.contains(start.attempt()) || isFinal(start.job->state.status()))
+    if (worker.session->hasAnswered())
+        lost = reservedAttempts(worker);
+    for (const ProbationStart& start : open) {
+        if (worker.reservations.contains(start.attempt()) || isFinal(start.job->state.status()))
             continue;
         LostAttempt& entry = lost.emplace_back(LostAttempt { .attempt = start.attempt(), .isLongRunning = start.job->state.spec(start.task.step).longRunning, .survived = std::nullopt, .isInherited = start.job->inherited, .before = start.job->state.find(start.task)->crashes });
         if (start.probation.confirmsCrash() || isInferred(start, worker))
@@ -245,35 +245,35 @@
     return lost;
 }
 
-std::optional<Attempt> CrashTracker::noteOver(WorkerBook& worker)
+std::optional<Attempt> CrashTracker::noteIncarnationEnd(WorkerRecord& worker)
 {
-    if (std::exchange(worker.endSettled, true))
+    if (std::exchange(worker.isEndAttributed, true))
         return std::nullopt;
-    noteInheritedLoss(worker);
-    const std::vector<OpenStart> open = openStartsOf(worker);
-    std::vector<LostAttempt> lost = worker.endOrdered ? std::vector<LostAttempt>() : lostAttempts(worker, open);
+    noteInheritedFailure(worker);
+    const std::vector<ProbationStart> open = probationStartsOf(worker);
+    std::vector<LostAttempt> lost = worker.isEndOrdered ? std::vector<LostAttempt>() : lostAttempts(worker, open);
     // A draining worker continues for seconds: it crashed if it became unresponsive right after a start.
-    const Millis probation = m_attributor.probation(livingWorkers(), m_state.now());
+    const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
     const auto wasSurvived = [probation](const LostAttempt& each) { return each.isAdopted || each.survived.value_or(Millis(0)) >= probation; };
     if (worker.entry.draining && std::all_of(lost.begin(), lost.end(), wasSurvived))
         lost.clear();
-    if (worker.endOrdered || (worker.entry.draining && lost.empty())) {
-        std::for_each(open.begin(), open.end(), [this](const OpenStart& start) { withdraw(start, "planned-end"); });
+    if (worker.isEndOrdered || (worker.entry.draining && lost.empty())) {
+        std::for_each(open.begin(), open.end(), [this](const ProbationStart& start) { withdraw(start, "planned-end"); });
         return std::nullopt;
     }
     // For a worker that never responded to this owner, only the records of a previous owner count.
-    if (lost.empty() && !worker.session->isMet())
+    if (lost.empty() && !worker.session->hasAnswered())
         return std::nullopt;
-    const CrashVerdict verdict = m_attributor.attribute(lost, livingWorkers(), m_state.now());
+    const CrashVerdict attribution = m_attributor.attribute(lost, aliveWorkerCount(), m_state.now());
     if (!lost.empty())
-        logLoss(worker, lost, verdict);
-    for (const LostAttempt& suspect : verdict.suspects)
+        logCrash(worker, lost, attribution);
+    for (const LostAttempt& suspect : attribution.suspects)
         attributeCrash(suspect.attempt, worker.entry.id, suspect.survived.has_value());
-    for (const LostAttempt& start : verdict.possibleSuspects)
+    for (const LostAttempt& start : attribution.possibleSuspects)
         attributeCrash(start.attempt, worker.entry.id, false);
     // The other starts are not the cause.
-    std::for_each(open.begin(), open.end(), [this](const OpenStart& start) { withdraw(start, "survived"); });
-    return verdict.failed;
+    std::for_each(open.begin(), open.end(), [this](const ProbationStart& start) { withdraw(start, "survived"); });
+    return attribution.failed;
 }
 
 void CrashTracker::attributeCrash(const Attempt& attempt, const std::string& worker, bool isConfirmed)
@@ -287,49 +287,49 @@
         { { "attempt", nameOf(attempt) }, { "worker", worker }, { "acknowledged", std::int64_t { isConfirmed } }, { "workers_lost", std::int64_t { crashes.total() } }, { "confirmed", std::int64_t { crashes.confirmed } } });
 }
 
-void CrashTracker::noteUnanswering()
+void CrashTracker::noteUnansweredWorkers()
 {
-    m_isInheritedSettled = true;
+    m_areInheritedTasksReleased = true;
     for (const auto& [id, worker] : m_state.workers) {
-        if (!worker.session->isMet() || worker.session->isSilent() || worker.session->isLifeOver())
-            m_state.inheritedLosses.noteLoss(worker.entry.pool);
+        if (!worker.session->hasAnswered() || worker.session->isUnresponsive() || worker.session->isIncarnationOver())
+            m_state.inheritedFailures.noteFailure(worker.entry.pool);
     }
-    const std::string pools = m_state.inheritedLosses.text();
+    const std::string pools = m_state.inheritedFailures.text();
     if (!pools.empty() && m_state.ownership.term > 1)
         m_state.options.log->change("first-starts-recorded", { { "pools", pools } });
 }
 
 /// Once inherited tasks may start again, only adopted attempts can stem from previous owners.
-void CrashTracker::noteInheritedLoss(const WorkerBook& worker)
+void CrashTracker::noteInheritedFailure(const WorkerRecord& worker)
 {
-    if (!m_isInheritedSettled)
-        m_state.inheritedLosses.noteLoss(worker.entry.pool);
-    for (const auto& [attempt, booking] : worker.bookings) {
+    if (!m_areInheritedTasksReleased)
+        m_state.inheritedFailures.noteFailure(worker.entry.pool);
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
         if (task && task->live->adopted)
-            m_state.inheritedLosses.noteLoss(attempt.job, attempt.task);
+            m_state.inheritedFailures.noteFailure(attempt.job, attempt.task);
     }
 }
 
-void CrashTracker::settleAbsent(bool isProvedOver)
+void CrashTracker::settleUnknownIncarnations(bool isProvedOver)
 {
     std::vector<std::string> workers;
     for (const auto& [id, tasks] : m_state.probations)
         workers.push_back(id);
     for (const std::string& id : workers) {
-        const WorkerBook* book = m_state.worker(id);
-        for (const OpenStart& start : openStartsAt(id)) {
-            const bool isFormer = book && !isSameIncarnation(start.probation.workerStartedAt, book->session->life().startedAt);
-            if ((book && !isFormer) || start.isLive())
+        const WorkerRecord* record = m_state.worker(id);
+        for (const ProbationStart& start : probationStartsAt(id)) {
+            const bool isPrevious = record && !isSameIncarnation(start.probation.workerStartedAt, record->session->incarnation().startedAt);
+            if ((record && !isPrevious) || start.isLive())
                 continue;
-            attributeCrash(start.attempt(), id, start.probation.confirmsCrash() && (isFormer || isProvedOver));
+            attributeCrash(start.attempt(), id, start.probation.confirmsCrash() && (isPrevious || isProvedOver));
         }
     }
 }
 
 /// Logs the attempts lost in a worker crash, latest start first, each with the time for which the worker responded after it had
 /// acknowledged the start.
-void CrashTracker::logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& verdict) const
+void CrashTracker::logCrash(const WorkerRecord& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& attribution) const
 {
     std::string text;
     for (std::size_t i = 0; i < std::min(lost.size(), maxAttemptsLogged); ++i) {
@@ -338,7 +338,7 @@
                                                                   : " unconfirmed";
     }
     m_state.options.log->decision("worker-lost-with",
-        { { "worker", worker.entry.id }, { "attempts", static_cast<std::int64_t>(lost.size()) }, { "youngest", text }, { "suspects", static_cast<std::int64_t>(verdict.suspects.size()) }, { "losses_needed", std::int64_t { verdict.crashesNeeded } } });
+        { { "worker", worker.entry.id }, { "attempts", static_cast<std::int64_t>(lost.size()) }, { "youngest", text }, { "suspects", static_cast<std::int64_t>(attribution.suspects.size()) }, { "losses_needed", std::int64_t { attribution.crashesNeeded } } });
 }
 
 Millis CrashTracker::retryPause(const Attempt& attempt) const
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 /// Min wait of a task: batch tasks of the platform's callers take about 1 s, so capacity may become free without a displacement.
-constexpr Millis patience { 1'000 };
+constexpr Millis minWaitTime { 1'000 };
 /// Between two displacements: by the platform's bound, a stop and a start on another worker take up to 0.9 s.
 constexpr Millis pause { 1'000 };
 
 /// How long freed capacity is reserved: covers the stop and the start of the waiting tasks.
-constexpr Millis kept { 2'000 };
+constexpr Millis reservationTime { 2'000 };
 
 } // namespace
 
-Displacement::Displacement(OwnerState& state, OrderDesk& orders)
+Displacement::Displacement(OwnerState& state, OrderDesk& commands)
     : m_state(state)
-    , m_orders(orders)
-    , m_others(state)
+    , m_commands(commands)
+    , m_alternatives(state)
 {
 }
 
@@ -30,7 +30,7 @@
         return;
     for (const auto& [key, waiting] : m_state.waits) {
         const bool isBound = !waiting.wait.label.empty() && waiting.wait.labelled > 0 && waiting.wait.labelledWithRoom == 0 && waiting.wait.heldByQuotaOf.empty();
-        const OwnerJob* job = isBound && now - waiting.since >= patience ? m_state.job(key.first) : nullptr;
+        const OwnerJob* job = isBound && now - waiting.since >= minWaitTime ? m_state.job(key.first) : nullptr;
         if (!job || isFinal(job->state.status()) || !job->state.steps().contains(key.second) || job->state.steps().at(key.second).idle() == 0)
             continue;
         makeRoomFor(job->state, key.second, m_state.poolOf(job->state));
@@ -54,10 +54,10 @@
         for (const Attempt& attempt : moved) {
             // Each stop reduces the running tasks of its step: the other attempts may have to wait for the next run.
             if (mayDisrupt(m_state, m_state.job(attempt.job)->state, attempt.task))
-                m_orders.stop(attempt, id);
+                m_commands.stop(attempt, id);
         }
         worker.keptFor = spec.requiredLabel;
-        worker.keptUntil = m_state.now() + kept;
+        worker.reservedUntil = m_state.now() + reservationTime;
         m_state.nextDisplacementAt = m_state.now() + pause;
         return;
     }
@@ -65,24 +65,24 @@
 
 /// \returns The attempts to stop so that a task of `step` fits on the worker; empty: not possible.
 /// Budgets may allow only some of the stops now.
-std::vector<Attempt> Displacement::movable(const WorkerBook& worker, const StepSpec& step)
+std::vector<Attempt> Displacement::movable(const WorkerRecord& worker, const StepSpec& step)
 {
     std::vector<Attempt> moved;
-    Resources free = m_others.freeOn(worker);
-    for (const auto& [attempt, booking] : worker.bookings) {
+    Resources free = m_alternatives.freeOn(worker);
+    for (const auto& [attempt, reservation] : worker.reservations) {
         if (free.covers(footprint(step)))
             break;
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isRunning = task && task->live && task->live->number == attempt.number && task->live->phase == AttemptPhase::Running;
-        if (!isRunning || !booking.step->longRunning || booking.step->requiredLabel == step.requiredLabel)
+        if (!isRunning || !reservation.step->longRunning || reservation.step->requiredLabel == step.requiredLabel)
             continue;
         const StepId of { attempt.task.occurrence, attempt.task.step };
-        if (!mayDisrupt(m_state, job->state, attempt.task) || !m_others.hasRoomFor(job->state, of, worker, step.requiredLabel))
+        if (!mayDisrupt(m_state, job->state, attempt.task) || !m_alternatives.hasRoomFor(job->state, of, worker, step.requiredLabel))
             continue;
-        m_others.promise(*booking.step);
+        m_alternatives.reserve(*reservation.step);
         moved.push_back(attempt);
-        free += footprint(*booking.step);
+        free += footprint(*reservation.step);
     }
     return free.covers(footprint(step)) ? moved : std::vector<Attempt> {};
 }
--- a/src/jobs/owner/displacement.h
+++ b/src/jobs/owner/displacement.h
@@ -2,8 +2,8 @@
 /// \file
 /// Frees capacity on labelled workers for tasks that require the label.
 
+#include "alternative_workers.h"
 #include "order_desk.h"
-#include "other_sites.h"
 #include "placement_pass.h"
 
 namespace lanemoor::jobs {
@@ -15,17 +15,17 @@
 /// a step than its disruption budget allows.
 class Displacement {
 public:
-    Displacement(OwnerState& state, OrderDesk& orders);
+    Displacement(OwnerState& state, OrderDesk& commands);
 
     void run();
 
 private:
     void makeRoomFor(const JobState& job, const StepId& step, const std::string& pool);
-    [[nodiscard]] std::vector<Attempt> movable(const WorkerBook& worker, const StepSpec& step);
+    [[nodiscard]] std::vector<Attempt> movable(const WorkerRecord& worker, const StepSpec& step);
 
     OwnerState& m_state;
-    OrderDesk& m_orders;
-    OtherSites m_others;
+    OrderDesk& m_commands;
+    AlternativeWorkers m_alternatives;
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -6,103 +6,103 @@
 
 namespace {
 
-constexpr std::uint32_t atWorkPercent = 100;
+constexpr std::uint32_t fullyRunningPercent = 100;
 /// By the platform's bound a stop takes up to 0.9 s at a worker: for this long after an attempt was
 /// adopted, a stop command of a previous owner may still be in progress.
-constexpr Millis formerStops { 1'500 };
+constexpr Millis previousOwnerStopTime { 1'500 };
 /// Most batch tasks take less time; longer ones are stopped, since maintenance and moves wait for the instance.
-constexpr Millis batchPatience { 4'000 };
+constexpr Millis batchTimeLimit { 4'000 };
 
-bool isAtWork(const OwnerState& state, const TaskState& task)
+bool isFullyRunning(const OwnerState& state, const TaskState& task)
 {
-    if (!task.live || task.live->phase != AttemptPhase::Running || task.live->percent < atWorkPercent)
+    if (!task.live || task.live->phase != AttemptPhase::Running || task.live->percent < fullyRunningPercent)
         return false;
-    if (task.live->adopted && state.now() - task.live->startedAt < formerStops)
+    if (task.live->adopted && state.now() - task.live->startedAt < previousOwnerStopTime)
         return false;
     const auto worker = state.workers.find(task.live->worker);
-    return worker != state.workers.end() && !worker->second.session->isSilent();
+    return worker != state.workers.end() && !worker->second.session->isUnresponsive();
 }
 
 } // namespace
 
-std::uint32_t tasksAway(const OwnerState& state, const JobState& job, const StepId& step, std::uint32_t except)
+std::uint32_t tasksNotRunning(const OwnerState& state, const JobState& job, const StepId& step, std::uint32_t except)
 {
-    std::uint32_t away = 0;
+    std::uint32_t notRunning = 0;
     const std::vector<TaskState>& tasks = job.steps().at(step).tasks;
     for (std::uint32_t i = 0; i < tasks.size(); ++i)
-        away += i != except && !isAtWork(state, tasks[i]) ? 1 : 0;
-    return away;
+        notRunning += i != except && !isFullyRunning(state, tasks[i]) ? 1 : 0;
+    return notRunning;
 }
 
 bool mayDisrupt(const OwnerState& state, const JobState& job, const TaskId& task)
 {
     const std::uint32_t budget = job.spec(task.step).disruptionBudget;
-    return budget == 0 || tasksAway(state, job, { task.occurrence, task.step }, task.index) < budget;
+    return budget == 0 || tasksNotRunning(state, job, { task.occurrence, task.step }, task.index) < budget;
 }
 
-Evacuation::Evacuation(OwnerState& state, OrderDesk& orders)
+Evacuation::Evacuation(OwnerState& state, OrderDesk& commands)
     : m_state(state)
-    , m_orders(orders)
-    , m_others(state)
+    , m_commands(commands)
+    , m_alternatives(state)
 {
 }
 
 void Evacuation::run()
 {
     for (auto& [id, worker] : m_state.workers) {
-        if ((worker.evacuating || worker.hallEvacuated || worker.entry.draining) && !worker.bookings.empty())
+        if ((worker.evacuating || worker.hallEvacuated || worker.entry.draining) && !worker.reservations.empty())
             empty(worker);
     }
 }
 
-void Evacuation::empty(WorkerBook& worker)
+void Evacuation::empty(WorkerRecord& worker)
 {
     std::vector<Attempt> stopping;
-    for (const auto& [attempt, booking] : worker.bookings) {
-        if (mayStop(attempt, booking, worker))
+    for (const auto& [attempt, reservation] : worker.reservations) {
+        if (mayStop(attempt, reservation, worker))
             stopping.push_back(attempt);
     }
     for (const Attempt& attempt : stopping) {
-        const Booking& booking = worker.bookings.at(attempt);
+        const Booking& reservation = worker.reservations.at(attempt);
         // Checked again for each attempt, since each stop reduces the running tasks of its step.
-        if (!mayStop(attempt, booking, worker))
+        if (!mayStop(attempt, reservation, worker))
             continue;
-        if (!booking.step->longRunning)
-            m_others.promise(*booking.step);
-        m_orders.stop(attempt, worker.entry.id);
+        if (!reservation.step->longRunning)
+            m_alternatives.reserve(*reservation.step);
+        m_commands.stop(attempt, worker.entry.id);
     }
 }
 
-bool Evacuation::mayStop(const Attempt& attempt, const Booking& booking, const WorkerBook& worker)
+bool Evacuation::mayStop(const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker)
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
     if (!task || !task->live || task->live->number != attempt.number || task->live->phase != AttemptPhase::Running)
         return false;
-    if (!booking.step->longRunning)
-        return (worker.evacuating && m_state.now() - worker.evacuatingSince > batchPatience) || isBatchToMove(job->state, attempt, booking, worker);
+    if (!reservation.step->longRunning)
+        return (worker.evacuating && m_state.now() - worker.evacuatingSince > batchTimeLimit) || isBatchToMove(job->state, attempt, reservation, worker);
     if (!mayDisrupt(m_state, job->state, attempt.task))
         return false;
-    const bool mustFindRoom = !worker.entry.draining && !booking.step->requiredLabel.empty();
-    return !mustFindRoom || m_others.hasRoomFor(job->state, { attempt.task.occurrence, attempt.task.step }, worker);
+    const bool mustFindRoom = !worker.entry.draining && !reservation.step->requiredLabel.empty();
+    return !mustFindRoom || m_alternatives.hasRoomFor(job->state, { attempt.task.occurrence, attempt.task.step }, worker);
 }
 
 /// Gang members are not moved: the whole gang would have to move at once.
-bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker)
+bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker)
 {
     const TaskState& task = *job.find(attempt.task);
-    if (!m_state.options.failureDomains.enabled || !worker.hallEvacuated || booking.step->gang || task.checkpoint.empty())
+    if (!m_state.options.failureDomains.enabled || !worker.hallEvacuated || reservation.step->gang || task.checkpoint.empty())
         return false;
     const auto passed = [&](MonotonicInstant::duration time) { return std::chrono::duration_cast<Millis>(time); };
-    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(booking.endsBy - m_state.now()) };
+    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(reservation.endsBy - m_state.now()) };
     if (!isWorthMoving(progress, m_state.options.checkpointMove))
         return false;
-    const std::pair<std::string, std::string> kind { worker.entry.pool, booking.step->requiredLabel };
-    if (m_full.contains(kind))
+    const std::pair<std::string, std::string> kind { worker.entry.pool, reservation.step->requiredLabel };
+    if (m_kindsWithoutCapacity.contains(kind))
         return false;
-    if (m_others.hasRoomFor(job, { attempt.task.occurrence, attempt.task.step }, worker))
+    if (m_alternatives.hasRoomFor(job, { attempt.task.occurrence, attempt.task.step }, worker))
         return true;
-    m_full.insert(kind);
+    m_kindsWithoutCapacity.insert(kind);
     return false;
 }
 
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -2,8 +2,8 @@
 /// \file
 /// Empties workers before maintenance or a move, while they drain, and in evacuated data halls.
 
+#include "alternative_workers.h"
 #include "order_desk.h"
-#include "other_sites.h"
 
 #include <set>
 #include <string>
@@ -17,26 +17,26 @@
 /// On a worker that stays up, a task that requires a label remains until another worker with the label has capacity for it.
 class Evacuation {
 public:
-    Evacuation(OwnerState& state, OrderDesk& orders);
+    Evacuation(OwnerState& state, OrderDesk& commands);
 
     void run();
 
 private:
-    void empty(WorkerBook& worker);
-    [[nodiscard]] bool mayStop(const Attempt& attempt, const Booking& booking, const WorkerBook& worker);
-    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker);
+    void empty(WorkerRecord& worker);
+    [[nodiscard]] bool mayStop(const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker);
+    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker);
 
     OwnerState& m_state;
-    OrderDesk& m_orders;
-    OtherSites m_others;
+    OrderDesk& m_commands;
+    AlternativeWorkers m_alternatives;
     /// Pools and labels without capacity for a batch task on another worker; further tasks of the same kind are skipped in this run.
-    std::set<std::pair<std::string, std::string>> m_full;
+    std::set<std::pair<std::string, std::string>> m_kindsWithoutCapacity;
 };
 
 /// \returns Whether the disruption budget of its step allows a stop of the long-running task now.
 [[nodiscard]] bool mayDisrupt(const OwnerState& state, const JobState& job, const TaskId& task);
 
 /// \returns The number of tasks of `step`, other than `except`, that are not reported as running.
-[[nodiscard]] std::uint32_t tasksAway(const OwnerState& state, const JobState& job, const StepId& step, std::uint32_t except);
+[[nodiscard]] std::uint32_t tasksNotRunning(const OwnerState& state, const JobState& job, const StepId& step, std::uint32_t except);
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/owner/fleet_keeper.h"
+#include "lanemoor/jobs/owner/fleet_controller.h"
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/fleet_control.h"
@@ -25,23 +25,23 @@
 namespace {
 
 constexpr Millis storeRetry { 300 };
-constexpr int planShare = 10; // Planning takes at most a tenth of the time.
+constexpr int planTimeDivisor = 10; // Planning takes at most a tenth of the time.
 constexpr Millis useLogPause { 1'000 }; // Between two log lines on the use of the fleet.
-constexpr Millis recordLasts { 500 }; // A call is sent within this time after its record was requested, or not at all.
+constexpr Millis callRecordValidity { 500 }; // A call is sent within this time after its record was requested, or not at all.
 /// Max time from the request of a call's record until the call reaches the platform, transit included.
-constexpr Millis actSpread { 700 };
-constexpr std::size_t mostActsUnderWay = 128; // Worth some hundred ms of responses on the few connections to the platform.
-constexpr Millis actsRefresh { 1'000 }; // About three more writes after the last call of a burst.
-constexpr Millis lateAct { 3'000 }; // A call without a response is settled by the list after this time.
-constexpr Millis retryBusy { 500 }; // Pause before an instance that was busy is considered again.
+constexpr Millis maxCallDelay { 700 };
+constexpr std::size_t maxPendingCalls = 128; // Worth some hundred ms of responses on the few connections to the platform.
+constexpr Millis callRecordRefresh { 1'000 }; // About three more writes after the last call of a burst.
+constexpr Millis unansweredCallTimeout { 3'000 }; // A call without a response is settled by the list after this time.
+constexpr Millis busyRetryPause { 500 }; // Pause before an instance that was busy is considered again.
 /// Margin beyond the maintenance time for the transit of the call and the start of the worker.
-constexpr Millis backMargin { 150 };
+constexpr Millis returnMargin { 150 };
 
 } // namespace
 
-class FleetKeeper::Impl : public std::enable_shared_from_this<FleetKeeper::Impl> {
+class FleetController::Impl : public std::enable_shared_from_this<FleetController::Impl> {
 public:
-    explicit Impl(FleetKeeperOptions options)
+    explicit Impl(FleetControllerOptions options)
         : m_options(std::move(options))
         , m_storeRetries(*m_options.loop)
     {
@@ -64,22 +64,22 @@
         m_options.loop->cancel(std::exchange(m_planTimer, 0));
         m_active = true;
         m_ownership = ownership;
-        m_mayAct = false;
-        m_formerActs.clear();
-        m_recentActs.clear();
-        m_unsent.clear();
-        readActs();
+        m_isCallRecordReady = false;
+        m_previousCalls.clear();
+        m_recentCalls.clear();
+        m_unrecordedCalls.clear();
+        readCallRecord();
         m_plans.clear();
         m_finished.clear();
         m_list.clear();
-        m_acted.clear();
+        m_overrides.clear();
         m_moving.clear();
         m_draining.clear();
-        m_lives.clear();
+        m_incarnations.clear();
         m_idleSince.clear();
         m_capacity = CapacityPlan(m_options.capacity);
         m_evacuationMoves = EvacuationMoves();
-        m_actBudget = CallBudget(m_options.actsPerSecond, m_options.loop->now());
+        m_callBudget = CallBudget(m_options.callsPerSecond, m_options.loop->now());
         for (const auto& [number, wave] : m_waves)
             begin(wave);
         list();
@@ -107,28 +107,28 @@
 
 private:
     /// The incarnation that the list last showed on an instance.
-    struct ListedLife {
+    struct ListedIncarnation {
         std::string worker;
         std::optional<MonotonicInstant> goneSince; ///< Since when lists show another incarnation or none.
     };
 
     /// An instance after a call, until the list must reflect it.
-    struct Acted {
+    struct InstanceOverride {
         FleetInstance instance;
         MonotonicInstant until;
         std::string emptied; ///< The worker kept empty because its call got no response; empty: none.
     };
 
-    [[nodiscard]] bool mayAct() const { return m_active && m_options.ownership->isHeld() && m_mayAct; }
+    [[nodiscard]] bool maySendCalls() const { return m_active && m_options.ownership->isHeld() && m_isCallRecordReady; }
 
     /// Runs `step` after `pause` if the term has not ended.
-    void later(Millis pause, std::function<void()> step) { m_options.loop->callAt(m_options.loop->now() + pause, unlessOver(std::move(step))); }
+    void later(Millis pause, std::function<void()> step) { m_options.loop->callAt(m_options.loop->now() + pause, withinTerm(std::move(step))); }
 
     /// Runs `step`, which calls the store, after a pause or when the store is available again.
-    void laterAtStore(std::function<void()> step) { m_storeRetries.runLater(storeRetry, unlessOver(std::move(step))); }
+    void laterAtStore(std::function<void()> step) { m_storeRetries.runLater(storeRetry, withinTerm(std::move(step))); }
 
     /// \returns `step`, wrapped so that it does nothing once the term has ended.
-    [[nodiscard]] std::function<void()> unlessOver(std::function<void()> step)
+    [[nodiscard]] std::function<void()> withinTerm(std::function<void()> step)
     {
         return [self = weak_from_this(), generation = m_generation, step = std::move(step)] {
             const auto impl = self.lock();
@@ -150,99 +150,99 @@
 
     /// Reads the calls of the previous owner. Instances of its recent calls are left alone during the handover; all
     /// others may be changed at once.
-    void readActs()
+    void readCallRecord()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
-                laterAtStore([this] { readActs(); });
+                laterAtStore([this] { readCallRecord(); });
                 return;
             }
             for (const auto& [instance, age] : decodeActs(result.item.value).value_or(std::map<std::string, Millis> {}))
-                noteFormerAct(instance, age);
+                notePreviousCall(instance, age);
             for (auto& [number, plan] : m_plans)
-                noteFormerMaintenance(plan);
-            m_actsRevision = result.item.revision;
-            m_mayAct = true;
+                notePreviousMaintenance(plan);
+            m_callRecordRevision = result.item.revision;
+            m_isCallRecordReady = true;
             planSoon();
         }));
     }
 
     /// Reads the revision of the record after a write without a response: the next write must replace the current revision.
-    void readActsRevision()
+    void readCallRecordRevision()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
-                laterAtStore([this] { readActsRevision(); });
+                laterAtStore([this] { readCallRecordRevision(); });
                 return;
             }
-            m_actsRevision = result.item.revision;
-            m_mayAct = true;
+            m_callRecordRevision = result.item.revision;
+            m_isCallRecordReady = true;
         }));
     }
 
     /// \param age Age of the call when the record was written, so a lower bound of its age now. Kept in this owner's records too, for
     /// the next owner in case this one crashes soon.
-    void noteFormerAct(const std::string& instance, Millis age)
+    void notePreviousCall(const std::string& instance, Millis age)
     {
         const MonotonicInstant asked = m_options.loop->now() - age;
-        m_formerActs[instance] = asked + actSpread;
-        m_recentActs[instance] = asked;
+        m_previousCalls[instance] = asked + maxCallDelay;
+        m_recentCalls[instance] = asked;
     }
 
     /// Instances of the previous owner's recent calls may be down for maintenance, whether or not the calls were answered.
-    void noteFormerMaintenance(MaintenancePlan& plan)
+    void notePreviousMaintenance(MaintenancePlan& plan)
     {
-        for (const auto& [instance, actedBy] : m_formerActs) {
+        for (const auto& [instance, calledBy] : m_previousCalls) {
             if (plan.wave().contains(instance))
-                plan.noteMayBeDown(instance, backAfter(actedBy));
+                plan.noteMayBeDown(instance, upAgainBy(calledBy));
         }
     }
 
     /// \returns When an instance whose maintenance begins no later than `begin` is certainly up again.
-    [[nodiscard]] MonotonicInstant backAfter(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + backMargin; }
+    [[nodiscard]] MonotonicInstant upAgainBy(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + returnMargin; }
 
     /// \returns Whether the previous owner's last call for the instance is too recent.
     [[nodiscard]] bool isBlocked(const std::string& instance) const
     {
-        const auto found = m_formerActs.find(instance);
-        return found != m_formerActs.end() && m_options.loop->now() < found->second + m_options.handover;
+        const auto found = m_previousCalls.find(instance);
+        return found != m_previousCalls.end() && m_options.loop->now() < found->second + m_options.handover;
     }
 
     /// \returns How long a call must be kept in the record: as long as a successor must leave
     /// the instance alone, or count it as down.
-    [[nodiscard]] Millis actsKept() const { return actSpread + std::max(m_options.handover, m_options.maintenanceTime + backMargin); }
+    [[nodiscard]] Millis callRecordRetention() const { return maxCallDelay + std::max(m_options.handover, m_options.maintenanceTime + returnMargin); }
 
     /// Records a call before it is sent, on condition of the ownership: an owner that was
     /// superseded without noticing can't send any. Calls of one turn of the event loop share a record.
     /// \param send Receives whether the call may be sent.
     void record(const std::string& instance, std::function<void(bool)> send)
     {
-        m_recentActs[instance] = m_options.loop->now();
-        m_unsent.push_back(std::move(send));
-        if (m_unsent.size() == 1)
-            later(Millis(0), [this] { writeActs(); });
+        m_recentCalls[instance] = m_options.loop->now();
+        m_unrecordedCalls.push_back(std::move(send));
+        if (m_unrecordedCalls.size() == 1)
+            later(Millis(0), [this] { writeCallRecord(); });
     }
 
-    void writeActs()
+    void writeCallRecord()
     {
         const MonotonicInstant now = m_options.loop->now();
-        m_actsWrittenAt = now;
-        std::erase_if(m_recentActs, [&](const auto& act) { return now - act.second > actsKept(); });
+        m_callRecordWrittenAt = now;
+        std::erase_if(m_recentCalls, [&](const auto& call) { return now - call.second > callRecordRetention(); });
         std::map<std::string, Millis> ages;
-        for (const auto& [instance, at] : m_recentActs)
+        for (const auto& [instance, at] : m_recentCalls)
             ages[instance] = std::chrono::duration_cast<Millis>(now - at);
         // Also conditional on its own revision: a delayed write must not undo a newer one.
-        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_actsRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
-        m_mayAct = false;
+        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_callRecordRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
+        m_isCallRecordReady = false;
         const MonotonicInstant sentAt = m_options.loop->now();
-        m_options.store->commit(transaction, inTerm<CommitResult>([this, sends = std::exchange(m_unsent, {}), sentAt](const CommitResult& result) {
-            const bool fresh = m_options.loop->now() - sentAt < recordLasts;
-            m_mayAct = result.outcome == StoreOutcome::Done;
-            if (m_mayAct)
-                m_actsRevision = result.revision;
+        m_options.store->commit(transaction, inTerm<CommitResult>([this, sends = std::exchange(m_unrecordedCalls, {}), sentAt](const CommitResult& result) {
+            const bool fresh = m_options.loop->now() - sentAt < callRecordValidity;
+            m_isCallRecordReady = result.outcome == StoreOutcome::Done;
+            if (m_isCallRecordReady)
+                m_callRecordRevision = result.revision;
             else
-                readActsRevision();
-            const bool may = fresh && mayAct();
+                readCallRecordRevision();
+            const bool may = fresh && maySendCalls();
             for (const std::function<void(bool)>& send : sends)
                 send(may);
         }));
@@ -250,11 +250,11 @@
 
     /// A record holds the ages of calls at the time of writing. It is rewritten while these ages matter,
     /// so that a successor does not take old calls for recent ones.
-    void refreshActs()
+    void refreshCallRecord()
     {
-        const bool isOld = m_options.loop->now() - m_actsWrittenAt >= actsRefresh;
-        if (mayAct() && isOld && !m_recentActs.empty() && m_unsent.empty())
-            writeActs();
+        const bool isOld = m_options.loop->now() - m_callRecordWrittenAt >= callRecordRefresh;
+        if (maySendCalls() && isOld && !m_recentCalls.empty() && m_unrecordedCalls.empty())
+            writeCallRecord();
     }
 
     /// Reads the progress of the wave before it continues.
@@ -267,7 +267,7 @@
             }
             const std::set<std::string> done = decodeInstances(result.item.value).value_or(std::set<std::string> {});
             const auto [plan, inserted] = m_plans.emplace(wave.number, MaintenancePlan(wave, done, m_options.loop->now()));
-            noteFormerMaintenance(plan->second);
+            notePreviousMaintenance(plan->second);
             writeStatus(wave.number, false);
             planSoon();
         }));
@@ -294,10 +294,10 @@
         m_planTimer = 0;
         const MonotonicInstant begin = m_options.loop->now();
         plan();
-        refreshActs();
+        refreshCallRecord();
         // A plan of a fleet of a thousand instances takes some ms: its share of the time is bounded regardless of the requests.
         const MonotonicInstant end = m_options.loop->now();
-        m_planFrom = begin + planShare * (end - begin);
+        m_planFrom = begin + planTimeDivisor * (end - begin);
         planAt(std::max(end + m_options.planEvery, m_planFrom));
     }
 
@@ -309,44 +309,44 @@
             if (std::exchange(m_listAnswers, list.complete) != list.complete)
                 m_options.log->change(list.complete ? "fleet-list-back" : "fleet-list-lost", {});
             if (list.complete)
-                takeList(list.instances);
+                applyList(list.instances);
             if (list.complete)
                 m_options.scheduler->noteFleet(list.instances, askedAt);
             planSoon();
-            later(hasWork() ? m_options.listEveryWhileActing : m_options.listEvery, [this] { this->list(); });
+            later(hasPendingChanges() ? m_options.listEveryWithPendingChanges : m_options.listEvery, [this] { this->list(); });
         }));
     }
 
-    [[nodiscard]] bool hasWork() const
+    [[nodiscard]] bool hasPendingChanges() const
     {
-        return !m_acted.empty() || !m_options.scheduler->isSettled() || std::any_of(m_plans.begin(), m_plans.end(), [](const auto& plan) { return !plan.second.isFinished(); });
+        return !m_overrides.empty() || !m_options.scheduler->isSettled() || std::any_of(m_plans.begin(), m_plans.end(), [](const auto& plan) { return !plan.second.isFinished(); });
     }
 
-    void takeList(const std::vector<FleetInstance>& instances)
+    void applyList(const std::vector<FleetInstance>& instances)
     {
         for (const FleetInstance& instance : instances) {
-            settleAct(instance);
-            noteLives(instance);
+            settleUnansweredCall(instance);
+            noteListedIncarnation(instance);
         }
-        std::erase_if(m_acted, [&](const auto& acted) { return isCaughtUp(acted.second); });
+        std::erase_if(m_overrides, [&](const auto& instanceOverride) { return isReflected(instanceOverride.second); });
         m_list.clear();
         for (const FleetInstance& instance : instances) {
-            const auto acted = m_acted.find(instance.id);
-            m_list[instance.id] = acted == m_acted.end() ? instance : acted->second.instance;
+            const auto instanceOverride = m_overrides.find(instance.id);
+            m_list[instance.id] = instanceOverride == m_overrides.end() ? instance : instanceOverride->second.instance;
         }
     }
 
     /// \returns Whether lists reflect the outcome of the call by now.
-    [[nodiscard]] bool isCaughtUp(const Acted& acted) const { return m_options.loop->now() >= acted.until; }
+    [[nodiscard]] bool isReflected(const InstanceOverride& instanceOverride) const { return m_options.loop->now() >= instanceOverride.until; }
 
     /// If a call without a response left the listed worker unchanged, it was not carried out: the
     /// worker may be open for tasks again.
-    void settleAct(const FleetInstance& instance)
+    void settleUnansweredCall(const FleetInstance& instance)
     {
-        const auto acted = m_acted.find(instance.id);
-        if (acted == m_acted.end() || !isCaughtUp(acted->second) || acted->second.emptied.empty())
+        const auto instanceOverride = m_overrides.find(instance.id);
+        if (instanceOverride == m_overrides.end() || !isReflected(instanceOverride->second) || instanceOverride->second.emptied.empty())
             return;
-        if (instance.state == FleetState::Up && instance.worker == acted->second.emptied) {
+        if (instance.state == FleetState::Up && instance.worker == instanceOverride->second.emptied) {
             m_options.log->decision("instance-move-not-seen", { { "instance", instance.id }, { "worker", instance.worker } });
             setEvacuating(instance.worker, false);
         }
@@ -355,36 +355,36 @@
     /// An incarnation that the list showed and no longer shows has ended, whether or not its worker responds.
     /// A list may be older than the previous one, and an entry may be missing for a while, so a change
     /// only counts once lists have shown it for longer than they lag.
-    void noteLives(const FleetInstance& instance)
+    void noteListedIncarnation(const FleetInstance& instance)
     {
-        ListedLife& life = m_lives[instance.id];
-        const bool other = life.worker != instance.worker && (instance.state != FleetState::Up || !instance.worker.empty());
+        ListedIncarnation& incarnation = m_incarnations[instance.id];
+        const bool other = incarnation.worker != instance.worker && (instance.state != FleetState::Up || !instance.worker.empty());
         const MonotonicInstant now = m_options.loop->now();
-        if (life.worker.empty() || !other) {
-            life = { instance.worker.empty() ? life.worker : instance.worker, std::nullopt };
+        if (incarnation.worker.empty() || !other) {
+            incarnation = { instance.worker.empty() ? incarnation.worker : instance.worker, std::nullopt };
             return;
         }
-        if (!life.goneSince)
-            life.goneSince = now;
-        if (now - *life.goneSince < fleetListLag)
+        if (!incarnation.goneSince)
+            incarnation.goneSince = now;
+        if (now - *incarnation.goneSince < fleetListLag)
             return;
-        m_options.scheduler->noteLifeUnlisted(life.worker, *life.goneSince);
-        life = { instance.worker, std::nullopt };
+        m_options.scheduler->noteLifeUnlisted(incarnation.worker, *incarnation.goneSince);
+        incarnation = { instance.worker, std::nullopt };
     }
 
     /// Overrides the listed instance with its state after a call, until the list must reflect it.
-    void noteActed(const std::string& id, const std::string& pool, FleetState state, Millis time)
+    void overrideInstance(const std::string& id, const std::string& pool, FleetState state, Millis time)
     {
         FleetInstance& instance = m_list[id];
         instance.id = id;
         instance.pool = pool;
         instance.state = state;
         instance.worker.clear();
-        m_acted[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
+        m_overrides[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
     }
 
     /// Instances open for tasks, by pool and kind.
-    using SoundCounts = std::map<std::pair<std::string, std::string>, std::size_t>;
+    using HealthyCounts = std::map<std::pair<std::string, std::string>, std::size_t>;
 
     /// \returns The use of the instance's worker, or null if it is unknown.
     [[nodiscard]] const WorkerUse* useOf(const FleetInstance& instance) const
@@ -393,24 +393,24 @@
         return use == m_uses.end() ? nullptr : &use->second;
     }
 
-    [[nodiscard]] static bool takesWork(const WorkerUse* use) { return use && use->sound && !use->evacuating; }
+    [[nodiscard]] static bool isOpenForTasks(const WorkerUse* use) { return use && use->sound && !use->evacuating; }
 
-    [[nodiscard]] SoundCounts countSound() const
+    [[nodiscard]] HealthyCounts countHealthy() const
     {
-        SoundCounts sound;
+        HealthyCounts sound;
         for (const auto& [id, instance] : m_list) {
-            if (takesWork(useOf(instance)))
+            if (isOpenForTasks(useOf(instance)))
                 ++sound[{ instance.pool, instance.kind }];
         }
         return sound;
     }
 
     /// \returns Whether no other open instance of the pool has this kind, which some tasks require.
-    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const SoundCounts& sound)
+    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const HealthyCounts& sound)
     {
         const auto known = sound.find({ instance.pool, instance.kind });
         const std::size_t all = known == sound.end() ? 0 : known->second;
-        return all == (takesWork(use) ? 1U : 0U);
+        return all == (isOpenForTasks(use) ? 1U : 0U);
     }
 
     /// Starts or stops the evacuation of a worker, and updates the current plan accordingly.
@@ -426,7 +426,7 @@
 
     [[nodiscard]] std::vector<MaintenanceCandidate> candidates() const
     {
-        const SoundCounts sound = countSound();
+        const HealthyCounts sound = countHealthy();
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         std::vector<MaintenanceCandidate> fleet;
         for (const auto& [id, instance] : m_list) {
@@ -470,7 +470,7 @@
         m_useLoggedAt = now;
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         std::int64_t off = 0;
-        std::int64_t away = 0;
+        std::int64_t unavailable = 0;
         std::int64_t evacuating = 0;
         std::int64_t unsound = 0;
         std::int64_t open = 0;
@@ -483,7 +483,7 @@
             if (isReserve)
                 continue;
             if (instance.state != FleetState::Up || !use) {
-                ++away;
+                ++unavailable;
             } else if (use->evacuating) {
                 ++evacuating;
             } else if (!use->sound) {
@@ -493,7 +493,7 @@
                 free += use->free.milliCpu;
             }
         }
-        m_options.log->decision("fleet-use", { { "off", off }, { "away", away }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
+        m_options.log->decision("fleet-use", { { "off", off }, { "away", unavailable }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
     }
 
     /// \returns The load of each pool, without its instances.
@@ -524,7 +524,7 @@
     [[nodiscard]] PoolInstance instanceOf(const FleetInstance& instance, const WorkerUse* use, bool reserve) const
     {
         const bool isUp = instance.state == FleetState::Up;
-        const bool isSound = takesWork(use);
+        const bool isSound = isOpenForTasks(use);
         PoolInstance seen { .instance = instance.id, .kind = instance.kind, .rack = instance.rack, .capacity = instance.capacity, .idleSince = std::nullopt };
         const auto draining = m_draining.find(instance.id);
         if (draining != m_draining.end())
@@ -534,7 +534,7 @@
         const bool isClosed = this->isClosed(instance, use);
         // An instance that is moving there won't be open for tasks either.
         seen.sound = seen.sound && (reserve || !isClosed);
-        if (isOrdered(instance.id) || isBlocked(instance.id) || isClosed)
+        if (hasPendingCall(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
         if (isUp && !reserve && isSound && use->attempts > 0 && use->pinned == 0) {
             seen.drainable = instance.worker;
@@ -580,24 +580,24 @@
     }
 
     /// \returns Whether a call for the instance is in progress.
-    [[nodiscard]] bool isOrdered(const std::string& instance) const { return m_moving.contains(instance) || m_acted.contains(instance); }
+    [[nodiscard]] bool hasPendingCall(const std::string& instance) const { return m_moving.contains(instance) || m_overrides.contains(instance); }
 
     /// \returns The number of calls that the platform accepts now and that can all be sent while their record is fresh.
-    [[nodiscard]] std::size_t mostActs()
+    [[nodiscard]] std::size_t availableCalls()
     {
-        const std::size_t left = mostActsUnderWay - std::min(m_moving.size(), mostActsUnderWay);
-        return std::min(m_actBudget.available(m_options.loop->now()), left);
+        const std::size_t left = maxPendingCalls - std::min(m_moving.size(), maxPendingCalls);
+        return std::min(m_callBudget.available(m_options.loop->now()), left);
     }
 
     void planCapacity()
     {
-        if (!mayAct() || m_list.empty())
+        if (!maySendCalls() || m_list.empty())
             return;
         undrainClosed();
         const std::vector<PoolLoad> pools = loads();
-        const std::size_t most = mostActs();
-        const CapacityStep step = m_capacity.next(pools, m_options.loop->now(), most);
-        m_actBudget.take(step.moves.size() + step.drains.size());
+        const std::size_t available = availableCalls();
+        const CapacityStep step = m_capacity.next(pools, m_options.loop->now(), available);
+        m_callBudget.take(step.moves.size() + step.drains.size());
         for (const PoolLoad& pool : pools)
             logSize(pool);
         for (const std::string& instance : step.undrains)
@@ -608,7 +608,7 @@
             this->drain(drain);
         moveDrained();
         // Half of the remaining calls, as for other instances that are powered off: a rise of load must find some.
-        powerOffEvacuated((most - std::min(most, step.moves.size() + step.drains.size())) / 2);
+        powerOffEvacuated((available - std::min(available, step.moves.size() + step.drains.size())) / 2);
     }
 
     /// \returns Whether the instance's data hall is evacuated or lost. Readmitted workers of a lost hall count as open.
@@ -631,27 +631,27 @@
     [[nodiscard]] std::vector<EmptiedInstance> emptied() const
     {
         std::vector<EmptiedInstance> list;
-        if (!m_options.movesEvacuated || m_options.evacuations->requests().empty())
+        if (!m_options.movesEvacuatedInstances || m_options.evacuations->requests().empty())
             return list;
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         for (const auto& [id, instance] : m_list) {
             const PoolSettings* pool = configuration->pool(instance.pool);
             const WorkerUse* use = useOf(instance);
             const bool isEmpty = instance.state == FleetState::Up && use && use->known && use->attempts == 0;
-            if (isEmpty && pool && !pool->reserve && !isOrdered(id) && !isBlocked(id) && m_options.evacuations->contains(instance.dataHall))
+            if (isEmpty && pool && !pool->reserve && !hasPendingCall(id) && !isBlocked(id) && m_options.evacuations->contains(instance.dataHall))
                 list.push_back({ id, instance.pool });
         }
         return list;
     }
 
-    void powerOffEvacuated(std::size_t mostMoves)
+    void powerOffEvacuated(std::size_t maxMoves)
     {
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         const auto reserve = std::find_if(configuration->pools.begin(), configuration->pools.end(), [](const PoolSettings& pool) { return pool.reserve; });
         if (reserve == configuration->pools.end())
             return;
-        const std::vector<CapacityMove> moves = m_evacuationMoves.next(emptied(), reserve->name, mostMoves, m_options.loop->now());
-        m_actBudget.take(moves.size());
+        const std::vector<CapacityMove> moves = m_evacuationMoves.next(emptied(), reserve->name, maxMoves, m_options.loop->now());
+        m_callBudget.take(moves.size());
         for (const CapacityMove& move : moves)
             this->move(move);
     }
@@ -727,7 +727,7 @@
         m_moving.erase(move.instance);
         if (outcome == FleetOutcome::Done) {
             ++counts.moved;
-            noteActed(move.instance, move.to, FleetState::Moving, m_options.moveTime);
+            overrideInstance(move.instance, move.to, FleetState::Moving, m_options.moveTime);
             m_options.scheduler->noteLifeOver(worker, true);
             return;
         }
@@ -735,13 +735,13 @@
         if (outcome == FleetOutcome::Refused)
             m_capacity.noteRefused(m_list[move.instance].kind, move.to);
         if (outcome == FleetOutcome::NotDone)
-            m_actBudget.drain();
+            m_callBudget.drain();
         counts.unknown += outcome == FleetOutcome::Unknown ? 1 : 0;
         // A call without a response may still be carried out: the instance stays empty, and
         // the list will show its pool.
-        noteActed(move.instance, move.from, FleetState::Moving, outcome == FleetOutcome::Unknown ? lateAct : retryBusy);
+        overrideInstance(move.instance, move.from, FleetState::Moving, outcome == FleetOutcome::Unknown ? unansweredCallTimeout : busyRetryPause);
         if (outcome == FleetOutcome::Unknown)
-            m_acted[move.instance].emptied = worker;
+            m_overrides[move.instance].emptied = worker;
         else
             setEvacuating(worker, false);
     }
@@ -757,7 +757,7 @@
                 finish(plan);
                 continue;
             }
-            if (!mayAct() || m_list.empty())
+            if (!maySendCalls() || m_list.empty())
                 continue;
             const MaintenanceStep step = plan.next(candidates(), m_capacity.isShort(), m_options.loop->now());
             for (const std::string& worker : step.evacuate)
@@ -784,7 +784,7 @@
     void maintain(MaintenancePlan& plan, const std::string& instance)
     {
         plan.noteOrdered(instance);
-        m_actBudget.take(1);
+        m_callBudget.take(1);
         const std::uint64_t number = plan.wave().number;
         const std::string worker = m_list[instance].worker;
         m_options.log->decision("maintenance-ordered", { { "instance", instance }, { "wave", static_cast<std::int64_t>(number) }, { "worker", worker } });
@@ -814,11 +814,11 @@
         switch (outcome) {
         case FleetOutcome::Done:
             ++counts.maintained;
-            plan.noteBegun(instance, backAfter(now));
-            noteActed(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
+            plan.noteBegun(instance, upAgainBy(now));
+            overrideInstance(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
             m_options.scheduler->noteLifeOver(worker, true);
             writeRecord(plan);
-            later(m_options.maintenanceTime + backMargin, [this] { planSoon(); });
+            later(m_options.maintenanceTime + returnMargin, [this] { planSoon(); });
             break;
         case FleetOutcome::NotInWave:
         case FleetOutcome::Refused:
@@ -828,10 +828,10 @@
             break;
         case FleetOutcome::Unknown:
             ++counts.unknown;
-            plan.noteMayBeDown(instance, backAfter(now));
+            plan.noteMayBeDown(instance, upAgainBy(now));
             [[fallthrough]];
         default:
-            plan.noteRefused(instance, now + retryBusy);
+            plan.noteRefused(instance, now + busyRetryPause);
             break;
         }
         planSoon();
@@ -855,8 +855,8 @@
             expected.push_back({ m_options.documents->waveStatusKey(number), 0 });
         const Transaction transaction { .expected = expected, .writes = { { m_options.documents->waveStatusKey(number), m_options.documents->formatWaveStatus(finished), 0 } }, .removals = {} };
         m_options.store->commit(transaction, inTerm<CommitResult>([this, number, finished](const CommitResult& result) {
-            const bool alreadySaid = !finished && result.outcome == StoreOutcome::Conflict;
-            if (result.outcome != StoreOutcome::Done && !alreadySaid && finished == m_finished.contains(number))
+            const bool alreadyWritten = !finished && result.outcome == StoreOutcome::Conflict;
+            if (result.outcome != StoreOutcome::Done && !alreadyWritten && finished == m_finished.contains(number))
                 laterAtStore([this, number, finished] { writeStatus(number, finished); });
         }));
     }
@@ -869,7 +869,7 @@
         m_options.store->commit(transaction, [](const CommitResult&) {});
     }
 
-    FleetKeeperOptions m_options;
+    FleetControllerOptions m_options;
     StoreRetries m_storeRetries;
     bool m_active = false;
     TimerId m_planTimer = 0;
@@ -879,62 +879,62 @@
     bool m_listAnswers = true;
     std::uint64_t m_generation = 0;
     Ownership m_ownership;
-    bool m_mayAct = false; ///< The previous owner's calls are known, and no write of the record is in progress.
-    std::uint64_t m_actsRevision = 0;
-    std::map<std::string, MonotonicInstant> m_formerActs; ///< Latest time at which the previous owner's call for an instance took effect.
-    MonotonicInstant m_actsWrittenAt;
-    std::map<std::string, MonotonicInstant> m_recentActs; ///< When calls, including those of the previous owner, were requested.
-    std::vector<std::function<void(bool)>> m_unsent; ///< Calls that wait for their record.
+    bool m_isCallRecordReady = false; ///< The previous owner's calls are known, and no write of the record is in progress.
+    std::uint64_t m_callRecordRevision = 0;
+    std::map<std::string, MonotonicInstant> m_previousCalls; ///< Latest time at which the previous owner's call for an instance took effect.
+    MonotonicInstant m_callRecordWrittenAt;
+    std::map<std::string, MonotonicInstant> m_recentCalls; ///< When calls, including those of the previous owner, were requested.
+    std::vector<std::function<void(bool)>> m_unrecordedCalls; ///< Calls that wait for their record.
     std::map<std::uint64_t, WaveRequest> m_waves;
     std::map<std::uint64_t, MaintenancePlan> m_plans;
     std::set<std::uint64_t> m_finished;
     std::map<std::string, FleetInstance> m_list;
-    std::map<std::string, Acted> m_acted; ///< Instances that the list may show in their previous state.
+    std::map<std::string, InstanceOverride> m_overrides; ///< Instances that the list may show in their previous state.
     std::map<std::string, std::string> m_moving; ///< Destinations of moves without a response yet, by instance.
     std::map<std::string, CapacityDrain> m_draining; ///< Instances that are drained for another pool.
-    std::map<std::string, ListedLife> m_lives; ///< By instance.
+    std::map<std::string, ListedIncarnation> m_incarnations; ///< By instance.
     std::map<std::string, MonotonicInstant> m_idleSince;
     std::shared_ptr<const FailureDomainStatus> m_domains; ///< As of the current plan.
     CapacityPlan m_capacity;
     EvacuationMoves m_evacuationMoves;
-    CallBudget m_actBudget; ///< For calls that change instances. A drain counts when it begins.
+    CallBudget m_callBudget; ///< For calls that change instances. A drain counts when it begins.
     MonotonicInstant m_useLoggedAt;
     std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> m_loggedSizes; ///< Instances and target, by pool.
 };
 
-FleetKeeper::FleetKeeper(FleetKeeperOptions options)
+FleetController::FleetController(FleetControllerOptions options)
     : m_impl(std::make_shared<Impl>(std::move(options)))
 {
 }
 
-FleetKeeper::~FleetKeeper() = default;
+FleetController::~FleetController() = default;
 
-void FleetKeeper::activate(const Ownership& ownership)
+void FleetController::activate(const Ownership& ownership)
 {
     m_impl->activate(ownership);
 }
 
-void FleetKeeper::deactivate()
+void FleetController::deactivate()
 {
     m_impl->deactivate();
 }
 
-void FleetKeeper::onWave(const WaveRequest& wave)
+void FleetController::onWave(const WaveRequest& wave)
 {
     m_impl->onWave(wave);
 }
 
-void FleetKeeper::retryStore()
+void FleetController::retryStore()
 {
     m_impl->retryStore();
 }
 
-void FleetKeeper::noteOutageOver()
+void FleetController::noteOutageOver()
 {
     m_impl->noteOutageOver();
 }
 
-const FleetCounts& FleetKeeper::counts() const noexcept
+const FleetCounts& FleetController::counts() const noexcept
 {
     return m_impl->counts;
 }
--- a/src/jobs/owner/hall_evacuations.cpp
+++ b/src/jobs/owner/hall_evacuations.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr int readsWithinTrust = 4; // Some reads may fail before the set is unconfirmed.
+constexpr int readsPerConfirmation = 4; // Some reads may fail before the set is unconfirmed.
 
 /// \returns How long a set is confirmed; 0: without limit.
-Millis trustOf(const HallEvacuationsOptions& options)
+Millis confirmationTime(const HallEvacuationsOptions& options)
 {
     return std::max(options.bound - options.startMargin, options.bound / 2);
 }
@@ -26,7 +26,7 @@
         : m_options(std::move(options))
     {
         if (hasBound())
-            m_options.readEvery = std::min(m_options.readEvery, trustOf(m_options) / readsWithinTrust);
+            m_options.readEvery = std::min(m_options.readEvery, confirmationTime(m_options) / readsPerConfirmation);
     }
 
     void start()
@@ -40,11 +40,11 @@
     void stop()
     {
         ++m_generation;
-        m_options.loop->cancel(std::exchange(m_trustTimer, 0));
+        m_options.loop->cancel(std::exchange(m_confirmationTimer, 0));
         m_isUnconfirmed = false;
     }
 
-    [[nodiscard]] bool isConfirmed() const { return known && (!hasBound() || m_options.loop->now() < m_trustedUntil); }
+    [[nodiscard]] bool isConfirmed() const { return known && (!hasBound() || m_options.loop->now() < m_confirmedUntil); }
 
     std::function<void()> changed;
     std::map<std::string, MonotonicInstant> requests; ///< First read time of each request, by data hall.
@@ -57,13 +57,13 @@
     void read()
     {
         m_pending.clear();
-        m_askedAt = m_options.loop->now();
+        m_readSentAt = m_options.loop->now();
         readPage({});
     }
 
     void readPage(const std::string& afterKey)
     {
-        m_options.store->range(m_options.prefix, afterKey, m_options.patience, [self = weak_from_this(), generation = m_generation](const ItemsResult& result) {
+        m_options.store->range(m_options.prefix, afterKey, m_options.readTimeout, [self = weak_from_this(), generation = m_generation](const ItemsResult& result) {
             const auto impl = self.lock();
             if (impl && impl->m_generation == generation)
                 impl->received(result);
@@ -90,9 +90,9 @@
     {
         const bool isFirst = !std::exchange(known, true);
         const bool isSame = noteChanges();
-        confirmedAt = m_askedAt;
-        const bool isBack = noteConfirmed();
-        if ((isFirst || !isSame || isBack) && changed)
+        confirmedAt = m_readSentAt;
+        const bool isConfirmedAgain = noteConfirmed();
+        if ((isFirst || !isSame || isConfirmedAgain) && changed)
             changed();
     }
 
@@ -101,12 +101,12 @@
     {
         if (!hasBound())
             return false;
-        m_trustedUntil = confirmedAt + trustOf(m_options);
-        m_options.loop->cancel(m_trustTimer);
-        m_trustTimer = m_options.loop->callAt(m_trustedUntil, [self = weak_from_this(), generation = m_generation] {
+        m_confirmedUntil = confirmedAt + confirmationTime(m_options);
+        m_options.loop->cancel(m_confirmationTimer);
+        m_confirmationTimer = m_options.loop->callAt(m_confirmedUntil, [self = weak_from_this(), generation = m_generation] {
             const auto impl = self.lock();
             if (impl && impl->m_generation == generation)
-                impl->trustEnded();
+                impl->confirmationExpired();
         });
         if (!std::exchange(m_isUnconfirmed, false))
             return false;
@@ -114,9 +114,9 @@
         return true;
     }
 
-    void trustEnded()
+    void confirmationExpired()
     {
-        m_trustTimer = 0;
+        m_confirmationTimer = 0;
         m_isUnconfirmed = true;
         m_options.log->change("evacuations-unconfirmed", { { "age_ms", age() }, { "bound_ms", static_cast<std::int64_t>(m_options.bound.count()) }, { "halls", static_cast<std::int64_t>(requests.size()) } });
         if (changed)
@@ -157,9 +157,9 @@
     HallEvacuationsOptions m_options;
     std::uint64_t m_generation = 0; ///< Calls and timers of earlier generations are ignored.
     std::set<std::string> m_pending; ///< Data halls in the pages read so far.
-    MonotonicInstant m_askedAt; ///< Send time of the read of the first page.
-    MonotonicInstant m_trustedUntil; ///< Only valid with a bound.
-    TimerId m_trustTimer = 0;
+    MonotonicInstant m_readSentAt; ///< Send time of the read of the first page.
+    MonotonicInstant m_confirmedUntil; ///< Only valid with a bound.
+    TimerId m_confirmationTimer = 0;
     bool m_isUnconfirmed = false; ///< The expiry of the set was logged.
 };
 
--- a/src/jobs/owner/hall_inventory.cpp
+++ b/src/jobs/owner/hall_inventory.cpp
@@ -29,12 +29,12 @@
     std::map<std::string, HallPoolReport> pools;
     MonotonicInstant emptyBy = now;
     for (const auto& [id, worker] : m_state.workers) {
-        if (worker.entry.dataHall != hall.dataHall || (worker.session->isLifeOver() && worker.bookings.empty()))
+        if (worker.entry.dataHall != hall.dataHall || (worker.session->isIncarnationOver() && worker.reservations.empty()))
             continue;
         HallPoolReport& pool = pools.try_emplace(worker.entry.pool, HallPoolReport { .pool = worker.entry.pool }).first->second;
         count(worker, pool);
-        for (const auto& [attempt, booking] : worker.bookings)
-            emptyBy = booking.step->longRunning ? emptyBy : std::max(emptyBy, booking.endsBy);
+        for (const auto& [attempt, reservation] : worker.reservations)
+            emptyBy = reservation.step->longRunning ? emptyBy : std::max(emptyBy, reservation.endsBy);
     }
     bool endsByItself = true;
     for (auto& [name, pool] : pools) {
@@ -46,19 +46,19 @@
     return report;
 }
 
-void HallInventory::count(const WorkerBook& worker, HallPoolReport& pool) const
+void HallInventory::count(const WorkerRecord& worker, HallPoolReport& pool) const
 {
     ++pool.workers;
-    const bool isUnreachable = worker.session->isSilent() || worker.session->isLifeOver();
-    for (const auto& [attempt, booking] : worker.bookings) {
+    const bool isUnreachable = worker.session->isUnresponsive() || worker.session->isIncarnationOver();
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const auto job = m_state.jobs.find(attempt.job);
         const TaskState* task = job == m_state.jobs.end() ? nullptr : job->second.state.find(attempt.task);
         const bool isStopping = task && task->live && task->live->number == attempt.number && task->live->phase == AttemptPhase::Stopping;
-        pool.batchTasks += booking.step->longRunning ? 0 : 1;
-        pool.longTasks += booking.step->longRunning ? 1 : 0;
+        pool.batchTasks += reservation.step->longRunning ? 0 : 1;
+        pool.longTasks += reservation.step->longRunning ? 1 : 0;
         pool.stopping += isStopping ? 1 : 0;
         pool.unreachable += isUnreachable ? 1 : 0;
-        const bool isHeld = booking.step->longRunning && task && !isStopping && !mayDisrupt(m_state, job->second.state, attempt.task);
+        const bool isHeld = reservation.step->longRunning && task && !isStopping && !mayDisrupt(m_state, job->second.state, attempt.task);
         pool.heldByBudget += isHeld ? 1 : 0;
     }
 }
--- a/src/jobs/owner/hall_inventory.h
+++ b/src/jobs/owner/hall_inventory.h
@@ -20,7 +20,7 @@
 
 private:
     [[nodiscard]] HallReport reportOf(const FailureDomain& hall) const;
-    void count(const WorkerBook& worker, HallPoolReport& pool) const;
+    void count(const WorkerRecord& worker, HallPoolReport& pool) const;
     [[nodiscard]] const FailureDomain* closedHallOf(const std::string& worker) const;
 
     const OwnerState& m_state;
--- a/src/jobs/owner/hall_watch.cpp
+++ b/src/jobs/owner/hall_watch.cpp
@@ -6,7 +6,7 @@
 {
     const HallFindings findings = m_state.hallLosses.update(m_state.now());
     for (const std::string& id : findings.admitted) {
-        if (WorkerBook* worker = m_state.worker(id))
+        if (WorkerRecord* worker = m_state.worker(id))
             worker->hallLost = false;
     }
     for (const HallChange& change : findings.changes)
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -7,23 +7,23 @@
 namespace {
 
 /// Between two checks of failing workers beyond the bound: each check counts all workers.
-constexpr Millis ejectionPause { 250 };
+constexpr Millis ejectionCheckPause { 250 };
 /// Shorter run times are ignored: with an end that is reported some tenths of a second late, a short task would appear slow.
-constexpr Millis shortestJudged { 1'000 };
+constexpr Millis minEvaluatedRunTime { 1'000 };
 constexpr double thousandths = 1'000;
 
-bool isFar(const WorkerBook& worker, const StepSpec& step)
+bool isFar(const WorkerRecord& worker, const StepSpec& step)
 {
     return !step.preferredRack.empty() && !hasLabel(worker.entry, step.preferredRack);
 }
 
-bool isAnswering(const WorkerBook& worker)
+bool isAnswering(const WorkerRecord& worker)
 {
-    return worker.session && worker.session->isMet() && !worker.session->isSilent() && worker.starts.isAnswering();
+    return worker.session && worker.session->hasAnswered() && !worker.session->isUnresponsive() && worker.starts.isAnswering();
 }
 
 /// \returns Whether the worker counts for the bound on ejections. Closed or draining workers serve no more tasks, and are not evaluated.
-bool mayServe(const WorkerBook& worker)
+bool mayServe(const WorkerRecord& worker)
 {
     return worker.listed && worker.isHallOpen() && !worker.entry.draining;
 }
@@ -36,30 +36,30 @@
 {
 }
 
-void HealthMonitor::noteStartBooked(WorkerBook& worker, const Attempt& attempt)
+void HealthMonitor::noteStartBooked(WorkerRecord& worker, const Attempt& attempt)
 {
     if (worker.health.isProbing(m_state.now()))
         worker.probingAttempt = attempt;
 }
 
-void HealthMonitor::noteStartSent(WorkerBook& worker, const StartOrder& order)
+void HealthMonitor::noteStartSent(WorkerRecord& worker, const StartOrder& order)
 {
     if (!isOn())
         return;
     if (worker.starts.isDistrusted(m_state.now()))
-        worker.starts.dropSettled([&](const Attempt& open) { return !worker.bookings.contains(open); });
+        worker.starts.dropSettled([&](const Attempt& open) { return !worker.reservations.contains(open); });
     worker.starts.noteSent(order.attempt, order.leaseUntil, m_state.now());
 }
 
-void HealthMonitor::noteStartOverdue(WorkerBook& worker, const Attempt& attempt)
+void HealthMonitor::noteStartOverdue(WorkerRecord& worker, const Attempt& attempt)
 {
     if (!isOn() || !worker.starts.noteOverdue(attempt, m_state.now()))
         return;
     worker.health.noteUnanswered(m_state.now());
-    consider(worker);
+    queueIfFailing(worker);
 }
 
-void HealthMonitor::noteStartAnswered(WorkerBook& worker, const Attempt& attempt)
+void HealthMonitor::noteStartAnswered(WorkerRecord& worker, const Attempt& attempt)
 {
     if (!isOn())
         return;
@@ -69,27 +69,27 @@
         worker.health.noteStartAnswered(m_state.now());
 }
 
-void HealthMonitor::noteStopOverdue(WorkerBook& worker)
+void HealthMonitor::noteStopOverdue(WorkerRecord& worker)
 {
     if (!isOn())
         return;
     worker.health.noteUnanswered(m_state.now());
-    consider(worker);
+    queueIfFailing(worker);
 }
 
-void HealthMonitor::noteStopAnswered(WorkerBook& worker)
+void HealthMonitor::noteStopAnswered(WorkerRecord& worker)
 {
     if (isOn())
         worker.health.noteStopAnswered(m_state.now());
 }
 
-void HealthMonitor::noteProbeOverdue(WorkerBook& worker)
+void HealthMonitor::noteProbeOverdue(WorkerRecord& worker)
 {
     if (isOn())
         worker.starts.noteProbeOverdue();
 }
 
-void HealthMonitor::noteHeard(WorkerBook& worker)
+void HealthMonitor::noteHeard(WorkerRecord& worker)
 {
     if (worker.starts.isAnswering())
         return;
@@ -97,20 +97,20 @@
     m_state.requestPass();
 }
 
-void HealthMonitor::noteSuccess(WorkerBook& worker)
+void HealthMonitor::noteSuccess(WorkerRecord& worker)
 {
     worker.health.noteSuccess(m_state.now());
 }
 
-void HealthMonitor::noteFailure(WorkerBook& worker, const std::string& job)
+void HealthMonitor::noteFailure(WorkerRecord& worker, const std::string& job)
 {
     worker.health.noteFailure(job, m_state.now());
-    consider(worker);
+    queueIfFailing(worker);
 }
 
 /// Gang members wait for each other, and throttling slows best-effort tasks down: their run times are no evidence on the worker. Neither
 /// are run times that were reported while calls were overdue.
-void HealthMonitor::noteRunTime(WorkerBook& worker, const JobState& job, const Attempt& attempt, Millis observed)
+void HealthMonitor::noteRunTime(WorkerRecord& worker, const JobState& job, const Attempt& attempt, Millis observed)
 {
     const StepSpec& step = job.spec(attempt.task.step);
     if (!isOn() || step.gang || step.bestEffort || step.longRunning || step.estimate <= Millis(0) || worker.session->wasOverdueLately())
@@ -119,11 +119,11 @@
     if (isFar(worker, step))
         ratio /= m_state.options.placement.farFactor;
     const bool isBeyondPeers = m_ranks.note(worker.entry.pool, job.record().queue, ratio, m_state.options.health.lateFactor);
-    worker.health.noteRunTime(isBeyondPeers && observed >= shortestJudged, m_state.now());
-    consider(worker);
+    worker.health.noteRunTime(isBeyondPeers && observed >= minEvaluatedRunTime, m_state.now());
+    queueIfFailing(worker);
 }
 
-void HealthMonitor::consider(WorkerBook& worker)
+void HealthMonitor::queueIfFailing(WorkerRecord& worker)
 {
     if (worker.health.fault(m_state.now()) == HealthFault::None)
         return;
@@ -135,7 +135,7 @@
 {
     if (!m_failing.empty() && m_state.now() >= m_nextEjectionAt)
         ejectFailing();
-    if (!m_out.empty())
+    if (!m_ejected.empty())
         findReadmitted();
 }
 
@@ -143,9 +143,9 @@
 {
     std::vector<EjectionMember> members;
     members.reserve(m_state.workers.size());
-    for (const auto& [id, book] : m_state.workers) {
-        if (mayServe(book))
-            members.push_back({ .worker = &book.entry, .out = book.health.isOut(m_state.now()), .answering = isAnswering(book) });
+    for (const auto& [id, record] : m_state.workers) {
+        if (mayServe(record))
+            members.push_back({ .worker = &record.entry, .out = record.health.isOut(m_state.now()), .answering = isAnswering(record) });
     }
     return members;
 }
@@ -167,13 +167,13 @@
     const MonotonicInstant now = m_state.now();
     std::vector<EjectionCandidate> candidates;
     for (auto id = m_failing.begin(); id != m_failing.end();) {
-        const WorkerBook* book = m_state.worker(*id);
-        const HealthFault fault = book && mayServe(*book) ? book->health.fault(now) : HealthFault::None;
+        const WorkerRecord* record = m_state.worker(*id);
+        const HealthFault fault = record && mayServe(*record) ? record->health.fault(now) : HealthFault::None;
         if (fault == HealthFault::None) {
             id = m_failing.erase(id);
             continue;
         }
-        candidates.push_back({ .member = { .worker = &book->entry, .out = book->health.isOut(now), .answering = isAnswering(*book) }, .fault = fault, .score = book->health.score(now) });
+        candidates.push_back({ .member = { .worker = &record->entry, .out = record->health.isOut(now), .answering = isAnswering(*record) }, .fault = fault, .score = record->health.score(now) });
         ++id;
     }
     if (candidates.empty())
@@ -183,10 +183,10 @@
     for (const EjectionCandidate& candidate : candidates)
         eject(*m_state.worker(candidate.member.worker->id), candidate.fault);
     if (!m_failing.empty())
-        m_nextEjectionAt = now + ejectionPause;
+        m_nextEjectionAt = now + ejectionCheckPause;
 }
 
-void HealthMonitor::eject(WorkerBook& worker, HealthFault fault)
+void HealthMonitor::eject(WorkerRecord& worker, HealthFault fault)
 {
     const MonotonicInstant now = m_state.now();
     // Without an attempt since the last backoff the worker was not probed: only stops of earlier attempts are unanswered.
@@ -196,14 +196,14 @@
         worker.health.eject(fault, m_state.options.health, now);
     worker.probingAttempt.reset();
     m_failing.erase(worker.entry.id);
-    m_out.insert(worker.entry.id);
+    m_ejected.insert(worker.entry.id);
     ++m_counts.ejections;
     const WorkerHealthScore report = worker.health.report(now);
     const auto backoff = std::chrono::duration_cast<Millis>(report.ejectedUntil - now);
     m_state.options.log->change("worker-ejected",
         { { "worker", worker.entry.id }, { "pool", worker.entry.pool }, { "reason", std::string(nameOf(fault)) }, { "score_thousandths", static_cast<std::int64_t>(report.score * thousandths) },
             { "calls", std::int64_t { report.evidence.calls } }, { "unanswered", std::int64_t { report.evidence.unanswered } }, { "ends", std::int64_t { report.evidence.ends } }, { "late_ends", std::int64_t { report.evidence.lateEnds } },
-            { "failures", std::int64_t { report.failures } }, { "backoff_ms", std::int64_t { backoff.count() } }, { "attempts", static_cast<std::int64_t>(worker.bookings.size()) } });
+            { "failures", std::int64_t { report.failures } }, { "backoff_ms", std::int64_t { backoff.count() } }, { "attempts", static_cast<std::int64_t>(worker.reservations.size()) } });
 }
 
 std::vector<WorkerReport> HealthMonitor::reports() const
@@ -211,12 +211,12 @@
     const MonotonicInstant now = m_state.now();
     std::vector<WorkerReport> reports;
     reports.reserve(m_state.workers.size());
-    for (const auto& [id, book] : m_state.workers) {
-        WorkerReport report { .worker = id, .pool = book.entry.pool, .dataHall = book.entry.dataHall, .rack = book.entry.rack, .attempts = static_cast<std::uint32_t>(book.bookings.size()) };
-        report.open = book.isOpen(now);
-        report.silent = book.session && book.session->isSilent();
-        report.distrusted = book.starts.isDistrusted(now);
-        report.health = book.health.report(now);
+    for (const auto& [id, record] : m_state.workers) {
+        WorkerReport report { .worker = id, .pool = record.entry.pool, .dataHall = record.entry.dataHall, .rack = record.entry.rack, .attempts = static_cast<std::uint32_t>(record.reservations.size()) };
+        report.open = record.isOpen(now);
+        report.silent = record.session && record.session->isUnresponsive();
+        report.distrusted = record.starts.isDistrusted(now);
+        report.health = record.health.report(now);
         if (report.health.ejected)
             report.ejectedFor = std::chrono::duration_cast<Millis>(report.health.ejectedUntil - now);
         reports.push_back(std::move(report));
@@ -227,10 +227,10 @@
 std::map<std::string, std::uint32_t> HealthMonitor::ejectedByPool() const
 {
     std::map<std::string, std::uint32_t> ejected;
-    for (const std::string& id : m_out) {
-        const WorkerBook* book = m_state.worker(id);
-        if (book && book->health.isOut(m_state.now()))
-            ++ejected[book->entry.pool];
+    for (const std::string& id : m_ejected) {
+        const WorkerRecord* record = m_state.worker(id);
+        if (record && record->health.isOut(m_state.now()))
+            ++ejected[record->entry.pool];
     }
     return ejected;
 }
@@ -238,13 +238,13 @@
 void HealthMonitor::findReadmitted()
 {
     const MonotonicInstant now = m_state.now();
-    std::erase_if(m_out, [&](const std::string& id) {
-        const WorkerBook* book = m_state.worker(id);
-        if (book && book->health.isOut(now))
+    std::erase_if(m_ejected, [&](const std::string& id) {
+        const WorkerRecord* record = m_state.worker(id);
+        if (record && record->health.isOut(now))
             return false;
         // A new incarnation has no record: it was not readmitted but starts afresh.
-        if (book && book->health.ejectedUntil() != MonotonicInstant {})
-            m_state.options.log->change("worker-readmitted", { { "worker", id }, { "pool", book->entry.pool }, { "probed", std::int64_t { book->health.wasReadmitted() } } });
+        if (record && record->health.ejectedUntil() != MonotonicInstant {})
+            m_state.options.log->change("worker-readmitted", { { "worker", id }, { "pool", record->entry.pool }, { "probed", std::int64_t { record->health.wasReadmitted() } } });
         return true;
     });
 }
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -24,28 +24,28 @@
 
     /// \name Calls
     ///@{
-    void noteStartBooked(WorkerBook& worker, const Attempt& attempt);
-    void noteStartSent(WorkerBook& worker, const StartOrder& order);
-    void noteStartOverdue(WorkerBook& worker, const Attempt& attempt);
-    void noteStartAnswered(WorkerBook& worker, const Attempt& attempt);
-    void noteStopOverdue(WorkerBook& worker);
-    void noteStopAnswered(WorkerBook& worker);
-    void noteProbeOverdue(WorkerBook& worker);
+    void noteStartBooked(WorkerRecord& worker, const Attempt& attempt);
+    void noteStartSent(WorkerRecord& worker, const StartOrder& order);
+    void noteStartOverdue(WorkerRecord& worker, const Attempt& attempt);
+    void noteStartAnswered(WorkerRecord& worker, const Attempt& attempt);
+    void noteStopOverdue(WorkerRecord& worker);
+    void noteStopAnswered(WorkerRecord& worker);
+    void noteProbeOverdue(WorkerRecord& worker);
 
     /// \brief Notes a start that a status report confirms.
-    void noteStartConfirmed(WorkerBook& worker, const Attempt& attempt) { worker.starts.noteSettled(attempt); }
+    void noteStartConfirmed(WorkerRecord& worker, const Attempt& attempt) { worker.starts.noteSettled(attempt); }
 
     /// \brief Notes a response to any call.
-    void noteHeard(WorkerBook& worker);
+    void noteHeard(WorkerRecord& worker);
     ///@}
 
     /// \name Ends
     ///@{
-    void noteSuccess(WorkerBook& worker);
-    void noteFailure(WorkerBook& worker, const std::string& job);
+    void noteSuccess(WorkerRecord& worker);
+    void noteFailure(WorkerRecord& worker, const std::string& job);
 
     /// \brief Compares a run time with those on the worker's peers. \param observed From the command to the report.
-    void noteRunTime(WorkerBook& worker, const JobState& job, const Attempt& attempt, Millis observed);
+    void noteRunTime(WorkerRecord& worker, const JobState& job, const Attempt& attempt, Millis observed);
     ///@}
 
     /// \brief Ejects failing workers as far as the bound allows, and logs readmitted ones. To be called before placement.
@@ -58,9 +58,9 @@
     [[nodiscard]] std::map<std::string, std::uint32_t> ejectedByPool() const;
 
 private:
-    void consider(WorkerBook& worker);
+    void queueIfFailing(WorkerRecord& worker);
     void ejectFailing();
-    void eject(WorkerBook& worker, HealthFault fault);
+    void eject(WorkerRecord& worker, HealthFault fault);
     void findReadmitted();
     [[nodiscard]] std::vector<EjectionMember> members() const;
     [[nodiscard]] LeastInstances leastInstances() const;
@@ -70,7 +70,7 @@
     SchedulerCounts& m_counts;
     RunTimeRanks m_ranks;
     std::set<std::string> m_failing; ///< Candidates for ejection.
-    std::set<std::string> m_out; ///< Workers that are ejected or probing.
+    std::set<std::string> m_ejected; ///< Workers that are ejected or probing.
     MonotonicInstant m_nextEjectionAt; ///< Next check of the candidates beyond the bound.
 };
 
--- a/src/jobs/owner/inherited_losses.cpp
+++ b/src/jobs/owner/inherited_failures.cpp
@@ -1,15 +1,15 @@
-#include "inherited_losses.h"
+#include "inherited_failures.h"
 
 namespace lanemoor::jobs {
 
-void InheritedLosses::begin(std::optional<std::set<std::string>> pools)
+void InheritedFailures::begin(std::optional<std::set<std::string>> pools)
 {
     m_isUnknown = !pools;
     m_pools = std::move(pools).value_or(std::set<std::string>());
     m_tasks.clear();
 }
 
-std::string InheritedLosses::text() const
+std::string InheritedFailures::text() const
 {
     if (m_isUnknown)
         return "any";
--- a/src/jobs/owner/job_retirement.cpp
+++ b/src/jobs/owner/job_retirement.cpp
@@ -3,7 +3,7 @@
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/intake/job_catalog.h"
 #include "lanemoor/jobs/model/key_value_store.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "lanemoor/jobs/store/store_mirror.h"
 
 #include <array>
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -82,13 +82,13 @@
 }
 
 /// Notes what the attempts booked at a worker take. \param hopeless Jobs that end late whatever is done.
-void noteRunning(const WorkerBook& book, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
+void noteRunning(const WorkerRecord& book, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
     std::map<Requirement, Resources> usedInVain;
     Resources usedByAny;
     Resources usedByAnyInVain;
-    for (const auto& [attempt, booking] : book.bookings) {
+    for (const auto& [attempt, booking] : book.reservations) {
         const bool isInVain = hopeless.contains(attempt.job);
         // Most tasks run anywhere.
         if (booking.step->requiredLabel.empty() && booking.step->preferredRack.empty()) {
@@ -103,7 +103,7 @@
                 usedInVain[requirement] += footprint(*booking.step);
         }
     }
-    if (!book.bookings.empty()) {
+    if (!book.reservations.empty()) {
         used[Requirement {}] += usedByAny;
         usedInVain[Requirement {}] += usedByAnyInVain;
     }
@@ -130,7 +130,7 @@
     Term(const JobSchedulerOptions& options, const Ownership& ownership, SchedulerCounts& counts)
         : state { .options = options,
             .ownership = ownership,
-            .inheritedLeaseOverBy = options.loop->now() + options.ownershipTime + Millis(static_cast<std::int64_t>(leaseStretch * static_cast<double>(options.workerLeaseTime.count()))),
+            .inheritedLeaseExpiresBy = options.loop->now() + options.ownershipTime + Millis(static_cast<std::int64_t>(leaseStretch * static_cast<double>(options.workerLeaseTime.count()))),
             .forecast = LoadForecast(options.seesRises),
             .hallLosses = HallLossDetector(options.failureDomains) }
         , health(state, counts)
@@ -142,7 +142,7 @@
     {
         // Nobody owned before the first term, so nothing runs.
         if (ownership.term == 1)
-            state.inheritedLeaseOverBy = options.loop->now();
+            state.inheritedLeaseExpiresBy = options.loop->now();
     }
 
     void close()
@@ -189,16 +189,16 @@
         m_term = std::make_shared<Term>(m_options, ownership, counts);
         OwnerState& state = m_term->state;
         state.requestPass = [this] { requestPass(); };
-        state.beginSession = [this](WorkerBook& worker, std::int64_t startedAt) { beginSession(worker, startedAt); };
+        state.beginSession = [this](WorkerRecord& worker, std::int64_t startedAt) { beginSession(worker, startedAt); };
         state.writer = std::make_unique<ProgressWriter>(*m_options.loop, *m_options.store, *m_options.mirror, m_options.ownership->condition(),
             ProgressSource { .read = [this](const std::string& id) { return progressOf(id); },
                 .mayWrite = [this] { return m_options.ownership->isHeld(); },
                 .superseded = [this] { m_options.ownership->noteSuperseded(); },
                 .meter = m_options.meter });
-        state.inheritedLosses.begin(m_options.directory->poolsWithRecentEnds());
+        state.inheritedFailures.begin(m_options.directory->poolsWithRecentEnds());
         for (const auto& [id, entry] : m_options.catalog->all())
             load(id, entry, ownership.term > 1);
-        m_options.directory->forgetOld();
+        m_options.directory->dropExpired();
         for (const auto& [id, entry] : m_options.directory->all()) {
             if (isNamed(entry))
                 meet(entry);
@@ -249,7 +249,7 @@
         const auto found = m_options.directory->all().find(id);
         if (found == m_options.directory->all().end())
             return;
-        WorkerBook* book = m_term->state.worker(id);
+        WorkerRecord* book = m_term->state.worker(id);
         if (!book) {
             if (isNamed(found->second))
                 meet(found->second);
@@ -304,15 +304,15 @@
         uses.reserve(m_term->state.workers.size());
         const MonotonicInstant now = m_options.loop->now();
         for (const auto& [id, book] : m_term->state.workers) {
-            WorkerUse use { .free = book.free(), .attempts = static_cast<std::uint32_t>(book.bookings.size()), .evacuating = book.evacuating, .evacuatingSince = book.evacuatingSince };
-            for (const auto& [attempt, booking] : book.bookings) {
+            WorkerUse use { .free = book.free(), .attempts = static_cast<std::uint32_t>(book.reservations.size()), .evacuating = book.evacuating, .evacuatingSince = book.evacuatingSince };
+            for (const auto& [attempt, booking] : book.reservations) {
                 use.longRunning += booking.step->longRunning ? 1 : 0;
                 if (!booking.step->longRunning)
                     use.emptyBy = std::max(use.emptyBy, booking.endsBy);
                 use.pinned += booking.step->longRunning && !booking.step->requiredLabel.empty() ? 1 : 0;
             }
-            use.known = book.session->isMet() || now >= book.session->leaseOverBy();
-            use.sound = book.listed && !book.entry.draining && book.isHallOpen() && book.session->isMet() && !book.session->isSilent() && !book.session->isLifeOver() && !book.health.isEjected(now);
+            use.known = book.session->hasAnswered() || now >= book.session->leaseExpiresBy();
+            use.sound = book.listed && !book.entry.draining && book.isHallOpen() && book.session->hasAnswered() && !book.session->isUnresponsive() && !book.session->isIncarnationOver() && !book.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -342,12 +342,12 @@
 
     void setEvacuating(const std::string& worker, bool evacuating)
     {
-        WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
+        WorkerRecord* book = m_term ? m_term->state.worker(worker) : nullptr;
         if (!book || book->evacuating == evacuating)
             return;
         book->evacuating = evacuating;
         book->evacuatingSince = m_options.loop->now();
-        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(book->bookings.size()) } });
+        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(book->reservations.size()) } });
         requestPass();
     }
 
@@ -376,17 +376,17 @@
 
     void noteLifeOver(const std::string& worker, bool ordered = false)
     {
-        WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
+        WorkerRecord* book = m_term ? m_term->state.worker(worker) : nullptr;
         if (!book || !book->session)
             return;
-        book->endOrdered = ordered;
+        book->isEndOrdered = ordered;
         book->session->noteLifeOver();
     }
 
     void noteLifeUnlisted(const std::string& worker, MonotonicInstant since)
     {
-        const WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
-        const bool mayMeanFormer = book && !book->formerStarts.empty() && book->knownSince + fleetListLag >= since;
+        const WorkerRecord* book = m_term ? m_term->state.worker(worker) : nullptr;
+        const bool mayMeanFormer = book && !book->previousStarts.empty() && book->knownSince + fleetListLag >= since;
         if (!mayMeanFormer)
             noteLifeOver(worker);
     }
@@ -403,7 +403,7 @@
     bool isSettled()
     {
         OwnerState& state = m_term->state;
-        if (state.now() >= state.inheritedLeaseOverBy)
+        if (state.now() >= state.inheritedLeaseExpiresBy)
             return true;
         std::erase_if(m_term->unmet, [&](const std::string& id) { return state.workers.contains(id) && !isUnmet(id); });
         return m_term->unknownInstances == 0U && m_term->unmet.empty();
@@ -468,13 +468,13 @@
                 demands[pool][requirement].waiting = waiting;
         }
         std::unordered_set<std::string_view> hopeless;
-        for (const auto& [id, job] : state.walked) {
+        for (const auto& [id, job] : state.individualJobs) {
             if (!isFinal(job->state.status()) && state.isHopeless(*job, now))
                 hopeless.insert(id);
         }
         for (const auto& [id, book] : state.workers)
             noteRunning(book, hopeless, demands[book.entry.pool]);
-        for (const auto& [id, job] : state.walked) {
+        for (const auto& [id, job] : state.individualJobs) {
             if (!isFinal(job->state.status()))
                 noteSpread(job->state, demands[state.poolOf(job->state)]);
         }
@@ -488,7 +488,7 @@
     /// Notes how much the labels that tasks require are wanted, for the placement of other tasks.
     static void noteWanted(OwnerState& state)
     {
-        state.wanted.clear();
+        state.labelDemand.clear();
         for (const auto& [pool, classes] : state.demands) {
             for (const auto& [requirement, demand] : classes) {
                 if (requirement.label.empty() || requirement.preferred)
@@ -496,7 +496,7 @@
                 std::int64_t supply = 0;
                 for (const auto& [id, book] : state.workers)
                     supply += book.entry.pool == pool && book.listed && hasLabel(book.entry, requirement.label) ? book.entry.capacity.milliCpu : 0;
-                state.wanted[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
+                state.labelDemand[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
             }
         }
     }
@@ -524,7 +524,7 @@
         const std::uint64_t base = (state.ownership.term - 1) * attemptsPerTerm;
         auto [place, inserted] = state.jobs.emplace(id, OwnerJob { .state = JobState(id, entry.record, entry.progress, base), .inherited = inherited });
         OwnerJob& job = place->second;
-        state.walked.emplace(id, &job);
+        state.individualJobs.emplace(id, &job);
         job.account = state.accountOf(*entry.record);
         const Millis age = m_options.loop->timeOfDay() - entry.record->acceptedAt;
         const QueueSettings* queue = state.configuration()->queue(entry.record->queue);
@@ -535,7 +535,7 @@
         m_term->admission->noteArrival(job);
         if (inherited) {
             job.state.openOccurrences(m_options.loop->timeOfDay());
-            job.openBefore = openSteps(job.state);
+            job.possiblyStartedBefore = openSteps(job.state);
             m_term->reports.crashes().load(job);
         }
         if (entry.cancelled)
@@ -586,27 +586,27 @@
 
     void meet(const DirectoryEntry& entry)
     {
-        WorkerBook& book = m_term->state.workers[entry.worker.id];
+        WorkerRecord& book = m_term->state.workers[entry.worker.id];
         book.entry = entry.worker;
         book.listed = entry.listed;
         book.knownSince = entry.knownSince;
         beginSession(book, entry.worker.startedAt);
     }
 
-    void noteHall(WorkerBook& book) const { book.hallEvacuated = m_options.evacuations->contains(book.entry.dataHall); }
+    void noteHall(WorkerRecord& book) const { book.hallEvacuated = m_options.evacuations->contains(book.entry.dataHall); }
 
-    void beginSession(WorkerBook& book, std::int64_t startedAt)
+    void beginSession(WorkerRecord& book, std::int64_t startedAt)
     {
         const OwnerState& state = m_term->state;
         noteHall(book);
         WorkerSessionOptions options { .epoch = state.ownership.epoch,
-            .inheritedLeaseOverBy = state.inheritedLeaseOverBy,
+            .inheritedLeaseExpiresBy = state.inheritedLeaseExpiresBy,
             .leaseTime = m_options.workerLeaseTime,
-            .mayOrder = [this] { return m_options.ownership->isHeld(); },
+            .maySendCommands = [this] { return m_options.ownership->isHeld(); },
             .overdueAfter = [this] { return m_term ? m_term->state.responses.overdueAfter() : ResponseTime::maxOverdue; } };
         // What was sent to a former life and reached this one brought a lease on a clock that it doesn't have.
-        if (!book.formerStarts.empty())
-            options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + longestLateRun);
+        if (!book.previousStarts.empty())
+            options.inheritedLeaseExpiresBy = std::max(options.inheritedLeaseExpiresBy, state.now() + longestLateRun);
         book.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { book.entry.id, book.entry.address, startedAt, book.entry.dataHall }, std::move(options), m_term->reports);
         book.session->start();
         // Also one whose entry comes later: it may have been missing while its tasks ran on.
@@ -614,15 +614,15 @@
     }
 
     /// Takes in what a worker's entry tells now. The entry of a former life may arrive after the first word of the new one.
-    void noteEntry(WorkerBook& book, const DirectoryEntry& entry) const
+    void noteEntry(WorkerRecord& book, const DirectoryEntry& entry) const
     {
         book.listed = entry.listed;
         const std::int64_t startedAt = entry.worker.startedAt;
-        if (startedAt != 0 && book.formerStarts.contains(startedAt))
+        if (startedAt != 0 && book.previousStarts.contains(startedAt))
             return;
         book.entry = entry.worker;
         noteHall(book);
-        if (book.session->life().startedAt != 0 && !book.isEntryOfLife())
+        if (book.session->incarnation().startedAt != 0 && !book.isEntryOfIncarnation())
             book.session->noteRestart(startedAt);
     }
 
@@ -655,9 +655,9 @@
         const MonotonicInstant begin = m_options.loop->now();
         m_passFrom = begin + leastPassGap;
         HallWatch(term->state).run();
-        const bool knowsCancels = term->state.knowsCancels();
-        noteCopy(knowsCancels);
-        if (!m_options.ownership->isHeld() || !knowsCancels || !m_options.evacuations->isConfirmed()) {
+        const bool areCancelsCurrent = term->state.areCancelsCurrent();
+        noteCopy(areCancelsCurrent);
+        if (!m_options.ownership->isHeld() || !areCancelsCurrent || !m_options.evacuations->isConfirmed()) {
             schedulePass(begin + idlePass);
             return;
         }
@@ -690,8 +690,8 @@
         if (m_term->settledInherited || !isSettled())
             return;
         m_term->settledInherited = true;
-        m_term->reports.crashes().noteUnanswering();
-        m_term->reports.crashes().settleAbsent(m_term->unknownInstances == 0U && m_term->unmet.empty());
+        m_term->reports.crashes().noteUnansweredWorkers();
+        m_term->reports.crashes().settleUnknownIncarnations(m_term->unknownInstances == 0U && m_term->unmet.empty());
     }
 
     /// One line when starts wait for a newer copy of the jobs, one when they go on.
@@ -707,7 +707,7 @@
     [[nodiscard]] bool isUnmet(const std::string& id) const
     {
         const auto found = m_term->state.workers.find(id);
-        return found != m_term->state.workers.end() && !found->second.session->isMet() && !found->second.session->isLifeOver();
+        return found != m_term->state.workers.end() && !found->second.session->hasAnswered() && !found->second.session->isIncarnationOver();
     }
 
     /// A life that a complete list does not name runs nowhere, if it was known before the time that the list shows.
@@ -729,9 +729,9 @@
     {
         std::vector<std::string> over;
         for (const auto& [id, book] : m_term->state.workers) {
-            if (!book.unlistedSince || book.session->isLifeOver())
+            if (!book.unlistedSince || book.session->isIncarnationOver())
                 continue;
-            const bool isGone = !book.session->isMet() || (book.session->isSilent() && m_options.loop->now() - *book.unlistedSince >= fleetListLag);
+            const bool isGone = !book.session->hasAnswered() || (book.session->isUnresponsive() && m_options.loop->now() - *book.unlistedSince >= fleetListLag);
             if (isGone)
                 over.push_back(id);
         }
@@ -744,7 +744,7 @@
     {
         OwnerState& state = m_term->state;
         std::erase_if(state.waits, [&](const auto& entry) { return !state.jobs.contains(entry.first.first); });
-        std::erase_if(state.walked, [&](const auto& entry) {
+        std::erase_if(state.individualJobs, [&](const auto& entry) {
             const JobState& job = entry.second->state;
             if (!isFinal(job.status()))
                 return false;
@@ -759,15 +759,15 @@
     void dropOverWorkers()
     {
         std::erase_if(m_term->state.workers, [&](const auto& entry) {
-            const WorkerBook& book = entry.second;
-            const bool over = book.session->isLifeOver() || m_options.loop->now() >= book.session->leaseOverBy();
-            const bool isDropped = !book.listed && over && book.bookings.empty() && (book.session->isLifeOver() || book.session->isSilent());
+            const WorkerRecord& book = entry.second;
+            const bool over = book.session->isIncarnationOver() || m_options.loop->now() >= book.session->leaseExpiresBy();
+            const bool isDropped = !book.listed && over && book.reservations.empty() && (book.session->isIncarnationOver() || book.session->isUnresponsive());
             if (isDropped)
                 m_term->state.hallLosses.noteGone(entry.first);
             return isDropped;
         });
         if (m_term->settledInherited)
-            m_term->reports.crashes().settleAbsent(false);
+            m_term->reports.crashes().settleUnknownIncarnations(false);
     }
 
     JobSchedulerOptions m_options;
--- a/src/jobs/owner/order_desk.cpp
+++ b/src/jobs/owner/order_desk.cpp
@@ -32,11 +32,11 @@
 {
 }
 
-bool OrderDesk::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect)
+bool OrderDesk::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerRecord& worker, const std::string& ticket, bool isBesideSuspect)
 {
     // Members of a gang start together or not at all: whoever starts them asks once.
     const bool isMember = job.state.spec(task.step).gang;
-    if (!worker.session->leaseForOrder() || !(isMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
+    if (!worker.session->leaseForCommand() || !(isMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
         return false;
     const Attempt attempt { job.state.id(), task, number };
     const bool first = job.state.status() == JobStatus::Queued;
@@ -44,8 +44,8 @@
     const std::uint32_t assumed = isBesideSuspect || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.bookings.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
-    worker.youngUntil = m_state.now() + maxProbation;
+    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.probationUntil = m_state.now() + maxProbation;
     m_health.noteStartBooked(worker, attempt);
     if (first)
         m_state.store(job.state.id());
@@ -58,24 +58,24 @@
 
 /// The next owner must know of the start and of all earlier crashes before the worker can crash: a lost owner would otherwise
 /// give the task another start.
-void OrderDesk::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void OrderDesk::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     job.state.setPhase(attempt, AttemptPhase::Recording, m_state.now());
     m_state.beginProbation(job, attempt, worker);
-    m_state.writer->whenJobStored(attempt.job, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session), ticket] {
+    m_state.writer->whenJobStored(attempt.job, [self = weak_from_this(), attempt, id = worker.entry.id, incarnation = std::weak_ptr(worker.session), ticket] {
         const auto desk = self.lock();
         if (desk && !desk->m_closed)
-            desk->sendRecorded(attempt, id, life.lock().get(), ticket);
+            desk->sendRecorded(attempt, id, incarnation.lock().get(), ticket);
     });
 }
 
-void OrderDesk::sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const std::string& ticket)
+void OrderDesk::sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* incarnation, const std::string& ticket)
 {
     const LiveAttempt* live = findLive(attempt, worker);
     if (!live || live->phase != AttemptPhase::Recording)
         return;
-    WorkerBook* book = bookOfLife(worker, life);
-    if (!book || !book->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !book->session->leaseForOrder()) {
+    WorkerRecord* book = bookOfLife(worker, incarnation);
+    if (!book || !book->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !book->session->leaseForCommand()) {
         withdrawRecorded(attempt, worker);
         return;
     }
@@ -97,7 +97,7 @@
 }
 
 /// Storing the record took so long that the worker may be gone by now.
-void OrderDesk::sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void OrderDesk::sendOnAnswer(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     m_awaitingAnswer[worker.entry.id].push_back({ attempt, worker.session, ticket });
     worker.session->probe();
@@ -119,7 +119,7 @@
     const std::vector<RecordedStart> starts = std::move(waiting->second);
     m_awaitingAnswer.erase(waiting);
     for (const RecordedStart& start : starts)
-        sendRecorded(start.attempt, worker, start.life.lock().get(), start.ticket);
+        sendRecorded(start.attempt, worker, start.incarnation.lock().get(), start.ticket);
 }
 
 /// The start was never sent.
@@ -132,13 +132,13 @@
     m_state.requestPass();
 }
 
-void OrderDesk::send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void OrderDesk::send(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
     const StartOrder order { .attempt = attempt,
         .payload = job.record().spec.payload,
-        .leaseUntil = worker.session->leaseForOrder().value_or(0),
+        .leaseUntil = worker.session->leaseForCommand().value_or(0),
         .epoch = m_state.ownership.epoch,
         .checkpoint = task.checkpoint,
         .ticket = ticket };
@@ -146,10 +146,10 @@
     m_health.noteStartSent(worker, order);
     m_state.options.log->decision("task-start",
         { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentOnClock > 0 } } });
-    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session)](const OrderResult& result) {
+    m_state.options.workers->start(worker.session->incarnation(), order, [self = weak_from_this(), attempt, id = worker.entry.id, incarnation = std::weak_ptr(worker.session)](const OrderResult& result) {
         const auto desk = self.lock();
         if (desk && !desk->m_closed)
-            desk->started(attempt, id, life.lock().get(), result);
+            desk->started(attempt, id, incarnation.lock().get(), result);
     });
     watchStart(attempt, worker.entry.id, m_state.responses.overdueAfter(), 0);
 }
@@ -170,7 +170,7 @@
         if (!desk || desk->m_closed)
             return;
         const LiveAttempt* live = desk->findLive(attempt, worker);
-        WorkerBook* book = desk->m_state.worker(worker);
+        WorkerRecord* book = desk->m_state.worker(worker);
         if (!live || !book || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
             return;
         // Where the event loop itself is late the answer may wait behind this call.
@@ -192,9 +192,9 @@
 }
 
 /// An answer does not say which life gave it: after a restart it tells nothing of the clock, and a start nothing but that it is open.
-void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result)
+void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* incarnation, const OrderResult& result)
 {
-    WorkerBook* book = bookOfLife(worker, life);
+    WorkerRecord* book = bookOfLife(worker, incarnation);
     OwnerJob* job = m_state.job(attempt.job);
     bool isOfLife = false;
     if (book && result.outcome != OrderOutcome::OtherLife)
@@ -209,7 +209,7 @@
             m_state.store(attempt.job);
         if (const LiveAttempt* live = findLive(attempt, worker))
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
-        if (book->bookings.suspects().contains(attempt))
+        if (book->reservations.suspects().contains(attempt))
             probeSoon(*book->session);
         if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Ordered || (live->phase == AttemptPhase::Doubtful && isOfLife)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
@@ -238,11 +238,11 @@
     ++m_counts.refusals;
     m_state.options.log->decision("start-refused", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "reason", std::string(nameOf(outcome)) } });
     const MonotonicInstant now = m_state.now();
-    if (WorkerBook* book = m_state.worker(worker)) {
+    if (WorkerRecord* book = m_state.worker(worker)) {
         const bool full = outcome == OrderOutcome::NoRoom;
         const bool stale = outcome == OrderOutcome::LeaseOver || outcome == OrderOutcome::Superseded || outcome == OrderOutcome::BadTicket;
         if (!stale)
-            book->noWorkBefore = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
+            book->closedUntil = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
     }
     release(attempt, worker, now);
     m_state.requestPass();
@@ -250,8 +250,8 @@
 
 void OrderDesk::release(const Attempt& attempt, const std::string& worker, MonotonicInstant retryAt)
 {
-    if (WorkerBook* book = m_state.worker(worker)) {
-        book->bookings.erase(attempt);
+    if (WorkerRecord* book = m_state.worker(worker)) {
+        book->reservations.erase(attempt);
         book->starts.noteSettled(attempt);
     }
     OwnerJob* job = m_state.job(attempt.job);
@@ -265,7 +265,7 @@
 
 void OrderDesk::stop(const Attempt& attempt, const std::string& worker)
 {
-    WorkerBook* book = m_state.worker(worker);
+    WorkerRecord* book = m_state.worker(worker);
     if (!book)
         return;
     if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Recording) {
@@ -281,10 +281,10 @@
     if (OwnerJob* job = m_state.job(attempt.job))
         job->state.setPhase(attempt, AttemptPhase::Stopping, m_state.now());
     m_state.options.log->decision("task-stop", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-    m_state.options.workers->stop(book->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, life = std::weak_ptr(book->session)](const OrderResult& result) {
+    m_state.options.workers->stop(book->session->incarnation(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, incarnation = std::weak_ptr(book->session)](const OrderResult& result) {
         const auto desk = self.lock();
         if (desk && !desk->m_closed)
-            desk->stopped(attempt, worker, number, life.lock().get(), result);
+            desk->stopped(attempt, worker, number, incarnation.lock().get(), result);
     });
     watchStop(attempt, worker, number);
 }
@@ -301,22 +301,22 @@
         if (sent == desk->m_stopsSent.end() || sent->second != number)
             return;
         // A stop that is sent again says nothing new of the worker.
-        if (WorkerBook* book = desk->m_state.worker(worker); book && number == 1)
+        if (WorkerRecord* book = desk->m_state.worker(worker); book && number == 1)
             desk->m_health.noteStopOverdue(*book);
         desk->stopLater(attempt, worker, Millis(0));
     });
 }
 
 /// \returns The book of the worker if `life` is still the one that it speaks with, or null.
-WorkerBook* OrderDesk::bookOfLife(const std::string& worker, const WorkerSession* life) const
+WorkerRecord* OrderDesk::bookOfLife(const std::string& worker, const WorkerSession* incarnation) const
 {
-    WorkerBook* book = m_state.worker(worker);
-    return book && book->session.get() == life ? book : nullptr;
+    WorkerRecord* book = m_state.worker(worker);
+    return book && book->session.get() == incarnation ? book : nullptr;
 }
 
-void OrderDesk::stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result)
+void OrderDesk::stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* incarnation, const OrderResult& result)
 {
-    WorkerBook* book = bookOfLife(worker, life);
+    WorkerRecord* book = bookOfLife(worker, incarnation);
     if (!book) {
         // A former life may have taken it, which says nothing of the new one.
         stopLater(attempt, worker, stopRetry);
@@ -355,8 +355,8 @@
         const auto desk = self.lock();
         if (!desk || desk->m_closed)
             return;
-        const WorkerBook* again = desk->m_state.worker(worker);
-        if (!again || !again->bookings.contains(attempt)) {
+        const WorkerRecord* again = desk->m_state.worker(worker);
+        if (!again || !again->reservations.contains(attempt)) {
             desk->m_stopsSent.erase(attempt);
             return;
         }
@@ -412,21 +412,21 @@
         finish(job);
 }
 
-void OrderDesk::throttle(WorkerBook& worker, std::uint32_t percent)
+void OrderDesk::throttle(WorkerRecord& worker, std::uint32_t percent)
 {
-    for (const auto& [attempt, booking] : worker.bookings) {
+    for (const auto& [attempt, booking] : worker.reservations) {
         if (!booking.step->bestEffort || booking.throttledTo == percent || !m_state.options.ownership->isHeld())
             continue;
-        worker.bookings.noteThrottled(attempt, percent);
+        worker.reservations.noteThrottled(attempt, percent);
         m_state.options.log->decision("task-throttle", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "percent", std::int64_t { percent } } });
-        m_state.options.workers->throttle(worker.session->life(), attempt, percent, m_state.ownership.epoch,
+        m_state.options.workers->throttle(worker.session->incarnation(), attempt, percent, m_state.ownership.epoch,
             [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const OrderResult& result) {
                 const auto desk = self.lock();
                 if (!desk || desk->m_closed || result.outcome == OrderOutcome::Done)
                     return;
                 // Told again with the next report.
-                if (WorkerBook* book = desk->m_state.worker(id))
-                    book->bookings.noteThrottled(attempt, 100);
+                if (WorkerRecord* book = desk->m_state.worker(id))
+                    book->reservations.noteThrottled(attempt, 100);
             });
     }
 }
--- a/src/jobs/owner/order_desk.h
+++ b/src/jobs/owner/order_desk.h
@@ -20,7 +20,7 @@
 
     /// \brief Books and sends a start. That of a suspect is sent once it is stored. \returns False if no order may be given now.
     /// \param isBesideSuspect Another member of its gang is a suspect: all are sent together.
-    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool isBesideSuspect = false);
+    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerRecord& worker, const std::string& ticket, bool isBesideSuspect = false);
 
     /// \brief Sends a stop; it is repeated until the attempt is over.
     void stop(const Attempt& attempt, const std::string& worker);
@@ -37,7 +37,7 @@
     /// \brief The worker has answered: sends the recorded starts that wait for that.
     void noteAnswer(const std::string& worker);
 
-    void throttle(WorkerBook& worker, std::uint32_t percent);
+    void throttle(WorkerRecord& worker, std::uint32_t percent);
 
     /// \brief Takes an attempt out of the worker's books and drops it from its job, if it is
     /// the live one. \param retryAt When the task may start again.
@@ -50,25 +50,25 @@
     /// A start that is stored.
     struct RecordedStart {
         Attempt attempt;
-        std::weak_ptr<WorkerSession> life;
+        std::weak_ptr<WorkerSession> incarnation;
         std::string ticket;
     };
 
-    void recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
-    void sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const std::string& ticket);
+    void recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
+    void sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* incarnation, const std::string& ticket);
     [[nodiscard]] bool needsVerifiedWorker(const Attempt& attempt) const;
-    void sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
+    void sendOnAnswer(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
     void withdrawRecorded(const Attempt& attempt, const std::string& worker);
-    void send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
-    void started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result);
+    void send(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
+    void started(const Attempt& attempt, const std::string& worker, const WorkerSession* incarnation, const OrderResult& result);
     void refused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
     void stopLater(const Attempt& attempt, const std::string& worker, Millis pause);
     void watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes);
     void watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number);
     [[nodiscard]] const LiveAttempt* findLive(const Attempt& attempt, const std::string& worker) const;
-    [[nodiscard]] WorkerBook* bookOfLife(const std::string& worker, const WorkerSession* life) const;
+    [[nodiscard]] WorkerRecord* bookOfLife(const std::string& worker, const WorkerSession* incarnation) const;
     [[nodiscard]] bool mayStopNow(const Attempt& attempt) const;
-    void stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result);
+    void stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* incarnation, const OrderResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -1,7 +1,7 @@
 #include "owner_state.h"
 
 #include "lanemoor/jobs/owner/hall_evacuations.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "lanemoor/jobs/policy/placement.h"
 #include "lanemoor/jobs/store/store_mirror.h"
 
@@ -55,7 +55,7 @@
     waitingJobs.add(std::move(waiting), now);
     job.waitsInGroup = true;
     inheritedInGroups += job.inherited ? 1 : 0;
-    walked.erase(job.state.id());
+    individualJobs.erase(job.state.id());
     return true;
 }
 
@@ -65,8 +65,8 @@
         return;
     waitingJobs.remove(job);
     inheritedInGroups -= job.inherited ? 1 : 0;
-    job.quietSince.reset();
-    walked.emplace(job.state.id(), &job);
+    job.blockedAtChange.reset();
+    individualJobs.emplace(job.state.id(), &job);
 }
 
 void OwnerState::endInheritedWaits()
@@ -99,7 +99,7 @@
     return found == jobs.end() ? nullptr : &found->second;
 }
 
-WorkerBook* OwnerState::worker(const std::string& id)
+WorkerRecord* OwnerState::worker(const std::string& id)
 {
     const auto found = workers.find(id);
     return found == workers.end() ? nullptr : &found->second;
@@ -113,14 +113,14 @@
     return isLive ? task : nullptr;
 }
 
-bool OwnerState::knowsCancels() const
+bool OwnerState::areCancelsCurrent() const
 {
-    return now() - options.mirror->freshAt() < oldestCopyOfStarts;
+    return now() - options.mirror->freshAt() < maxReplicaAgeForStarts;
 }
 
 bool OwnerState::mayStart(const OwnerJob& job) const
 {
-    if (!options.ownership->isHeld() || !options.evacuations->isConfirmed() || !knowsCancels())
+    if (!options.ownership->isHeld() || !options.evacuations->isConfirmed() || !areCancelsCurrent())
         return false;
     return !job.account || !options.isConfigurationCurrent || options.isConfigurationCurrent();
 }
@@ -131,14 +131,14 @@
     return queue ? queue->pool : job.record().pool;
 }
 
-std::uint32_t OwnerState::wantedLevelOf(const WorkerEntry& worker) const
+std::uint32_t OwnerState::labelDemandOf(const WorkerEntry& worker) const
 {
     std::uint32_t level = 0;
-    if (wanted.empty())
+    if (labelDemand.empty())
         return level;
     for (const std::string& label : worker.labels) {
-        const auto found = wanted.find({ worker.pool, label });
-        level = found == wanted.end() ? level : std::max(level, found->second);
+        const auto found = labelDemand.find({ worker.pool, label });
+        level = found == labelDemand.end() ? level : std::max(level, found->second);
     }
     return level;
 }
@@ -169,12 +169,12 @@
 {
     const PlacementOptions& weights = options.placement;
     const JobSpec& spec = job.state.record().spec;
-    const bool lasts = std::any_of(spec.steps.begin(), spec.steps.end(), [](const StepSpec& step) { return step.longRunning; });
-    if (!weights.hopelessLast || job.state.status() != JobStatus::Queued || spec.occurrences > 0 || lasts)
+    const bool hasLongRunningStep = std::any_of(spec.steps.begin(), spec.steps.end(), [](const StepSpec& step) { return step.longRunning; });
+    if (!weights.hopelessLast || job.state.status() != JobStatus::Queued || spec.occurrences > 0 || hasLongRunningStep)
         return MonotonicInstant::max();
-    constexpr MonotonicInstant::duration leastLate { 1 };
+    constexpr MonotonicInstant::duration minLateness { 1 };
     const double share = weights.hopelessShare * forecast.ratio(job.state.record().queue);
-    return job.objective - std::chrono::duration_cast<Millis>(job.chain * share) + leastLate;
+    return job.objective - std::chrono::duration_cast<Millis>(job.chain * share) + minLateness;
 }
 
 MonotonicInstant OwnerState::expectedEnd(const OwnerJob& job, const TaskId& task) const
@@ -184,22 +184,22 @@
 
 bool OwnerState::mayHaveCrashedBefore(const OwnerJob& job, const TaskId& task) const
 {
-    if (!job.openBefore.contains({ task.occurrence, task.step }) || !job.state.isUnseen(task))
+    if (!job.possiblyStartedBefore.contains({ task.occurrence, task.step }) || !job.state.isUnseen(task))
         return false;
     // The queue may have changed its pool since.
-    return inheritedLosses.concernTask(job.state.id(), task) || inheritedLosses.concernPool(poolOf(job.state)) || inheritedLosses.concernPool(job.state.record().pool);
+    return inheritedFailures.includesTask(job.state.id(), task) || inheritedFailures.includesPool(poolOf(job.state)) || inheritedFailures.includesPool(job.state.record().pool);
 }
 
-bool OwnerState::beginProbation(OwnerJob& job, const Attempt& attempt, const WorkerBook& worker)
+bool OwnerState::beginProbation(OwnerJob& job, const Attempt& attempt, const WorkerRecord& worker)
 {
-    if (!job.state.beginProbation(attempt, worker.session->life().startedAt))
+    if (!job.state.beginProbation(attempt, worker.session->incarnation().startedAt))
         return false;
     probations[worker.entry.id].insert({ attempt.job, attempt.task });
     store(attempt.job);
     return true;
 }
 
-std::uint32_t OwnerState::mostAttemptsOf(const JobState& job) const
+std::uint32_t OwnerState::maxAttemptsOf(const JobState& job) const
 {
     const QueueSettings* queue = configuration()->queue(job.record().queue);
     return queue ? std::max(queue->mostAttempts, 1U) : attemptsWithoutQueue;
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -2,13 +2,13 @@
 /// \file
 /// State of a shard's owner during one term of ownership.
 
-#include "inherited_losses.h"
+#include "inherited_failures.h"
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/fleet_control.h"
 #include "lanemoor/jobs/model/job_state.h"
 #include "lanemoor/jobs/model/response_time.h"
 #include "lanemoor/jobs/owner/job_scheduler.h"
-#include "lanemoor/jobs/owner/worker_book.h"
+#include "lanemoor/jobs/owner/worker_record.h"
 #include "lanemoor/jobs/policy/failure_domains.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
 #include "lanemoor/jobs/policy/organisation_share.h"
@@ -30,12 +30,12 @@
 struct OwnerJob {
     JobState state;
     bool inherited = false; ///< Submitted before this term: its tasks may run on workers that have not been asked yet.
-    std::set<StepId> openBefore; ///< Steps with tasks that a previous owner may have started without a record.
+    std::set<StepId> possiblyStartedBefore; ///< Steps with tasks that a previous owner may have started without a record.
     MonotonicInstant objective; ///< When the job should have ended.
     Millis chain { 0 }; ///< Declared work time of the critical path of its steps.
     OrganisationAccount* account = nullptr; ///< Account of the submitting organisation; null: unknown.
     /// The job's change count when a pass found that none of its tasks can start until it changes; nothing: not evaluated since.
-    std::optional<std::uint64_t> quietSince;
+    std::optional<std::uint64_t> blockedAtChange;
     bool beyondRate = false; ///< Submitted beyond the rate of its organisation.
     bool waitsInGroup = false; ///< See OwnerState::beginWait.
 };
@@ -49,19 +49,19 @@
 };
 
 /// Max age of the owner's replica of the jobs for starts: an older replica may lack cancels that must have taken effect.
-constexpr Millis oldestCopyOfStarts { 2'000 };
+constexpr Millis maxReplicaAgeForStarts { 2'000 };
 
 /// \brief Jobs and workers of one term, shared by the components of the owner.
 struct OwnerState {
     const JobSchedulerOptions& options;
     Ownership ownership;
-    MonotonicInstant inheritedLeaseOverBy; ///< Leases granted by earlier owners have expired by then.
+    MonotonicInstant inheritedLeaseExpiresBy; ///< Leases granted by earlier owners have expired by then.
     OrganisationUse organisations; ///< Outlives the reservations, which point into it.
     std::map<std::string, OwnerJob> jobs;
-    std::map<std::string, OwnerJob*> walked; ///< Jobs that a pass evaluates one by one; the others wait in groups.
+    std::map<std::string, OwnerJob*> individualJobs; ///< Jobs that a pass evaluates one by one; the others wait in groups.
     WaitingJobs waitingJobs; ///< Waiting jobs in groups by organisation.
     ShareDeficits deficits { options.admission.deficitMemory };
-    std::map<std::string, WorkerBook> workers; ///< By worker id.
+    std::map<std::string, WorkerRecord> workers; ///< By worker id.
     std::unique_ptr<ProgressWriter> writer;
     LoadForecast forecast;
     HallLossDetector hallLosses;
@@ -75,10 +75,10 @@
     std::map<std::pair<std::string, StepId>, WaitingStep> waits; ///< By job and step.
     /// Tasks with starts on probation, by worker id; may include tasks whose probations are settled.
     std::map<std::string, std::set<std::pair<std::string, TaskId>>> probations;
-    InheritedLosses inheritedLosses;
+    InheritedFailures inheritedFailures;
     std::function<void()> requestPass; ///< Requests a placement pass.
     /// Opens a session with a worker's incarnation by its start time (Unix ms; 0: unknown).
-    std::function<void(WorkerBook& worker, std::int64_t startedAt)> beginSession;
+    std::function<void(WorkerRecord& worker, std::int64_t startedAt)> beginSession;
     std::size_t inheritedInGroups = 0; ///< Jobs of earlier terms that wait in groups.
     std::set<std::string> racks; ///< Of all listed instances, regardless of their pool.
     std::vector<InstanceShape> shapes; ///< Distinct shapes of the same instances.
@@ -87,10 +87,10 @@
     MonotonicInstant nextEvacuationAt; ///< Time of the next run of the evacuation.
     MonotonicInstant nextDisplacementAt; ///< Time of the next displacement at the earliest.
     std::map<std::string, PoolDemand> demands; ///< As of the last computation.
-    std::map<std::pair<std::string, std::string>, std::uint32_t> wanted; ///< Demand level by pool and label, for labels that tasks require.
+    std::map<std::pair<std::string, std::string>, std::uint32_t> labelDemand; ///< Demand level by pool and label, for labels that tasks require.
 
     /// \returns The highest demand level of the worker's labels in its pool.
-    [[nodiscard]] std::uint32_t wantedLevelOf(const WorkerEntry& worker) const;
+    [[nodiscard]] std::uint32_t labelDemandOf(const WorkerEntry& worker) const;
 
     /// \brief Applies the platform's list of instances.
     void noteInstances(const std::vector<FleetInstance>& instances);
@@ -113,7 +113,7 @@
     [[nodiscard]] std::optional<std::int64_t> instanceTimeOf(const StepSpec& step) const;
 
     [[nodiscard]] OwnerJob* job(const std::string& id);
-    [[nodiscard]] WorkerBook* worker(const std::string& id);
+    [[nodiscard]] WorkerRecord* worker(const std::string& id);
 
     /// \returns The task whose live attempt at the worker is `attempt`, or null.
     [[nodiscard]] const TaskState* liveTask(const Attempt& attempt, const std::string& worker);
@@ -125,7 +125,7 @@
     [[nodiscard]] std::string poolOf(const JobState& job) const;
 
     /// \returns The number of failures of one task after which the job fails.
-    [[nodiscard]] std::uint32_t mostAttemptsOf(const JobState& job) const;
+    [[nodiscard]] std::uint32_t maxAttemptsOf(const JobState& job) const;
 
     /// \returns Whether the job can't meet its objective any more, so that it is placed after the others.
     [[nodiscard]] bool isHopeless(const OwnerJob& job, MonotonicInstant now) const;
@@ -141,10 +141,10 @@
 
     /// \brief Puts a live attempt at a worker on probation, which is stored.
     /// \returns False if it is on probation already.
-    bool beginProbation(OwnerJob& job, const Attempt& attempt, const WorkerBook& worker);
+    bool beginProbation(OwnerJob& job, const Attempt& attempt, const WorkerRecord& worker);
 
     /// \returns Whether the replica of the jobs is recent enough to include all cancels that must have taken effect.
-    [[nodiscard]] bool knowsCancels() const;
+    [[nodiscard]] bool areCancelsCurrent() const;
 
     /// \returns Whether all that may forbid a start is recent enough: ownership, cancels, evacuations, and the quota of the
     /// job's organisation. To be checked when a start is sent, since the placement pass may have been delayed after its decision.
--- a/src/jobs/owner/ownership_keeper.cpp
+++ b/src/jobs/owner/ownership_manager.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/store/store_mirror.h"
@@ -14,17 +14,17 @@
 constexpr Millis leaseMargin { 100 };
 
 /// Between two revocations: a process that wrongly takes owners for crashed must not revoke one lease after another.
-constexpr Millis endLostPause { 10'000 };
+constexpr Millis revocationPause { 10'000 };
 
 /// \returns Whether `holder` is a previous process on the instance of `own`.
-bool isFormerLife(const std::string& holder, const std::string& own)
+bool isPreviousProcess(const std::string& holder, const std::string& own)
 {
     return holder != own && holder.substr(0, holder.rfind('-')) == own.substr(0, own.rfind('-'));
 }
 
 } // namespace
 
-class OwnershipKeeper::Impl : public std::enable_shared_from_this<OwnershipKeeper::Impl> {
+class OwnershipManager::Impl : public std::enable_shared_from_this<OwnershipManager::Impl> {
 public:
     Impl(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
         : m_loop(loop)
@@ -39,7 +39,7 @@
 
     void start()
     {
-        m_claimFrom = m_loop.now() + m_options.claimDelay;
+        m_nextClaimAt = m_loop.now() + m_options.claimDelay;
         compete();
     }
 
@@ -51,8 +51,8 @@
             later(&Impl::compete);
             return;
         }
-        if (m_loop.now() < m_claimFrom) {
-            m_loop.callAt(m_claimFrom, [self = weak_from_this()] {
+        if (m_loop.now() < m_nextClaimAt) {
+            m_loop.callAt(m_nextClaimAt, [self = weak_from_this()] {
                 if (const auto impl = self.lock())
                     impl->compete();
             });
@@ -86,13 +86,13 @@
         m_holderPeer = owner ? owner->peer : std::string();
         m_holderLease = owner ? item.lease : 0;
         // Both run on one instance, and this process started after the owner's process had exited.
-        if (owner && !m_held && isFormerLife(m_holder, m_options.holder))
-            endHolderLease();
+        if (owner && !m_held && isPreviousProcess(m_holder, m_options.holder))
+            revokeHolderLease();
         if (m_held && item.revision > m_ownership.epoch)
-            lose();
+            loseOwnership();
         if (!item.removed)
             return;
-        m_claimFrom = std::max(m_claimFrom, m_loop.now() + m_options.claimDelay);
+        m_nextClaimAt = std::max(m_nextClaimAt, m_loop.now() + m_options.claimDelay);
         compete();
     }
 
@@ -102,13 +102,13 @@
             sendRenewal();
     }
 
-    void endLost(const std::string& peer)
+    void revokeCrashedOwner(const std::string& peer)
     {
         const MonotonicInstant now = m_loop.now();
-        if (m_held || m_holderPeer != peer || peer.empty() || now < m_endLostFrom)
+        if (m_held || m_holderPeer != peer || peer.empty() || now < m_nextRevocationAt)
             return;
-        m_endLostFrom = now + endLostPause;
-        endHolderLease();
+        m_nextRevocationAt = now + revocationPause;
+        revokeHolderLease();
     }
 
     void release(const std::function<void()>& done)
@@ -122,7 +122,7 @@
         m_store.endLease(m_lease, [self = shared_from_this(), done](const LeaseResult&) { done(); });
     }
 
-    void lose()
+    void loseOwnership()
     {
         if (!m_held)
             return;
@@ -135,8 +135,8 @@
 
     void resign(Millis pause)
     {
-        m_claimFrom = m_loop.now() + pause;
-        lose();
+        m_nextClaimAt = m_loop.now() + pause;
+        loseOwnership();
     }
 
     [[nodiscard]] bool isHeld() const { return m_held && m_loop.now() < m_validUntil; }
@@ -149,12 +149,12 @@
     [[nodiscard]] bool isOwned() const { return m_held || m_mirror.revisionOf(m_ownerKey) != 0; }
 
 private:
-    void endHolderLease()
+    void revokeHolderLease()
     {
         if (m_holderLease == 0)
             return;
-        if (m_observer.endsLost)
-            m_observer.endsLost(m_holder);
+        if (m_observer.revokingLease)
+            m_observer.revokingLease(m_holder);
         m_store.endLease(std::exchange(m_holderLease, 0), [](const LeaseResult&) {});
     }
 
@@ -254,7 +254,7 @@
             if (!self->m_held || self->m_ownership.epoch != epoch)
                 return;
             if (result.outcome == StoreOutcome::NotFound) {
-                self->lose();
+                self->loseOwnership();
                 return;
             }
             if (result.outcome == StoreOutcome::Done)
@@ -294,11 +294,11 @@
     std::string m_holder; ///< As read from the store.
     std::string m_holderPeer; ///< Address of this holder for peers.
     std::uint64_t m_holderLease = 0; ///< Lease of the holder's key; 0: unknown, or already revoked by this process.
-    MonotonicInstant m_endLostFrom; ///< Time of the next revocation at the earliest.
+    MonotonicInstant m_nextRevocationAt; ///< Time of the next revocation at the earliest.
     std::uint64_t m_claimedTerm = 0;
     Ownership m_ownership;
     MonotonicInstant m_validUntil;
-    MonotonicInstant m_claimFrom;
+    MonotonicInstant m_nextClaimAt;
     MonotonicInstant m_heldSince;
 };
 
@@ -307,84 +307,84 @@
     return instance + '-' + std::to_string(startedAt.time_since_epoch().count());
 }
 
-OwnershipKeeper::OwnershipKeeper(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
+OwnershipManager::OwnershipManager(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
     : m_impl(std::make_shared<Impl>(loop, store, mirror, std::move(options), std::move(observer)))
 {
 }
 
-OwnershipKeeper::~OwnershipKeeper() = default;
+OwnershipManager::~OwnershipManager() = default;
 
-void OwnershipKeeper::start()
+void OwnershipManager::start()
 {
     m_impl->start();
 }
 
-void OwnershipKeeper::renewNow()
+void OwnershipManager::renewNow()
 {
     m_impl->renewNow();
 }
 
-void OwnershipKeeper::observe(const StoreItem& item)
+void OwnershipManager::observe(const StoreItem& item)
 {
     m_impl->observe(item);
 }
 
-void OwnershipKeeper::release(const std::function<void()>& done)
+void OwnershipManager::release(const std::function<void()>& done)
 {
     m_impl->release(done);
 }
 
-void OwnershipKeeper::endLost(const std::string& peer)
+void OwnershipManager::revokeCrashedOwner(const std::string& peer)
 {
-    m_impl->endLost(peer);
+    m_impl->revokeCrashedOwner(peer);
 }
 
-void OwnershipKeeper::noteSuperseded()
+void OwnershipManager::noteSuperseded()
 {
-    m_impl->lose();
+    m_impl->loseOwnership();
 }
 
-void OwnershipKeeper::resign(Millis pause)
+void OwnershipManager::resign(Millis pause)
 {
     m_impl->resign(pause);
 }
 
-bool OwnershipKeeper::isHeld() const noexcept
+bool OwnershipManager::isHeld() const noexcept
 {
     return m_impl->isHeld();
 }
 
-MonotonicInstant OwnershipKeeper::heldSince() const noexcept
+MonotonicInstant OwnershipManager::heldSince() const noexcept
 {
     return m_impl->heldSince();
 }
 
-const Ownership& OwnershipKeeper::ownership() const noexcept
+const Ownership& OwnershipManager::ownership() const noexcept
 {
     return m_impl->ownership();
 }
 
-KeyRevision OwnershipKeeper::condition() const
+KeyRevision OwnershipManager::condition() const
 {
     return m_impl->condition();
 }
 
-std::string OwnershipKeeper::holder() const
+std::string OwnershipManager::holder() const
 {
     return m_impl->holder();
 }
 
-std::string OwnershipKeeper::holderPeer() const
+std::string OwnershipManager::holderPeer() const
 {
     return m_impl->holderPeer();
 }
 
-std::uint64_t OwnershipKeeper::lastTerm() const noexcept
+std::uint64_t OwnershipManager::lastTerm() const noexcept
 {
     return m_impl->lastTerm();
 }
 
-bool OwnershipKeeper::isOwned() const noexcept
+bool OwnershipManager::isOwned() const noexcept
 {
     return m_impl->isOwned();
 }
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -41,7 +41,7 @@
     if (!settled)
         m_state.endInheritedWaits();
     m_state.waitingJobs.age(m_now);
-    for (auto next = m_state.walked.begin(); next != m_state.walked.end();) {
+    for (auto next = m_state.individualJobs.begin(); next != m_state.individualJobs.end();) {
         OwnerJob& job = *(next++)->second;
         if (isFinal(job.state.status()))
             continue;
@@ -50,7 +50,7 @@
             continue;
         }
         // Most jobs run: a pass looks at those of which something ended, or that wait.
-        if (job.quietSince == job.state.changes())
+        if (job.blockedAtChange == job.state.changes())
             continue;
         openDue(job);
         if (m_state.beginWait(job, m_now))
@@ -102,10 +102,10 @@
 {
     std::map<const OrganisationAccount*, Resources> used;
     PoolRoom room;
-    for (const WorkerBook* book : sites.books) {
-        if (book->isOpen(m_now) || !book->bookings.empty())
+    for (const WorkerRecord* book : sites.books) {
+        if (book->isOpen(m_now) || !book->reservations.empty())
             room.capacity += book->entry.capacity;
-        for (const auto& [account, resources] : book->bookings.usedByAccount())
+        for (const auto& [account, resources] : book->reservations.usedByAccount())
             used[account] += resources;
     }
     for (const auto& [account, resources] : used)
@@ -162,9 +162,9 @@
             { .priority = queue ? queue->priority : 0, .hopeless = *hopeless, .beyondRate = job.beyondRate && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks) });
     }
     if (!hopeless && !startsByTime)
-        job.quietSince = job.state.changes();
+        job.blockedAtChange = job.state.changes();
     else
-        job.quietSince.reset();
+        job.blockedAtChange.reset();
 }
 
 /// Its tasks may run at workers that nobody has asked yet; until then the quota counts them all.
@@ -209,10 +209,10 @@
         return sites;
     std::vector<PlacementSite> list;
     list.reserve(sites.books.size());
-    for (const WorkerBook* book : sites.books) {
+    for (const WorkerRecord* book : sites.books) {
         list.push_back(book->site(m_now));
         sites.livenessChecks += m_now < book->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.wantedLevelOf(book->entry);
+        list.back().wanted = m_state.labelDemandOf(book->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
@@ -248,7 +248,7 @@
     static const std::map<std::string, std::string> none;
     if (candidate.queue && candidate.queue->advice) {
         std::vector<std::string> workers;
-        for (const WorkerBook* book : sites.books) {
+        for (const WorkerRecord* book : sites.books) {
             if (book->isOpen(m_now))
                 workers.push_back(book->entry.id);
         }
@@ -272,7 +272,7 @@
     return query;
 }
 
-std::string PlacementPass::ticketFor(const WorkerBook& book) const
+std::string PlacementPass::ticketFor(const WorkerRecord& book) const
 {
     if (!m_tickets)
         return {};
@@ -336,7 +336,7 @@
             noteWait(candidate, sites, query, candidate.tasks.size() - i);
             return;
         }
-        WorkerBook& book = *sites.books[*site];
+        WorkerRecord& book = *sites.books[*site];
         if (!m_orders.start(*candidate.job, task, candidate.job->state.nextAttempt(task), book, ticketFor(book)))
             continue;
         bookAt(sites, *site, step, query);
@@ -351,7 +351,7 @@
 {
     std::map<std::string, std::uint32_t> tasks;
     for (const TaskState& task : candidate.job->state.steps().at(candidate.step).tasks) {
-        const WorkerBook* book = task.live ? m_state.worker(task.live->worker) : nullptr;
+        const WorkerRecord* book = task.live ? m_state.worker(task.live->worker) : nullptr;
         if (book && book->isHallOpen())
             ++tasks[book->entry.dataHall];
     }
@@ -369,12 +369,12 @@
 }
 
 /// \returns The query, narrowed to sites that `admits` lets in and at which the outcome of a suspect's start will be known.
-PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const
+PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const
 {
     PlacementQuery narrow = query;
     const bool mustBeEstablished = query.suspicion >= crashesToIsolate;
     narrow.admits = [this, &sites, mustBeEstablished, mayTake = query.admits, admits = std::move(admits)](std::size_t index) {
-        const WorkerBook& book = *sites.books[index];
+        const WorkerRecord& book = *sites.books[index];
         return (!mustBeEstablished || book.isEstablished(m_now)) && admits(book) && (!mayTake || mayTake(index));
     };
     return narrow;
@@ -383,19 +383,19 @@
 /// A suspect that is sent to a worker which is gone already would be blamed for its crash.
 std::optional<std::size_t> PlacementPass::chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const
 {
-    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& book) { return book.isProbablyUp(m_now); }));
+    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerRecord& book) { return book.isProbablyUp(m_now); }));
 }
 
 /// Asks a few workers for an answer: the suspect starts in the pass that follows the first one.
 void PlacementPass::checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
     ++sites.waitingSuspects;
-    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& book) { return m_now >= book.nextLivenessCheckAt; });
+    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerRecord& book) { return m_now >= book.nextLivenessCheckAt; });
     while (sites.livenessChecks < livenessChecksPerSuspect * sites.waitingSuspects) {
         const std::optional<std::size_t> site = sites.placer->choose(step, unasked);
         if (!site)
             return;
-        WorkerBook& book = *sites.books[*site];
+        WorkerRecord& book = *sites.books[*site];
         book.checkLiveness(m_now, m_state.responses.overdueAfter());
         wakeAt(book.livenessCheckDueAt);
         ++sites.livenessChecks;
@@ -473,7 +473,7 @@
         return;
     if (step.sameRack) {
         std::vector<std::string> racks;
-        for (const WorkerBook* book : sites.books)
+        for (const WorkerRecord* book : sites.books)
             racks.push_back(book->entry.rack);
         std::sort(racks.begin(), racks.end());
         racks.erase(std::unique(racks.begin(), racks.end()), racks.end());
@@ -520,7 +520,7 @@
     }
     const std::uint64_t number = job.nextAttempt(candidate.tasks.front());
     for (std::size_t i = 0; i < chosen.size(); ++i) {
-        WorkerBook& book = *sites.books[chosen[i]];
+        WorkerRecord& book = *sites.books[chosen[i]];
         m_orders.start(*candidate.job, candidate.tasks[i], number, book, ticketFor(book), hasSuspect);
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -33,7 +33,7 @@
     using Candidate = PlacementCandidate;
 
     struct PoolSites {
-        std::vector<WorkerBook*> books;
+        std::vector<WorkerRecord*> books;
         std::optional<Placer> placer;
         std::size_t livenessChecks = 0; ///< Whose answer is not overdue.
         std::size_t waitingSuspects = 0; ///< In this pass.
@@ -59,11 +59,11 @@
     [[nodiscard]] bool mayGoFar(const Candidate& candidate);
     [[nodiscard]] PlacementQuery queryFor(const Candidate& candidate, const PoolSites& sites) const;
     [[nodiscard]] std::map<std::string, std::uint32_t> tasksByHall(const Candidate& candidate) const;
-    [[nodiscard]] std::string ticketFor(const WorkerBook& book) const;
+    [[nodiscard]] std::string ticketFor(const WorkerRecord& book) const;
     [[nodiscard]] std::uint32_t suspicionOf(const Candidate& candidate, const TaskId& task) const;
     [[nodiscard]] std::optional<std::size_t> choose(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
     [[nodiscard]] std::optional<std::size_t> chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const;
-    [[nodiscard]] PlacementQuery narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const;
+    [[nodiscard]] PlacementQuery narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const;
     void checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
     static void bookAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query);
     void wakeAt(MonotonicInstant when);
