--- a/src/jobs/owner/report_reader.cpp
+++ b/src/jobs/owner/report_reader.cpp
@@ -31,16 +31,16 @@
 {
 }
 
-void ReportReader::onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void ReportReader::onRenewalAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
     const WorkMeter::Piece piece(m_state.options.meter, WorkKind::Reports);
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
-    if (!worker->met) {
-        worker->met = true;
+    if (!worker->hasReported) {
+        worker->hasReported = true;
         m_state.options.log->decision("worker-met",
-            { { "worker", session.life().id }, { "running", static_cast<std::int64_t>(result.running.size()) }, { "ended", static_cast<std::int64_t>(result.ended.size()) } });
+            { { "worker", session.incarnation().id }, { "running", static_cast<std::int64_t>(result.running.size()) }, { "ended", static_cast<std::int64_t>(result.ended.size()) } });
     }
     readEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running)
@@ -54,7 +54,7 @@
 }
 
 /// The worker may forget its ends once they are stored.
-void ReportReader::readEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
+void ReportReader::readEnds(WorkerRecord& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
 {
     std::uint64_t last = 0;
     for (const EndedAttempt& ended : ends) {
@@ -70,9 +70,9 @@
     });
 }
 
-void ReportReader::readEnded(WorkerBook& worker, const EndedAttempt& ended)
+void ReportReader::readEnded(WorkerRecord& worker, const EndedAttempt& ended)
 {
-    worker.bookings.erase(ended.attempt);
+    worker.reservations.erase(ended.attempt);
     worker.starts.noteSettled(ended.attempt);
     OwnerJob* job = m_state.job(ended.attempt.job);
     if (!job)
@@ -86,7 +86,7 @@
     m_state.endWait(*job);
     // Whatever the end, the worker has lived to tell it.
     m_crashes.noteSurvived(worker, *job, ended.attempt);
-    const EndEffect effect = job->state.end(ended, worker.entry.id, m_state.mostAttemptsOf(job->state), m_state.now());
+    const EndEffect effect = job->state.end(ended, worker.entry.id, m_state.maxAttemptsOf(job->state), m_state.now());
     m_state.options.log->decision("task-end",
         { { "attempt", nameOf(ended.attempt) }, { "worker", worker.entry.id }, { "end", std::string(nameOf(ended.end)) }, { "counted", std::int64_t { effect.counted } } });
     m_counts.successes += effect.counted && ended.end == AttemptEnd::Succeeded ? 1 : 0;
@@ -102,7 +102,7 @@
         m_desk.finish(*job);
 }
 
-void ReportReader::readRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock)
+void ReportReader::readRunning(WorkerRecord& worker, const RunningAttempt& report, std::int64_t workerClock)
 {
     OwnerJob* job = m_state.job(report.attempt.job);
     const TaskState* task = job ? job->state.find(report.attempt.task) : nullptr;
@@ -114,7 +114,7 @@
     }
     if (task && job->state.adopt(report.attempt, worker.entry.id, m_state.now())) {
         m_state.endWait(*job);
-        worker.bookings.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
+        worker.reservations.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
         job->state.noteReport(report, m_state.now());
         m_state.options.log->decision("task-adopted", { { "attempt", nameOf(report.attempt) }, { "worker", worker.entry.id } });
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
@@ -139,9 +139,9 @@
 
 /// Reads ends, which stand whatever the order of the answers, and settles starts and stops whose outcome is unknown. The list of what
 /// runs may be older than one that was read before.
-void ReportReader::onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void ReportReader::onProbeAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     readEnds(*worker, session, result.ended);
@@ -157,7 +157,7 @@
             || std::any_of(result.ended.begin(), result.ended.end(), [&](const EndedAttempt& ended) { return ended.attempt == attempt; });
     };
     std::vector<Attempt> missing;
-    for (const auto& [attempt, booking] : worker->bookings) {
+    for (const auto& [attempt, booking] : worker->reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker->entry.id);
         const bool isOpen = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
         if (isOpen && !isListed(attempt))
@@ -171,7 +171,7 @@
 
 /// \returns What an attempt takes at its worker until it is over, also if its job was over before this
 /// term; all of the worker, if nobody knows the job any more.
-std::shared_ptr<const StepSpec> ReportReader::specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const
+std::shared_ptr<const StepSpec> ReportReader::specOf(const WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job) const
 {
     const CatalogEntry* entry = m_state.options.catalog->find(attempt.job);
     const std::vector<StepSpec>* steps = nullptr;
@@ -194,10 +194,10 @@
 }
 
 /// Nobody wants the attempt: its job is over, or its task runs elsewhere.
-void ReportReader::stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job)
+void ReportReader::stopStray(WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job)
 {
-    if (!worker.bookings.contains(attempt))
-        worker.bookings.put(attempt, { .step = specOf(worker, attempt, job), .account = accountOf(attempt, job) });
+    if (!worker.reservations.contains(attempt))
+        worker.reservations.put(attempt, { .step = specOf(worker, attempt, job), .account = accountOf(attempt, job) });
     MonotonicInstant& stopAgainAt = worker.strayStops[attempt];
     if (m_state.now() < stopAgainAt)
         return;
@@ -205,10 +205,10 @@
     m_desk.stop(attempt, worker.entry.id);
 }
 
-void ReportReader::settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt)
+void ReportReader::settleMissing(WorkerRecord& worker, const RenewResult& result, MonotonicInstant sentAt)
 {
     std::vector<Attempt> missing;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    for (const auto& [attempt, booking] : worker.reservations) {
         const auto isThis = [&wanted = attempt](const RunningAttempt& running) { return running.attempt == wanted; };
         if (std::none_of(result.running.begin(), result.running.end(), isThis))
             missing.push_back(attempt);
@@ -217,11 +217,11 @@
         settleMissing(worker, attempt, result.workerClock, sentAt);
 }
 
-void ReportReader::settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
+void ReportReader::settleMissing(WorkerRecord& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
 {
     const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
     if (!task) {
-        worker.bookings.erase(attempt);
+        worker.reservations.erase(attempt);
         worker.starts.noteSettled(attempt);
         return;
     }
@@ -256,11 +256,11 @@
     m_desk.release(attempt, worker.entry.id, m_state.now());
 }
 
-void ReportReader::findStuck(WorkerBook& worker)
+void ReportReader::findStuck(WorkerRecord& worker)
 {
     const MonotonicInstant now = m_state.now();
     std::vector<Attempt> stuck;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    for (const auto& [attempt, booking] : worker.reservations) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         if (!task || !task->live || task->live->phase != AttemptPhase::Running || booking.step->bestEffort)
@@ -282,13 +282,13 @@
     }
 }
 
-void ReportReader::adjustThrottle(WorkerBook& worker, const RenewResult& result)
+void ReportReader::adjustThrottle(WorkerRecord& worker, const RenewResult& result)
 {
     double worst = 0;
     bool mixed = false;
     for (const RunningAttempt& running : result.running) {
-        const auto booked = worker.bookings.find(running.attempt);
-        if (booked == worker.bookings.end())
+        const auto booked = worker.reservations.find(running.attempt);
+        if (booked == worker.reservations.end())
             continue;
         const Millis target = booked->second.step->latencyTarget;
         if (target.count() > 0)
@@ -299,9 +299,9 @@
         m_desk.throttle(worker, worker.throttle.update(worst, m_state.now()));
 }
 
-void ReportReader::onHeard(WorkerSession& session)
+void ReportReader::onAlive(WorkerSession& session)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     worker->hallLost = !m_state.hallLosses.noteAnswer(worker->entry.dataHall, worker->entry.id, m_state.now());
@@ -312,43 +312,43 @@
     m_crashes.noteAnswer(*worker);
 }
 
-void ReportReader::onOverdue(WorkerSession& session)
+void ReportReader::onProbeOverdue(WorkerSession& session)
 {
-    if (WorkerBook* worker = m_state.worker(session.life().id)) {
+    if (WorkerRecord* worker = m_state.worker(session.incarnation().id)) {
         m_health.noteProbeOverdue(*worker);
         m_crashes.noteOverdue(*worker);
     }
 }
 
-void ReportReader::onSilence(WorkerSession& session)
+void ReportReader::onUnresponsive(WorkerSession& session)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     m_crashes.noteSilence(*worker);
     noteHallStop(*worker, false);
-    m_state.options.log->decision("worker-silent", { { "worker", session.life().id }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
+    m_state.options.log->decision("worker-silent", { { "worker", session.incarnation().id }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
 }
 
-void ReportReader::onOver(WorkerSession& session, bool lifeOver)
+void ReportReader::onEnded(WorkerSession& session, bool isIncarnationOver)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     m_state.options.log->decision("worker-over",
-        { { "worker", session.life().id }, { "life_over", std::int64_t { lifeOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
-    lose(*worker, {}, lifeOver);
-    if (lifeOver) {
+        { { "worker", session.incarnation().id }, { "life_over", std::int64_t { isIncarnationOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
+    lose(*worker, {}, isIncarnationOver);
+    if (isIncarnationOver) {
         noteHallStop(*worker, true);
-        m_state.options.workers->forget(session.life());
+        m_state.options.workers->forget(session.incarnation());
     }
     m_state.requestPass();
 }
 
 /// What was planned says nothing of the data hall; of a move without an answer only the silence is heard.
-void ReportReader::noteHallStop(const WorkerBook& worker, bool hasEnded)
+void ReportReader::noteHallStop(const WorkerRecord& worker, bool hasEnded)
 {
-    if (worker.endOrdered || worker.entry.draining || worker.evacuating)
+    if (worker.isEndOrdered || worker.entry.draining || worker.evacuating)
         m_state.hallLosses.noteGone(worker.entry.id);
     else
         m_state.hallLosses.noteStop(worker.entry.id, hasEnded, m_state.now());
@@ -356,21 +356,21 @@
 
 /// Nothing runs at the worker any more.
 /// \param open Attempts whose start may still reach a new incarnation: these stay booked, outcome unknown.
-/// \param lifeOver False: only the lease has expired.
-void ReportReader::lose(WorkerBook& worker, const std::set<Attempt>& open, bool lifeOver)
+/// \param isIncarnationOver False: only the lease has expired.
+void ReportReader::lose(WorkerRecord& worker, const std::set<Attempt>& open, bool isIncarnationOver)
 {
     std::optional<Attempt> failed;
-    if (lifeOver)
-        failed = m_crashes.noteOver(worker);
+    if (isIncarnationOver)
+        failed = m_crashes.noteIncarnationEnd(worker);
     else
         m_crashes.noteLeaseExpired(worker);
-    Bookings::Map bookings = worker.bookings.takeAll();
-    for (auto& [attempt, booking] : bookings) {
+    Bookings::Map reservations = worker.reservations.takeAll();
+    for (auto& [attempt, booking] : reservations) {
         if (!open.contains(attempt)) {
             m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
             continue;
         }
-        worker.bookings.put(attempt, std::move(booking));
+        worker.reservations.put(attempt, std::move(booking));
         m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
     }
     if (failed)
@@ -378,18 +378,18 @@
 }
 
 /// The lease had expired before the incarnation is proved to be over.
-void ReportReader::settleExpired(WorkerBook& worker)
+void ReportReader::settleExpired(WorkerRecord& worker)
 {
-    if (const std::optional<Attempt> failed = m_crashes.noteOver(worker))
+    if (const std::optional<Attempt> failed = m_crashes.noteIncarnationEnd(worker))
         m_desk.giveUp(*m_state.job(failed->job), failed->task);
 }
 
 /// \returns Live attempts that no report of the worker has shown. An answer to their start does not tell which life gave it, and
 /// without one the start may be carried out later.
-std::set<Attempt> ReportReader::openOrders(const WorkerBook& worker) const
+std::set<Attempt> ReportReader::openOrders(const WorkerRecord& worker) const
 {
     std::set<Attempt> open;
-    for (const auto& [attempt, booking] : worker.bookings) {
+    for (const auto& [attempt, booking] : worker.reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
         if (task && !task->live->listed && task->live->phase != AttemptPhase::Recording)
             open.insert(attempt);
@@ -399,18 +399,18 @@
 
 void ReportReader::onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     const std::set<Attempt> open = openOrders(*worker);
     m_state.options.log->decision("worker-restarted",
-        { { "worker", session.life().id }, { "started_at", startedAt }, { "former_start", session.life().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) }, { "open_orders", static_cast<std::int64_t>(open.size()) } });
+        { { "worker", session.incarnation().id }, { "started_at", startedAt }, { "former_start", session.incarnation().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) }, { "open_orders", static_cast<std::int64_t>(open.size()) } });
     if (wasOver)
         settleExpired(*worker);
     else
         lose(*worker, open, true);
-    WorkerBook next { .entry = worker->entry, .knownSince = m_state.now(), .formerStarts = std::move(worker->formerStarts), .listed = worker->listed, .session = nullptr, .bookings = std::move(worker->bookings) };
-    next.formerStarts.insert(session.life().startedAt);
+    WorkerRecord next { .entry = worker->entry, .knownSince = m_state.now(), .previousStarts = std::move(worker->previousStarts), .listed = worker->listed, .session = nullptr, .reservations = std::move(worker->reservations) };
+    next.previousStarts.insert(session.incarnation().startedAt);
     noteHallStop(*worker, true);
     next.evacuating = worker->evacuating;
     next.evacuatingSince = worker->evacuatingSince;
@@ -421,7 +421,7 @@
 
 void ReportReader::onFenced(WorkerSession& session)
 {
-    m_state.options.log->change("fenced", { { "worker", session.life().id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) } });
+    m_state.options.log->change("fenced", { { "worker", session.incarnation().id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) } });
     m_state.options.ownership->noteSuperseded();
 }
 
--- a/src/jobs/owner/report_reader.h
+++ b/src/jobs/owner/report_reader.h
@@ -15,12 +15,12 @@
 public:
     ReportReader(OwnerState& state, HealthMonitor& health, OrderDesk& desk, SchedulerCounts& counts);
 
-    void onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
-    void onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
-    void onHeard(WorkerSession& session) override;
-    void onOverdue(WorkerSession& session) override;
-    void onSilence(WorkerSession& session) override;
-    void onOver(WorkerSession& session, bool lifeOver) override;
+    void onRenewalAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
+    void onProbeAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
+    void onAlive(WorkerSession& session) override;
+    void onProbeOverdue(WorkerSession& session) override;
+    void onUnresponsive(WorkerSession& session) override;
+    void onEnded(WorkerSession& session, bool isIncarnationOver) override;
     void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) override;
     void onFenced(WorkerSession& session) override;
 
@@ -28,21 +28,21 @@
     [[nodiscard]] CrashTracker& crashes() noexcept { return m_crashes; }
 
 private:
-    void readRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock);
-    void readEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends);
-    void readEnded(WorkerBook& worker, const EndedAttempt& ended);
-    [[nodiscard]] std::shared_ptr<const StepSpec> specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const;
+    void readRunning(WorkerRecord& worker, const RunningAttempt& report, std::int64_t workerClock);
+    void readEnds(WorkerRecord& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends);
+    void readEnded(WorkerRecord& worker, const EndedAttempt& ended);
+    [[nodiscard]] std::shared_ptr<const StepSpec> specOf(const WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job) const;
     [[nodiscard]] OrganisationAccount* accountOf(const Attempt& attempt, const OwnerJob* job) const;
-    void stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job);
-    void settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt);
-    void settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt);
+    void stopStray(WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job);
+    void settleMissing(WorkerRecord& worker, const RenewResult& result, MonotonicInstant sentAt);
+    void settleMissing(WorkerRecord& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt);
     void confirm(const RunningAttempt& report, std::int64_t workerClock);
-    void findStuck(WorkerBook& worker);
-    void lose(WorkerBook& worker, const std::set<Attempt>& open, bool lifeOver);
-    void noteHallStop(const WorkerBook& worker, bool hasEnded);
-    void settleExpired(WorkerBook& worker);
-    [[nodiscard]] std::set<Attempt> openOrders(const WorkerBook& worker) const;
-    void adjustThrottle(WorkerBook& worker, const RenewResult& result);
+    void findStuck(WorkerRecord& worker);
+    void lose(WorkerRecord& worker, const std::set<Attempt>& open, bool isIncarnationOver);
+    void noteHallStop(const WorkerRecord& worker, bool hasEnded);
+    void settleExpired(WorkerRecord& worker);
+    [[nodiscard]] std::set<Attempt> openOrders(const WorkerRecord& worker) const;
+    void adjustThrottle(WorkerRecord& worker, const RenewResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
--- a/src/jobs/owner/worker_directory.cpp
+++ b/src/jobs/owner/worker_directory.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 /// By the platform's bound, a worker's lease lasts at most 10 s; clocks may be slow by 2%.
-constexpr Millis keptAfterRemoval { 12'000 };
+constexpr Millis removedEntryRetention { 12'000 };
 
 /// Max time from the crash of a worker to the takeover by an owner without a record of it: one second until the worker counts as
 /// unresponsive, one until an owner without the store resigns, and some until its successor has read the store. Changes during a store
 /// outage are found at the takeover.
-constexpr Millis recentEnds { 12'000 };
+constexpr Millis recentEndWindow { 12'000 };
 
 } // namespace
 
@@ -25,10 +25,10 @@
     const auto found = m_entries.find(worker.id);
     if (found != m_entries.end() && found->second.listed && found->second.worker == worker)
         return false;
-    const bool isSameLife = found != m_entries.end() && found->second.worker.startedAt == worker.startedAt;
-    if (found != m_entries.end() && found->second.listed && !isSameLife)
+    const bool isSameIncarnation = found != m_entries.end() && found->second.worker.startedAt == worker.startedAt;
+    if (found != m_entries.end() && found->second.listed && !isSameIncarnation)
         noteEnd(found->second.worker);
-    const MonotonicInstant knownSince = isSameLife ? found->second.knownSince : m_loop.now();
+    const MonotonicInstant knownSince = isSameIncarnation ? found->second.knownSince : m_loop.now();
     m_entries[worker.id] = { .worker = worker, .knownSince = knownSince };
     if (m_observer)
         m_observer(worker.id);
@@ -56,7 +56,7 @@
 
 std::optional<std::set<std::string>> WorkerDirectory::poolsWithRecentEnds() const
 {
-    const MonotonicInstant from = m_loop.now() - recentEnds;
+    const MonotonicInstant from = m_loop.now() - recentEndWindow;
     if (m_observesSince > from)
         return std::nullopt;
     std::set<std::string> pools;
@@ -67,15 +67,15 @@
     return pools;
 }
 
-void WorkerDirectory::forgetRemoved()
+void WorkerDirectory::dropRemoved()
 {
     std::erase_if(m_entries, [](const auto& entry) { return !entry.second.listed; });
 }
 
-void WorkerDirectory::forgetOld()
+void WorkerDirectory::dropExpired()
 {
     const MonotonicInstant now = m_loop.now();
-    std::erase_if(m_entries, [&](const auto& entry) { return !entry.second.listed && now - entry.second.removedAt > keptAfterRemoval; });
+    std::erase_if(m_entries, [&](const auto& entry) { return !entry.second.listed && now - entry.second.removedAt > removedEntryRetention; });
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/worker_book.cpp
+++ b/src/jobs/owner/worker_record.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/owner/worker_book.h"
+#include "lanemoor/jobs/owner/worker_record.h"
 
 #include "lanemoor/jobs/model/fleet_control.h"
 #include "lanemoor/jobs/policy/crash_attribution.h"
@@ -17,63 +17,63 @@
 
 } // namespace
 
-Resources WorkerBook::free() const
+Resources WorkerRecord::free() const
 {
     Resources free = entry.capacity;
-    free -= bookings.used();
+    free -= reservations.used();
     return free;
 }
 
-std::uint32_t WorkerBook::tasksOf(const std::string& job, const StepId& step) const
+std::uint32_t WorkerRecord::tasksOf(const std::string& job, const StepId& step) const
 {
-    return static_cast<std::uint32_t>(std::count_if(bookings.begin(), bookings.end(), [&](const auto& booked) {
-        const Attempt& attempt = booked.first;
+    return static_cast<std::uint32_t>(std::count_if(reservations.begin(), reservations.end(), [&](const auto& reserved) {
+        const Attempt& attempt = reserved.first;
         return attempt.job == job && attempt.task.occurrence == step.occurrence && attempt.task.step == step.step;
     }));
 }
 
-bool WorkerBook::isEntryOfLife() const
+bool WorkerRecord::isEntryOfIncarnation() const
 {
-    const std::int64_t startedAt = session->life().startedAt;
+    const std::int64_t startedAt = session->incarnation().startedAt;
     return entry.startedAt == 0 || startedAt == 0 || entry.startedAt == startedAt;
 }
 
-bool WorkerBook::isOpen(MonotonicInstant now) const
+bool WorkerRecord::isOpen(MonotonicInstant now) const
 {
-    return listed && !entry.draining && !evacuating && isHallOpen() && session && session->isMet() && !session->isSilent() && !session->isLifeOver() && isEntryOfLife() && now >= noWorkBefore
+    return listed && !entry.draining && !evacuating && isHallOpen() && session && session->hasAnswered() && !session->isUnresponsive() && !session->isIncarnationOver() && isEntryOfIncarnation() && now >= closedUntil
         && !health.isEjected(now) && startsLeft(now) > 0;
 }
 
-std::uint32_t WorkerBook::startsLeft(MonotonicInstant now) const
+std::uint32_t WorkerRecord::startsLeft(MonotonicInstant now) const
 {
     const std::uint32_t left = starts.startsLeft(now);
     if (!health.isProbing(now))
         return left;
-    const bool isProbed = probingAttempt && bookings.contains(*probingAttempt);
+    const bool isProbed = probingAttempt && reservations.contains(*probingAttempt);
     return std::min(left, isProbed ? 0U : 1U);
 }
 
-MonotonicInstant WorkerBook::establishedAt() const
+MonotonicInstant WorkerRecord::establishedAt() const
 {
     return knownSince + fleetListLag + fleetListPause;
 }
 
-bool WorkerBook::isVerifiedUp(MonotonicInstant now) const
+bool WorkerRecord::isVerifiedUp(MonotonicInstant now) const
 {
     return session->answeredSince(now - minProbation);
 }
 
-bool WorkerBook::isProbablyUp(MonotonicInstant now) const
+bool WorkerRecord::isProbablyUp(MonotonicInstant now) const
 {
     return session->answeredSince(now - probablyUpFor);
 }
 
-bool WorkerBook::takesRecordedStart(MonotonicInstant now) const
+bool WorkerRecord::takesRecordedStart(MonotonicInstant now) const
 {
-    return !health.isEjected(now) && listed && !entry.draining && !evacuating && isHallOpen() && !session->isSilent() && !session->isLifeOver() && isEntryOfLife() && entry.capacity.covers(bookings.used());
+    return !health.isEjected(now) && listed && !entry.draining && !evacuating && isHallOpen() && !session->isUnresponsive() && !session->isIncarnationOver() && isEntryOfIncarnation() && entry.capacity.covers(reservations.used());
 }
 
-void WorkerBook::checkLiveness(MonotonicInstant now, Millis overdueAfter)
+void WorkerRecord::checkLiveness(MonotonicInstant now, Millis overdueAfter)
 {
     if (now < nextLivenessCheckAt)
         return;
@@ -82,25 +82,25 @@
     session->probe();
 }
 
-bool WorkerBook::noteAnswer() noexcept
+bool WorkerRecord::noteAnswer() noexcept
 {
     nextLivenessCheckAt = {};
     return std::exchange(livenessCheckDueAt, MonotonicInstant {}) != MonotonicInstant {};
 }
 
-PlacementSite WorkerBook::site(MonotonicInstant now) const
+PlacementSite WorkerRecord::site(MonotonicInstant now) const
 {
     PlacementSite site { .worker = &entry, .free = free(), .open = isOpen(now) };
-    if (now < keptUntil)
+    if (now < reservedUntil)
         site.keptFor = keptFor;
-    site.hasYoungAttempts = now < youngUntil;
+    site.hasYoungAttempts = now < probationUntil;
     site.distrusted = starts.isDistrusted(now);
     site.probing = health.isProbing(now);
     site.startsLeft = startsLeft(now);
-    site.servingTasks = bookings.servingTasks();
-    site.bestEffortTasks = bookings.bestEffortTasks();
-    for (const auto& [attempt, suspicion] : bookings.suspects())
-        site.suspects.push_back({ quarantineKey(attempt, bookings.at(attempt).step->longRunning), suspicion });
+    site.servingTasks = reservations.servingTasks();
+    site.bestEffortTasks = reservations.bestEffortTasks();
+    for (const auto& [attempt, suspicion] : reservations.suspects())
+        site.suspects.push_back({ quarantineKey(attempt, reservations.at(attempt).step->longRunning), suspicion });
     return site;
 }
 
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -8,25 +8,25 @@
 namespace {
 
 /// Min speed of a worker's clock: by the platform's bound it may be slow by 2%.
-constexpr double slowestClock = 0.98;
+constexpr double minClockRate = 0.98;
 /// For rounding and the worker's own timer.
 constexpr Millis leaseSlack { 50 };
 /// Responses on different connections overtake each other by less than this, unless one is delayed.
-constexpr Millis usualOvertaking { 100 };
+constexpr Millis maxUsualReordering { 100 };
 /// Renewal interval while ended attempts are not stored yet.
-constexpr Millis unstoredRenewal { 700 };
+constexpr Millis unstoredRenewalInterval { 700 };
 /// Within this time after a response the worker is the same incarnation: a restart takes at least a second.
-constexpr Millis freshLife { 900 };
+constexpr Millis minRestartTime { 900 };
 /// Long-poll time after recent lost calls.
-constexpr Millis shortWait { 150 };
-constexpr Millis shortWaitTime { 3'000 };
+constexpr Millis reducedWait { 150 };
+constexpr Millis reducedWaitPeriod { 3'000 };
 
 } // namespace
 
-WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife life, WorkerSessionOptions options, WorkerSessionObserver& observer)
+WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer)
     : m_loop(loop)
     , m_control(control)
-    , m_life(std::move(life))
+    , m_incarnation(std::move(incarnation))
     , m_options(std::move(options))
     , m_observer(observer)
 {
@@ -43,13 +43,13 @@
     m_loop.cancel(m_timer);
 }
 
-std::optional<std::int64_t> WorkerSession::leaseForOrder()
+std::optional<std::int64_t> WorkerSession::leaseForCommand()
 {
     if (m_clockSample == 0)
         return std::nullopt;
     const std::int64_t lease = clockNow() + m_options.leaseTime.count();
-    m_longestLease = std::max(m_longestLease, lease);
-    m_leaseLapsed = false;
+    m_latestLease = std::max(m_latestLease, lease);
+    m_leaseExpired = false;
     return lease;
 }
 
@@ -66,79 +66,79 @@
         return true;
     m_clockSample = workerClock;
     m_clockSampledBy = m_loop.now();
-    const bool wentBack = workerClock + usualOvertaking.count() < m_heardOnClock;
+    const bool wentBack = workerClock + maxUsualReordering.count() < m_lastSeenOnClock;
     if (wentBack)
-        doubtLife();
-    if (workerClock <= m_heardOnClock)
+        suspectRestart();
+    if (workerClock <= m_lastSeenOnClock)
         return !wentBack;
-    m_heardOnClock = workerClock;
+    m_lastSeenOnClock = workerClock;
     m_answeredAt = m_loop.now();
-    m_observer.onHeard(*this);
+    m_observer.onAlive(*this);
     return true;
 }
 
-MonotonicInstant WorkerSession::leaseOverBy() const
+MonotonicInstant WorkerSession::leaseExpiresBy() const
 {
-    if (m_longestLease == 0)
-        return m_options.inheritedLeaseOverBy;
-    const auto left = static_cast<double>(m_longestLease - m_clockSample);
-    const Millis worst(static_cast<std::int64_t>(left / slowestClock));
-    return std::max(m_options.inheritedLeaseOverBy, m_clockSampledBy + worst + leaseSlack);
+    if (m_latestLease == 0)
+        return m_options.inheritedLeaseExpiresBy;
+    const auto left = static_cast<double>(m_latestLease - m_clockSample);
+    const Millis worst(static_cast<std::int64_t>(left / minClockRate));
+    return std::max(m_options.inheritedLeaseExpiresBy, m_clockSampledBy + worst + leaseSlack);
 }
 
-void WorkerSession::noteThisLife()
+void WorkerSession::confirmIncarnation()
 {
-    m_lifeInDoubt = false;
-    m_heardAt = m_loop.now();
+    m_restartSuspected = false;
+    m_confirmedAt = m_loop.now();
 }
 
 void WorkerSession::acknowledge(std::uint64_t sequence)
 {
     m_storedUpTo = std::max(m_storedUpTo, sequence);
     m_awaitingAcknowledgement = false;
-    hurry(m_loop.now());
+    renewBy(m_loop.now());
 }
 
 void WorkerSession::probeAfter(Millis pause)
 {
     m_loop.callAt(m_loop.now() + pause, [self = weak_from_this()] {
-        if (const auto session = self.lock(); session && !session->m_closed && session->m_options.mayOrder())
+        if (const auto session = self.lock(); session && !session->m_closed && session->m_options.maySendCommands())
             session->probe();
     });
 }
 
 /// \returns Whether the worker may have restarted since its last response.
-bool WorkerSession::mayBeAnotherLife() const
+bool WorkerSession::mayHaveRestarted() const
 {
-    return m_lifeInDoubt || (m_met && m_loop.now() - m_heardAt > freshLife);
+    return m_restartSuspected || (m_hasAnswered && m_loop.now() - m_confirmedAt > minRestartTime);
 }
 
 /// A clock that went back may belong to another incarnation under this id. The next renewal must not make that one discard its ended
 /// attempts.
-void WorkerSession::doubtLife()
+void WorkerSession::suspectRestart()
 {
-    if (!std::exchange(m_lifeInDoubt, true) && m_options.mayOrder())
+    if (!std::exchange(m_restartSuspected, true) && m_options.maySendCommands())
         probe();
 }
 
 void WorkerSession::probe()
 {
-    if (m_closed || m_loop.now() < m_probeFrom)
+    if (m_closed || m_loop.now() < m_nextProbeAt)
         return;
-    m_probeFrom = m_loop.now() + m_options.overdueAfter();
-    watchProbe(m_loop.now(), m_probeFrom);
-    m_control.renew(m_life, { .epoch = m_options.epoch }, [self = weak_from_this(), sentAt = m_loop.now()](const RenewResult& result) {
+    m_nextProbeAt = m_loop.now() + m_options.overdueAfter();
+    watchProbe(m_loop.now(), m_nextProbeAt);
+    m_control.renew(m_incarnation, { .epoch = m_options.epoch }, [self = weak_from_this(), sentAt = m_loop.now()](const RenewResult& result) {
         const auto session = self.lock();
         if (!session || session->m_closed || result.outcome != OrderOutcome::Done)
             return;
-        session->m_probeFrom = session->m_loop.now();
-        if (!session->isOfThisLife(result)) {
+        session->m_nextProbeAt = session->m_loop.now();
+        if (!session->isOfThisIncarnation(result)) {
             session->noteRestart(result.startedAt);
             return;
         }
-        session->noteThisLife();
+        session->confirmIncarnation();
         session->noteClock(result.workerClock);
-        session->m_observer.onProbe(*session, result, sentAt);
+        session->m_observer.onProbeAnswered(*session, result, sentAt);
     });
 }
 
@@ -146,14 +146,14 @@
 {
     m_loop.callAt(overdueAt, [self = weak_from_this(), sentAt] {
         const auto session = self.lock();
-        if (!session || session->m_closed || !session->m_met || session->answeredSince(sentAt))
+        if (!session || session->m_closed || !session->m_hasAnswered || session->answeredSince(sentAt))
             return;
-        session->m_control.noteOverdue(session->m_life);
-        session->m_observer.onOverdue(*session);
+        session->m_control.noteOverdue(session->m_incarnation);
+        session->m_observer.onProbeOverdue(*session);
     });
 }
 
-void WorkerSession::hurry(MonotonicInstant when)
+void WorkerSession::renewBy(MonotonicInstant when)
 {
     if (!m_renewing && (m_timer == 0 || when < m_timerAt))
         renewAt(when);
@@ -176,28 +176,28 @@
 {
     if (m_closed || m_renewing)
         return;
-    if (!m_options.mayOrder()) {
+    if (!m_options.maySendCommands()) {
         renewAt(m_loop.now() + m_options.retryPause);
-        watchLease();
+        checkLeaseExpiry();
         return;
     }
     // Renewals of an unresponsive worker carry no lease: otherwise the latest lease expiry would advance without end, and
     // with it the time when the tasks may start elsewhere. Nor do renewals that another incarnation may
     // answer, since its clock differs and it numbers its ended attempts anew.
-    const bool onlyAsks = m_silent || mayBeAnotherLife();
-    RenewOrder order { .leaseUntil = onlyAsks ? 0 : leaseForOrder().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = onlyAsks ? 0 : m_storedUpTo };
-    if (m_met && !onlyAsks && !m_awaitingAcknowledgement)
-        order.wait = m_loop.now() < m_shortWaitUntil ? std::min(m_options.wait, shortWait) : m_options.wait;
+    const bool withoutLease = m_unresponsive || mayHaveRestarted();
+    RenewOrder order { .leaseUntil = withoutLease ? 0 : leaseForCommand().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = withoutLease ? 0 : m_storedUpTo };
+    if (m_hasAnswered && !withoutLease && !m_awaitingAcknowledgement)
+        order.wait = m_loop.now() < m_reducedWaitUntil ? std::min(m_options.wait, reducedWait) : m_options.wait;
     m_renewing = true;
     const MonotonicInstant sentAt = m_loop.now();
     m_renewalSentAt = sentAt;
     const Millis overdueAfter = m_options.overdueAfter();
-    if (m_met && !m_silent)
+    if (m_hasAnswered && !m_unresponsive)
         watchRenewal(sentAt + order.wait + overdueAfter, overdueAfter);
-    m_control.renew(m_life, order, [self = weak_from_this(), sentAt](const RenewResult& result) {
+    m_control.renew(m_incarnation, order, [self = weak_from_this(), sentAt](const RenewResult& result) {
         const auto session = self.lock();
         if (session && !session->m_closed)
-            session->answered(result, sentAt);
+            session->handleResponse(result, sentAt);
     });
 }
 
@@ -206,7 +206,7 @@
 {
     m_loop.callAt(overdueAt, [self = weak_from_this(), sentAt = m_renewalSentAt, pause] {
         const auto session = self.lock();
-        if (!session || session->m_closed || !session->m_renewing || session->m_renewalSentAt != sentAt || !session->m_options.mayOrder())
+        if (!session || session->m_closed || !session->m_renewing || session->m_renewalSentAt != sentAt || !session->m_options.maySendCommands())
             return;
         session->noteOverdue();
         session->probe();
@@ -216,11 +216,11 @@
 
 void WorkerSession::noteOverdue()
 {
-    m_shortWaitUntil = m_loop.now() + shortWaitTime;
-    m_control.noteOverdue(m_life);
+    m_reducedWaitUntil = m_loop.now() + reducedWaitPeriod;
+    m_control.noteOverdue(m_incarnation);
 }
 
-void WorkerSession::answered(const RenewResult& result, MonotonicInstant sentAt)
+void WorkerSession::handleResponse(const RenewResult& result, MonotonicInstant sentAt)
 {
     m_renewing = false;
     switch (result.outcome) {
@@ -235,66 +235,66 @@
         return;
     default:
         // Only this call was lost: the worker has answered others since.
-        if (m_heardAt > sentAt) {
+        if (m_confirmedAt > sentAt) {
             renewAt(m_loop.now());
             return;
         }
-        if (!std::exchange(m_silent, true))
-            endLeaseInTime();
+        if (!std::exchange(m_unresponsive, true))
+            scheduleLeaseExpiry();
         renewAt(m_loop.now() + m_options.retryPause);
-        m_observer.onSilence(*this);
-        watchLease();
+        m_observer.onUnresponsive(*this);
+        checkLeaseExpiry();
         return;
     }
-    if (m_life.startedAt == 0)
-        m_life.startedAt = result.startedAt;
+    if (m_incarnation.startedAt == 0)
+        m_incarnation.startedAt = result.startedAt;
     // An earlier incarnation can't answer a call of this session, so this is a later one.
-    if (!isOfThisLife(result)) {
+    if (!isOfThisIncarnation(result)) {
         noteRestart(result.startedAt);
         return;
     }
-    m_met = true;
-    m_silent = false;
-    noteThisLife();
+    m_hasAnswered = true;
+    m_unresponsive = false;
+    confirmIncarnation();
     noteClock(result.workerClock);
     m_awaitingAcknowledgement = true;
     // Slow storing of ended attempts must not let the lease expire.
-    renewAt(m_loop.now() + unstoredRenewal);
-    m_observer.onAnswer(*this, result, sentAt);
+    renewAt(m_loop.now() + unstoredRenewalInterval);
+    m_observer.onRenewalAnswered(*this, result, sentAt);
 }
 
-void WorkerSession::watchLease()
+void WorkerSession::checkLeaseExpiry()
 {
-    if (m_leaseLapsed || m_loop.now() < leaseOverBy())
+    if (m_leaseExpired || m_loop.now() < leaseExpiresBy())
         return;
-    m_leaseLapsed = true;
-    m_observer.onOver(*this, false);
+    m_leaseExpired = true;
+    m_observer.onEnded(*this, false);
 }
 
 /// The renewals of an unresponsive worker time out one after another, and the lease may expire long before the next one does.
-void WorkerSession::endLeaseInTime()
+void WorkerSession::scheduleLeaseExpiry()
 {
-    m_loop.callAt(leaseOverBy(), [self = weak_from_this()] {
+    m_loop.callAt(leaseExpiresBy(), [self = weak_from_this()] {
         const auto session = self.lock();
-        if (session && !session->m_closed && session->m_silent)
-            session->watchLease();
+        if (session && !session->m_closed && session->m_unresponsive)
+            session->checkLeaseExpiry();
     });
 }
 
 void WorkerSession::noteRestart(std::int64_t startedAt)
 {
-    const bool wasOver = std::exchange(m_lifeOver, true) || m_leaseLapsed;
+    const bool wasOver = std::exchange(m_incarnationOver, true) || m_leaseExpired;
     close();
     m_observer.onRestart(*this, startedAt, wasOver);
 }
 
 void WorkerSession::noteLifeOver()
 {
-    if (m_lifeOver)
+    if (m_incarnationOver)
         return;
-    m_lifeOver = true;
+    m_incarnationOver = true;
     close();
-    m_observer.onOver(*this, true);
+    m_observer.onEnded(*this, true);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -1,6 +1,6 @@
 #include "lanemoor/jobs/service/job_metrics.h"
 
-#include "lanemoor/jobs/owner/fleet_keeper.h"
+#include "lanemoor/jobs/owner/fleet_controller.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 
 #include <functional>
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -10,11 +10,11 @@
 #include "lanemoor/jobs/model/key_value_store.h"
 #include "lanemoor/jobs/model/platform_documents.h"
 #include "lanemoor/jobs/model/work_meter.h"
-#include "lanemoor/jobs/owner/fleet_keeper.h"
+#include "lanemoor/jobs/owner/fleet_controller.h"
 #include "lanemoor/jobs/owner/hall_evacuations.h"
 #include "lanemoor/jobs/owner/job_retirement.h"
 #include "lanemoor/jobs/owner/job_scheduler.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "lanemoor/jobs/owner/queue_counts_writer.h"
 #include "lanemoor/jobs/owner/worker_directory.h"
 #include "lanemoor/jobs/relay/order_relay.h"
@@ -153,9 +153,9 @@
         , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .leastGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
         , m_waves(*parts.loop, *parts.store, { .prefix = parts.documents->wavePrefix(), .watchTime = waveWatchTime }, [this](const StoreItem& item) { onWave(item); })
         , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = theShard, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsOfLease, .claimDelay = claimDelayOf(settings) },
-              { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", copyAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", copyAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .endsLost = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
+              { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", copyAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", copyAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .revokingLease = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
         , m_relayedWorkers({ .loop = parts.loop, .peers = parts.peers, .direct = parts.workers, .log = parts.log, .meter = &m_meter, .demanded = [this](const EntryDemand& demand) { m_scheduler.noteDemand(demand); } }, settings.policies.relay, settings.machineCores, settings.policies.reachability, settings.dataHall)
-        , m_relay({ .loop = parts.loop, .peers = parts.peers, .workers = parts.workers, .store = parts.store, .log = parts.log, .ownerGone = [this](const std::string& address) { m_ownership.endLost(address); }, .takeDemand = [this] { return m_demand.take(); }, .granted = [this](const AdmissionGrants& grants) { m_gate.apply(grants, m_parts.loop->now()); } }, settings.name, settings.machineCores, settings.dataHall)
+        , m_relay({ .loop = parts.loop, .peers = parts.peers, .workers = parts.workers, .store = parts.store, .log = parts.log, .ownerGone = [this](const std::string& address) { m_ownership.revokeCrashedOwner(address); }, .takeDemand = [this] { return m_demand.take(); }, .granted = [this](const AdmissionGrants& grants) { m_gate.apply(grants, m_parts.loop->now()); } }, settings.name, settings.machineCores, settings.dataHall)
         , m_evacuations({ .loop = parts.loop, .store = parts.store, .log = parts.log, .prefix = parts.documents->evacuationPrefix(), .bound = settings.evacuationTime })
         , m_gate(settings.name)
         , m_scheduler(schedulerOptions())
@@ -496,13 +496,13 @@
     DocumentCopy m_configurations;
     StoreMirror m_workers;
     StoreMirror m_waves;
-    OwnershipKeeper m_ownership;
+    OwnershipManager m_ownership;
     RelayedWorkers m_relayedWorkers; ///< What the owner calls.
     OrderRelay m_relay; ///< Carries calls for another owner.
     HallEvacuations m_evacuations;
     AdmissionGate m_gate;
     JobScheduler m_scheduler;
-    FleetKeeper m_fleet;
+    FleetController m_fleet;
     JobIntake m_intake;
     JobLookup m_lookup;
     QueueCountsReader m_countsReader;
@@ -569,7 +569,7 @@
             .seesRises = m_settings.policies.capacity.seesRises };
     }
 
-    FleetKeeperOptions fleetOptions()
+    FleetControllerOptions fleetOptions()
     {
         return { .loop = m_parts.loop,
             .store = m_parts.store,
@@ -585,9 +585,9 @@
             .handover = m_settings.handover,
             .maintenanceTime = m_settings.maintenanceTime,
             .moveTime = m_settings.moveTime,
-            .actsPerSecond = m_settings.fleetActsPerSecond,
+            .callsPerSecond = m_settings.fleetActsPerSecond,
             .capacity = m_settings.policies.capacity,
-            .movesEvacuated = m_settings.policies.failureDomains.enabled };
+            .movesEvacuatedInstances = m_settings.policies.failureDomains.enabled };
     }
 
     void onOwnership(const StoreItem& item)
@@ -707,7 +707,7 @@
             noteLag();
             if (!isStandby() && !m_ownership.isHeld() && !m_claimed && m_catalog.all().size() > maxJobsWithoutCopy)
                 forgetJobs();
-            m_directory.forgetOld();
+            m_directory.dropExpired();
             checkCopyLater();
         });
     }
@@ -781,7 +781,7 @@
                 return;
             m_parts.log->change("takeover-copy-reached", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "jobs", static_cast<std::int64_t>(m_catalog.all().size()) } });
             m_workers.resume([this, ownership] {
-                m_directory.forgetRemoved();
+                m_directory.dropRemoved();
                 m_parts.log->change("takeover-workers-listed", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "workers", static_cast<std::int64_t>(m_directory.all().size()) } });
                 activate(ownership);
             });
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -1,7 +1,7 @@
 #include "job_cluster.h"
 
 #include "lanemoor/jobs/model/job_record.h"
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -15,11 +15,11 @@
 
 /// Twenty instances in five racks, and a job of 24 short tasks every 100 ms, so that half of the pool is busy.
 struct BusyPool : model::JobCluster {
-    explicit BusyPool(bool judges = true)
+    explicit BusyPool(bool isHealthEnabled = true)
         : model::JobCluster(1, entryCount)
     {
         Policies policies;
-        policies.workerHealth.enabled = judges;
+        policies.workerHealth.enabled = isHealthEnabled;
         setPolicies(policies);
         for (int i = 0; i < 20; ++i)
             workers.addInstance("m-" + std::to_string(i), "main", "r-" + std::to_string(i / 4), { .milliCpu = 8'000, .memoryMb = 16'000 });
@@ -110,7 +110,7 @@
 
 } // namespace
 
-TEST_CASE("No worker is ejected or distrusted while all are sound")
+TEST_CASE("No worker is ejected or distrusted while all are healthy")
 {
     BusyPool pool;
     pool.serve(Millis(10'000));
@@ -120,7 +120,7 @@
 }
 
 /// Guards against sending tasks to an unresponsive worker until its renewal times out.
-TEST_CASE("Workers that answer nothing cost the jobs that ran there and hardly any other")
+TEST_CASE("Unresponsive workers delay the jobs that ran there and hardly any other")
 {
     for (const model::WorkerTrouble& trouble : { model::WorkerTrouble { .cutOff = true }, model::WorkerTrouble { .lostAnswers = 1, .lostRenewals = 1 }, model::WorkerTrouble { .lostOrders = 1 } }) {
         BusyPool pool;
@@ -138,7 +138,7 @@
 }
 
 /// Guards against a burst that fills idle workers without a response for a second.
-TEST_CASE("A burst goes past idle workers that have stopped answering")
+TEST_CASE("A burst avoids idle workers that have stopped answering")
 {
     BusyPool pool;
     pool.settle(Millis(3'000));
@@ -152,7 +152,7 @@
 }
 
 /// Guards against waiting without limit for the response to a stop.
-TEST_CASE("A start that never arrived is given up at a worker that answers renewals and never an order")
+TEST_CASE("A start that never arrived is abandoned at a worker that answers renewals and never a command")
 {
     BusyPool pool;
     pool.trouble({ .lostOrders = 1 });
@@ -163,7 +163,7 @@
 }
 
 /// Guards against ejecting most of a pool of which many workers appear unhealthy.
-TEST_CASE("Of a third of a pool that fails all its tasks a fifth of the pool is ejected")
+TEST_CASE("If a third of a pool fails all its tasks, a fifth of the pool is ejected")
 {
     BusyPool pool;
     pool.trouble({ .failing = 1 }, 3);
@@ -179,7 +179,7 @@
     CHECK(pool.witness.breaches().empty());
 }
 
-TEST_CASE("A worker that is slow by 8 is ejected and its peers are not")
+TEST_CASE("A worker that is 8 times slower is ejected and its peers are not")
 {
     BusyPool pool;
     pool.trouble({ .slowBy = 8 }, 20);
@@ -192,7 +192,7 @@
     CHECK(pool.witness.breaches().empty());
 }
 
-TEST_CASE("A lost owner's judgement is learned again, and no promise is broken meanwhile")
+TEST_CASE("A new owner ejects failing workers again after a crash of the previous one, and no guarantee is violated")
 {
     BusyPool pool;
     pool.trouble({ .lostOrders = 1 });
--- a/tests/jobs/hall_evacuation_test.cpp
+++ b/tests/jobs/hall_evacuation_test.cpp
@@ -27,16 +27,16 @@
             start(i);
         clock.runFor(Millis(1'000));
         submit(0, "work", longRunning, job({ longStep(3) }));
-        playWithQuickJobs(Millis(3'000));
+        runWithShortJobs(Millis(3'000));
     }
 
     /// Runs for `time` and submits a job every 100 ms.
-    void playWithQuickJobs(Millis time)
+    void runWithShortJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
-            submit(quick % entries(), "work", jobId(100 + quick), job({ step(6) }));
-            ++quick;
+            submit(shortJobs % entries(), "work", jobId(100 + shortJobs), job({ step(6) }));
+            ++shortJobs;
             clock.runFor(Millis(100));
         }
     }
@@ -51,7 +51,7 @@
     }
 
     inline static const std::string longRunning = jobId(1);
-    std::uint64_t quick = 0;
+    std::uint64_t shortJobs = 0;
 };
 
 } // namespace
@@ -61,20 +61,20 @@
     TwoHalls cluster;
     REQUIRE(cluster.runningIn(evacuated) > 0);
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(10'000));
+    cluster.runWithShortJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.runningIn("hall-b") > 0);
     CHECK(cluster.witness.breaches().empty());
     cluster.evacuate(evacuated, false);
     cluster.evacuate("hall-b");
-    cluster.playWithQuickJobs(Millis(10'000));
+    cluster.runWithShortJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
     CHECK(cluster.witness.breaches().empty());
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
 }
 
-TEST_CASE("An evacuation holds over a change of owner, also one during which it is requested")
+TEST_CASE("An evacuation persists across a change of owner, also if requested during the change")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
@@ -83,11 +83,11 @@
         if (seed % 2 == 0)
             cluster.kill(owner);
         cluster.evacuate(evacuated);
-        cluster.playWithQuickJobs(Millis(6'000));
+        cluster.runWithShortJobs(Millis(6'000));
         if (seed % 2 != 0)
             cluster.kill(owner);
         cluster.start(owner);
-        cluster.playWithQuickJobs(Millis(8'000));
+        cluster.runWithShortJobs(Millis(8'000));
         CHECK(cluster.runningIn(evacuated) == 0);
         CHECK(cluster.witness.breaches().empty());
     }
@@ -97,38 +97,38 @@
 {
     TwoHalls cluster;
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(10'000));
+    cluster.runWithShortJobs(Millis(10'000));
     for (const std::string id : { "m-8", "m-10" })
         CHECK(cluster.workers.instances().at(id).pool == "off");
 }
 
 /// Guards against starts based on an outdated set of data halls while the store answers the owner's other calls.
-TEST_CASE("Nothing starts while the store confirms no set of evacuated data halls, and starts go on when it does")
+TEST_CASE("Nothing starts while the set of evacuated data halls is unconfirmed, and starts resume once it is confirmed")
 {
     TwoHalls cluster(1, Millis(5'000));
     cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(500));
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.witness.breaches().empty());
     const std::uint64_t starts = cluster.witness.starts();
-    cluster.playWithQuickJobs(Millis(1'000));
+    cluster.runWithShortJobs(Millis(1'000));
     CHECK(cluster.witness.starts() == starts);
     cluster.store.trouble.refusedRanges.clear();
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.witness.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.witness.breaches().empty());
 }
 
 /// Guards against a deployment without evacuations that stalls when range reads are refused.
-TEST_CASE("Without a bound on evacuations tasks start by the last set that is known")
+TEST_CASE("Without a bound on evacuations tasks start according to the last known set")
 {
     TwoHalls cluster;
     cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(8'000));
     const std::uint64_t starts = cluster.witness.starts();
-    cluster.playWithQuickJobs(Millis(2'000));
+    cluster.runWithShortJobs(Millis(2'000));
     CHECK(cluster.witness.starts() > starts);
 }
 
@@ -138,20 +138,20 @@
     TwoHalls cluster(1, Millis(5'000));
     for (int i = 0; i < 4; ++i) {
         cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
-        cluster.playWithQuickJobs(Millis(2'500));
+        cluster.runWithShortJobs(Millis(2'500));
         cluster.store.trouble.refusedRanges.clear();
         const std::uint64_t starts = cluster.witness.starts();
-        cluster.playWithQuickJobs(Millis(1'000));
+        cluster.runWithShortJobs(Millis(1'000));
         CHECK(cluster.witness.starts() >= starts + 40);
     }
 }
 
 /// Guards against instances that stay idle in the pools until a request is withdrawn.
-TEST_CASE("Empty instances of an evacuated data hall go off, others take their places, and the hall serves again afterwards")
+TEST_CASE("Empty instances of an evacuated data hall are powered off and replaced, and the hall serves again afterwards")
 {
     TwoHalls cluster;
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(12'000));
+    cluster.runWithShortJobs(Millis(12'000));
     for (const auto& [id, instance] : cluster.workers.instances()) {
         CAPTURE(id);
         CHECK((instance.dataHall != evacuated || instance.pool == "off"));
@@ -159,14 +159,14 @@
     CHECK(cluster.workers.instances().at("m-9").pool == "main");
     cluster.evacuate(evacuated, false);
     cluster.evacuate("hall-b");
-    cluster.playWithQuickJobs(Millis(12'000));
+    cluster.runWithShortJobs(Millis(12'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
     CHECK(cluster.witness.breaches().empty());
 }
 
 /// Guards against moves for a request that is withdrawn at once, and against a hall that stays closed.
-TEST_CASE("A request that is withdrawn in the middle moves no instance, and its data hall serves again")
+TEST_CASE("A request that is withdrawn before the hall is empty moves no instance, and its data hall serves again")
 {
     TwoHalls cluster;
     const auto poolsOf = [&] {
@@ -177,29 +177,29 @@
     };
     const std::size_t before = poolsOf();
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(1'200));
+    cluster.runWithShortJobs(Millis(1'200));
     CHECK(poolsOf() == before);
     cluster.evacuate(evacuated, false);
-    cluster.playWithQuickJobs(Millis(1'000));
+    cluster.runWithShortJobs(Millis(1'000));
     cluster.evacuate("hall-b");
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Two data halls are evacuated at once: nothing starts, budgets hold, and all goes on after one is withdrawn")
+TEST_CASE("Two data halls are evacuated at once: nothing starts, budgets hold, and all resumes after one is withdrawn")
 {
     TwoHalls cluster(1, Millis(5'000));
     cluster.evacuate(evacuated);
     cluster.evacuate("hall-b");
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(8'000));
     const std::uint64_t starts = cluster.witness.starts();
-    cluster.playWithQuickJobs(Millis(1'000));
+    cluster.runWithShortJobs(Millis(1'000));
     CHECK(cluster.witness.starts() == starts);
     cluster.evacuate("hall-b", false);
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.witness.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
@@ -207,19 +207,19 @@
 }
 
 /// Guards against an evacuation during a network partition: the hall's workers are not notified, and must get no starts after it heals.
-TEST_CASE("A data hall that is evacuated while it is cut off gets no starts when it is reached again")
+TEST_CASE("A data hall that is evacuated while it is partitioned gets no starts when it is reachable again")
 {
     TwoHalls cluster(1, Millis(5'000));
-    const auto cut = [&](bool isCut) {
+    const auto setPartitioned = [&](bool isPartitioned) {
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble.cutOff = isCut && worker.entry.dataHall == evacuated;
+            worker.trouble.cutOff = isPartitioned && worker.entry.dataHall == evacuated;
     };
-    cut(true);
-    cluster.playWithQuickJobs(Millis(1'000));
+    setPartitioned(true);
+    cluster.runWithShortJobs(Millis(1'000));
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(5'500));
-    cut(false);
-    cluster.playWithQuickJobs(Millis(8'000));
+    cluster.runWithShortJobs(Millis(5'500));
+    setPartitioned(false);
+    cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
     CHECK(cluster.witness.breaches().empty());
@@ -229,9 +229,9 @@
 {
     TwoHalls cluster(1, Millis(5'000));
     cluster.store.trouble.answerTime = Millis(300);
-    cluster.playWithQuickJobs(Millis(1'000));
+    cluster.runWithShortJobs(Millis(1'000));
     cluster.evacuate(evacuated);
-    cluster.playWithQuickJobs(Millis(10'000));
+    cluster.runWithShortJobs(Millis(10'000));
     CHECK(cluster.witness.breaches().empty());
     CHECK(cluster.runningIn(evacuated) == 0);
 }
--- a/tests/jobs/lost_owner_test.cpp
+++ b/tests/jobs/lost_owner_test.cpp
@@ -1,6 +1,6 @@
 /// How soon a crashed owner is succeeded.
 
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 #include "support.h"
 
 #include <catch2/catch.hpp>
@@ -20,16 +20,16 @@
 };
 
 /// \returns Milliseconds until another entry instance than `former` is the owner.
-std::int64_t untilSucceeded(SmallCluster& cluster, std::size_t former)
+std::int64_t untilSucceeded(SmallCluster& cluster, std::size_t previous)
 {
     const MonotonicInstant from = cluster.clock.now();
-    REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value() && cluster.owner() != former; }));
+    REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value() && cluster.owner() != previous; }));
     return std::chrono::duration_cast<Millis>(cluster.clock.now() - from).count();
 }
 
 } // namespace
 
-TEST_CASE("An owner whose process ends is succeeded at once: its links break, and nobody listens there any more")
+TEST_CASE("An owner whose process exits is succeeded at once: its links break, and its address refuses connections")
 {
     LinkedCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ step(4) }));
@@ -40,7 +40,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("An owner that is silent is waited for until its lease is over")
+TEST_CASE("An unresponsive owner is only succeeded once its lease has expired")
 {
     LinkedCluster cluster;
     cluster.clock.runFor(Millis(2'000));
@@ -63,7 +63,7 @@
     CHECK(cluster.entry(owner).shards().front().term == term);
 }
 
-TEST_CASE("A process that finds its instance's former one as the owner does not wait for its lease")
+TEST_CASE("A process that finds its instance's previous process as the owner does not wait for its lease")
 {
     SmallCluster cluster(1, 1);
     cluster.clock.runFor(Millis(2'000));
@@ -74,7 +74,7 @@
     CHECK(cluster.waitFor(Millis(400), [&] { return cluster.entry(0).shards().front().ownedHere; }));
 }
 
-TEST_CASE("A successor that has watched the workers does not wait for lives that ended before it came")
+TEST_CASE("A successor that has observed the workers does not wait for incarnations that ended before its term")
 {
     LinkedCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
@@ -94,14 +94,14 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("A holder is named after its instance and its start, and no other instance's name is taken for it")
+TEST_CASE("A holder is named after its instance and its start time, and is not confused with other instances")
 {
     const Instant start { Millis(1'700) };
     CHECK(holderOf("front-a-1", start) == "front-a-1-1700");
     CHECK(holderOf("front-a-1", start) != holderOf("front-a", Instant { Millis(11'700) }));
 }
 
-TEST_CASE("Who is wrong about a lost owner ends no second lease for a while")
+TEST_CASE("A process that wrongly takes an owner for crashed revokes no second lease for a while")
 {
     LinkedCluster cluster;
     cluster.clock.runFor(Millis(2'000));
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -2,7 +2,7 @@
 
 #include "lanemoor/jobs/intake/caller_access.h"
 #include "lanemoor/jobs/model/organisation.h"
-#include "lanemoor/jobs/owner/fleet_keeper.h"
+#include "lanemoor/jobs/owner/fleet_controller.h"
 #include "lanemoor/jobs/policy/organisation_use.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "lanemoor/jobs/service/job_metrics.h"
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr Millis runLength { 25'000 };
-constexpr Millis longestTrouble { 6'000 }; // Of the store or of entry instances.
+constexpr Millis maxFaultDuration { 6'000 }; // Of the store or of entry instances.
 constexpr Millis recovery { 20'000 };
 constexpr Millis evacuationTime { 5'000 }; // Time limit for an evacuation to be in force.
 /// Tasks that require one of few instances wait for others to end.
-constexpr Millis recoveryOfMixed { 60'000 };
+constexpr Millis recoveryWithQueueing { 60'000 };
 
 /// The faults of a run. Kinds are only appended, so that the kept seeds draw the same sequences.
 enum class Faults {
@@ -27,12 +27,12 @@
     All, ///< Also store outages during which leases don't expire.
     Relayed, ///< The faults of `All`, with calls relayed by other entry instances, whose links break or become unresponsive.
     Organised, ///< The faults of `All`, with organisations whose quotas change and are often exhausted.
-    Ending, ///< The faults of `All`, on instances that accept tasks beyond their capacity, which changes, and with poison tasks.
+    PoisonTasks, ///< The faults of `All`, on instances that accept tasks beyond their capacity, which changes, and with poison tasks.
     Restarting, ///< The faults of `All`, with workers that restart under their ids, one every 6 s.
     RestartingOften, ///< The same, one every 2 s.
     Halls, ///< The faults of `All` at a lower rate, in three data halls that operators evacuate and that lose power.
-    Bridged, ///< The faults of `Relayed` on three data halls with partitions between them, in one direction or both.
-    Quiet, ///< The faults of `All`, with unreported faults of single workers and whole racks.
+    Partitioned, ///< The faults of `Relayed` on three data halls with partitions between them, in one direction or both.
+    UnreportedFaults, ///< The faults of `All`, with unreported faults of single workers and whole racks.
     Mixed, ///< The faults of `All` on two pools, with instances of two kinds that accept tasks beyond their capacity, labels and racks.
 };
 
@@ -40,21 +40,21 @@
 class RandomRun {
 public:
     RandomRun(std::uint64_t seed, Faults faults)
-        : m_cluster(seed, 3, 6, 2, faults == Faults::Relayed || faults == Faults::Bridged ? 1 : 0, faults == Faults::Halls ? evacuationTime : Millis(0), faults == Faults::Bridged)
+        : m_cluster(seed, 3, 6, 2, faults == Faults::Relayed || faults == Faults::Partitioned ? 1 : 0, faults == Faults::Halls ? evacuationTime : Millis(0), faults == Faults::Partitioned)
         , m_seed(seed)
         , m_faults(faults)
         , m_laterRandom(seed)
     {
         m_cluster.workers.runTimes = [this](const Attempt&) { return Millis(pick(100, 2'500)); };
         if (faults == Faults::Mixed)
-            mix();
+            addMixedPools();
         if (faults == Faults::Organised)
-            organise();
+            changeQuotas();
         if (faults == Faults::Halls)
             addHalls();
-        if (faults == Faults::Ending) {
+        if (faults == Faults::PoisonTasks) {
             m_cluster.workers.guards = false;
-            m_cluster.workers.endsWorker = [this](const Attempt& attempt) { return m_ending.contains(attempt.job) && attempt.task.index == 0; };
+            m_cluster.workers.endsWorker = [this](const Attempt& attempt) { return m_poisonJobs.contains(attempt.job) && attempt.task.index == 0; };
         }
     }
 
@@ -64,38 +64,38 @@
         while (m_cluster.clock.now() < end) {
             m_cluster.clock.runFor(Millis(pick(20, 400)));
             if (pick(0, 2) == 0)
-                handIn();
+                submitJob();
             if (pick(0, 7) == 0 && (!hasFewFaults() || pickLater(0, 7) == 0))
-                fault();
+                injectFault();
             if (pick(0, 40) == 0 && m_jobs > 0)
                 cancel();
             if (m_faults != Faults::First && pickLater(0, 30) == 0)
-                laterFault();
-            if ((m_faults == Faults::Relayed || m_faults == Faults::Bridged) && pickLater(0, 15) == 0)
-                faultOfLinks();
-            if (m_faults == Faults::Bridged && pickLater(0, 12) == 0)
-                cutHalls();
+                injectLaterFault();
+            if ((m_faults == Faults::Relayed || m_faults == Faults::Partitioned) && pickLater(0, 15) == 0)
+                injectLinkFault();
+            if (m_faults == Faults::Partitioned && pickLater(0, 12) == 0)
+                partitionHalls();
             if (m_faults == Faults::Organised && pickLater(0, 25) == 0)
-                organise();
-            if (m_faults == Faults::Ending && pickLater(0, 10) == 0)
+                changeQuotas();
+            if (m_faults == Faults::PoisonTasks && pickLater(0, 10) == 0)
                 resize();
             if (m_faults == Faults::Halls && pickLater(0, 20) == 0)
-                faultOfHalls();
+                injectHallFault();
             if (m_faults == Faults::Restarting && pickLater(0, 25) == 0)
                 restart();
-            if (m_faults == Faults::Quiet && pickLater(0, 12) == 0)
-                faultOfQuietWorkers();
+            if (m_faults == Faults::UnreportedFaults && pickLater(0, 12) == 0)
+                injectUnreportedFault();
             if (m_faults == Faults::RestartingOften && pickLater(0, 8) == 0)
                 restart();
         }
         heal();
-        m_cluster.clock.runFor(m_faults == Faults::Mixed || m_faults == Faults::Organised || m_faults == Faults::Ending ? recoveryOfMixed : recovery);
+        m_cluster.clock.runFor(m_faults == Faults::Mixed || m_faults == Faults::Organised || m_faults == Faults::PoisonTasks ? recoveryWithQueueing : recovery);
         check();
     }
 
 private:
     /// Adds the instances and pools of mixed runs.
-    void mix()
+    void addMixedPools()
     {
         const Resources capacity { .milliCpu = 6'000, .memoryMb = 8'000 };
         for (int i = 0; i < 3; ++i)
@@ -108,7 +108,7 @@
     }
 
     /// \returns Whether other faults are less frequent, to leave time for those specific to this kind of run.
-    [[nodiscard]] bool hasFewFaults() const { return m_faults == Faults::Ending || m_faults == Faults::Halls; }
+    [[nodiscard]] bool hasFewFaults() const { return m_faults == Faults::PoisonTasks || m_faults == Faults::Halls; }
 
     /// Adds two data halls to the one of the other instances.
     void addHalls()
@@ -122,7 +122,7 @@
         m_cluster.clock.runFor(Millis(500));
     }
 
-    void faultOfHalls()
+    void injectHallFault()
     {
         const std::string hall = std::array { "hall", "hall-b", "hall-c" }.at(pickLater(0, 2));
         if (pickLater(0, 3) == 0) {
@@ -141,7 +141,7 @@
     }
 
     /// Changes the quotas of the organisations; the largest gang fits the smallest one.
-    void organise()
+    void changeQuotas()
     {
         constexpr std::int64_t core = 1'000;
         ServiceConfiguration configuration = smallConfiguration(++m_version);
@@ -157,7 +157,7 @@
     }
 
     /// Adds requirements to a job of a mixed run.
-    void ask(std::vector<StepSpec>& steps)
+    void addRequirements(std::vector<StepSpec>& steps)
     {
         for (StepSpec& spec : steps) {
             // There are few instances of kind b: long-running tasks might occupy all of them permanently.
@@ -171,10 +171,10 @@
         }
     }
 
-    std::uint64_t pick(std::uint64_t least, std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(least, most)(m_cluster.random); }
+    std::uint64_t pick(std::uint64_t lowest, std::uint64_t highest) { return std::uniform_int_distribution<std::uint64_t>(lowest, highest)(m_cluster.random); }
 
     /// Draws from a second generator, so that the draws of the first kinds of fault stay the same.
-    std::uint64_t pickLater(std::uint64_t least, std::uint64_t most) { return std::uniform_int_distribution<std::uint64_t>(least, most)(m_laterRandom); }
+    std::uint64_t pickLater(std::uint64_t lowest, std::uint64_t highest) { return std::uniform_int_distribution<std::uint64_t>(lowest, highest)(m_laterRandom); }
 
     std::size_t anyEntry() { return pick(0, m_cluster.entries() - 1); }
 
@@ -195,7 +195,7 @@
             m_cluster.workers.restart(std::string(worker->entry.id), Millis(pickLater(0, 1) == 0 ? pickLater(1, 300) : pickLater(300, 9'000)));
     }
 
-    void handIn()
+    void submitJob()
     {
         std::vector<StepSpec> steps { step(static_cast<std::uint32_t>(pick(1, 5))) };
         if (pick(0, 1) == 0)
@@ -205,11 +205,11 @@
         if (pick(0, 9) == 0)
             steps[0].gang = !steps[0].longRunning;
         const std::string id = jobId(++m_jobs);
-        if (m_faults == Faults::Ending && pickLater(0, 14) == 0)
-            m_ending.insert(id);
+        if (m_faults == Faults::PoisonTasks && pickLater(0, 14) == 0)
+            m_poisonJobs.insert(id);
         std::string queue = "work";
         if (m_faults == Faults::Mixed) {
-            ask(steps);
+            addRequirements(steps);
             queue = pick(0, 2) == 0 ? "other" : queue;
         }
         std::string organisation;
@@ -241,32 +241,32 @@
         return alive.empty() ? nullptr : alive[pick(0, alive.size() - 1)];
     }
 
-    void later(std::uint64_t least, std::uint64_t most, std::function<void()> heal)
+    void later(std::uint64_t lowest, std::uint64_t highest, std::function<void()> heal)
     {
-        m_cluster.clock.after(Millis(pick(least, most)), std::move(heal));
+        m_cluster.clock.after(Millis(pick(lowest, highest)), std::move(heal));
     }
 
-    void fault()
+    void injectFault()
     {
         switch (pick(0, 6)) {
         case 0:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
-            faultOfStore();
+            m_cluster.witness.noteTrouble(m_cluster.clock.now() + maxFaultDuration);
+            injectStoreFault();
             return;
         case 1:
         case 2:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
-            faultOfEntry();
+            m_cluster.witness.noteTrouble(m_cluster.clock.now() + maxFaultDuration);
+            injectEntryFault();
             return;
         case 3:
             wave();
             return;
         default:
-            faultOfWorker();
+            injectWorkerFault();
         }
     }
 
-    void faultOfStore()
+    void injectStoreFault()
     {
         model::StoreTrouble& trouble = m_cluster.store.trouble;
         switch (pick(0, 5)) {
@@ -294,7 +294,7 @@
         later(500, 5'000, [this] { m_cluster.store.trouble = {}; });
     }
 
-    void faultOfEntry()
+    void injectEntryFault()
     {
         const std::size_t entry = pick(0, 2) == 0 ? anyEntry() : m_cluster.owner().value_or(0);
         if (!m_cluster.isUp(entry))
@@ -320,7 +320,7 @@
         }
     }
 
-    void faultOfWorker()
+    void injectWorkerFault()
     {
         model::WorkerModel* worker = anyWorker();
         if (!worker)
@@ -360,7 +360,7 @@
     }
 
     /// Sets one of the unreported faults on a worker or on all workers of its rack.
-    void faultOfQuietWorkers()
+    void injectUnreportedFault()
     {
         const model::WorkerModel* first = anyWorker();
         if (!first)
@@ -383,7 +383,7 @@
         });
     }
 
-    void faultOfLinks()
+    void injectLinkFault()
     {
         model::PeersTrouble& trouble = m_cluster.peers.trouble;
         switch (pickLater(0, 4)) {
@@ -407,7 +407,7 @@
     }
 
     /// Partitions two data halls from each other, in one direction or both.
-    void cutHalls()
+    void partitionHalls()
     {
         const std::size_t from = pickLater(0, 2);
         const std::size_t to = (from + pickLater(1, 2)) % 3;
@@ -417,15 +417,15 @@
             if (!isOneWay)
                 m_cluster.peers.cuts.setOneWay(b, a, cut);
         };
-        m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
+        m_cluster.witness.noteTrouble(m_cluster.clock.now() + maxFaultDuration);
         set(true);
         m_cluster.clock.after(Millis(pickLater(100, 6'000)), [set] { set(false); });
     }
 
-    void laterFault()
+    void injectLaterFault()
     {
         model::WorkerModel* worker = anyWorker();
-        switch (pickLater(0, m_faults == Faults::All || m_faults == Faults::Relayed || m_faults == Faults::Bridged || m_faults == Faults::Organised || m_faults == Faults::Quiet || m_faults == Faults::Restarting || m_faults == Faults::RestartingOften ? 4 : 3)) {
+        switch (pickLater(0, m_faults == Faults::All || m_faults == Faults::Relayed || m_faults == Faults::Partitioned || m_faults == Faults::Organised || m_faults == Faults::UnreportedFaults || m_faults == Faults::Restarting || m_faults == Faults::RestartingOften ? 4 : 3)) {
         case 0:
             m_cluster.workers.fleetTrouble.lostAnswers = 0.5;
             break;
@@ -441,7 +441,7 @@
                 m_cluster.workers.leave(worker->entry.id, false, Millis(pickLater(2'000, 6'000)));
             return;
         default:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
+            m_cluster.witness.noteTrouble(m_cluster.clock.now() + maxFaultDuration);
             m_cluster.store.trouble.silent = true;
             m_cluster.store.trouble.leasesWait = true;
             m_cluster.clock.after(Millis(pickLater(500, 6'000)), [this] { m_cluster.store.trouble = {}; });
@@ -509,7 +509,7 @@
     std::mt19937_64 m_laterRandom;
     std::uint64_t m_jobs = 0;
     std::uint64_t m_waves = 0;
-    std::set<std::string> m_ending; ///< Jobs whose first tasks crash their workers.
+    std::set<std::string> m_poisonJobs; ///< Jobs whose first tasks crash their workers.
     std::uint64_t m_version = 1; ///< Version of the configuration, in runs with organisations.
 };
 
@@ -522,7 +522,7 @@
 
 } // namespace
 
-TEST_CASE("Random runs that failed once keep the promises")
+TEST_CASE("Random runs that failed once keep the guarantees")
 {
     constexpr std::array<std::uint64_t, 10> seeds {
         42, // The members of a gang with one member on a hanging worker waited without end.
@@ -563,7 +563,7 @@
         800'194, // The worker had announced its end just before the crash.
     };
     for (const std::uint64_t seed : poisonSeeds)
-        RandomRun(seed, Faults::Ending).play();
+        RandomRun(seed, Faults::PoisonTasks).play();
     // A lease granted on the clock of a worker's previous incarnation lasted longer than the next owner assumed.
     RandomRun(21'078, Faults::Restarting).play();
     // Two entry instances stored one job with equal values while responses were lost; other jobs were reported as accepted but not stored.
@@ -573,7 +573,7 @@
     RandomRun(113, Faults::Mixed).play();
 }
 
-TEST_CASE("No promise is broken in random runs")
+TEST_CASE("No guarantee is violated in random runs")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -581,7 +581,7 @@
         RandomRun(seed, seed % 2 == 0 ? Faults::All : Faults::First).play();
 }
 
-TEST_CASE("No promise is broken in random runs of jobs that care where they run")
+TEST_CASE("No guarantee is violated in random runs of jobs with placement requirements")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -589,7 +589,7 @@
         RandomRun(seed, Faults::Mixed).play();
 }
 
-TEST_CASE("No promise is broken in random runs with relays")
+TEST_CASE("No guarantee is violated in random runs with relays")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -597,15 +597,15 @@
         RandomRun(seed, Faults::Relayed).play();
 }
 
-TEST_CASE("No promise is broken in random runs with data halls that are cut from each other")
+TEST_CASE("No guarantee is violated in random runs with partitions between data halls")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Bridged).play();
+        RandomRun(seed, Faults::Partitioned).play();
 }
 
-TEST_CASE("No promise is broken in random runs with organisations and quotas")
+TEST_CASE("No guarantee is violated in random runs with organisations and quotas")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -613,7 +613,7 @@
         RandomRun(seed, Faults::Organised).play();
 }
 
-TEST_CASE("No promise is broken in random runs with data halls that are evacuated or lose their power")
+TEST_CASE("No guarantee is violated in random runs with data halls that are evacuated or lose power")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -621,24 +621,24 @@
         RandomRun(seed, Faults::Halls).play();
 }
 
-TEST_CASE("No promise is broken in random runs with tasks that end their workers")
+TEST_CASE("No guarantee is violated in random runs with poison tasks")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Ending).play();
+        RandomRun(seed, Faults::PoisonTasks).play();
 }
 
-TEST_CASE("No promise is broken in random runs with workers that fail quietly")
+TEST_CASE("No guarantee is violated in random runs with unreported faults of workers")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Quiet).play();
+        RandomRun(seed, Faults::UnreportedFaults).play();
 }
 
 /// Seeds of this kind that failed are kept in the next test.
-TEST_CASE("No promise is broken in random runs with workers that start again under their ids")
+TEST_CASE("No guarantee is violated in random runs with workers that restart under their ids")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 10'000);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
@@ -647,7 +647,7 @@
 }
 
 /// Guards against failing jobs over starts that never reached a worker, over unresponsive workers that are up, and over crashed owners.
-TEST_CASE("No task is given up that has ended no worker where many workers start again")
+TEST_CASE("No task that crashed no worker fails permanently while many workers restart")
 {
     for (const std::uint64_t seed : { 26, 822, 844, 1'115, 1'217, 11'845, 13'140, 13'581, 13'989 })
         RandomRun(seed, Faults::Restarting).play();
--- a/tests/jobs/resized_worker_test.cpp
+++ b/tests/jobs/resized_worker_test.cpp
@@ -31,7 +31,7 @@
     }
 
     /// Runs for `time` and submits more jobs than fit.
-    void playWithJobs(Millis time)
+    void runWithJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
@@ -54,49 +54,49 @@
 
 } // namespace
 
-TEST_CASE("A worker whose room shrinks is not given more than it has")
+TEST_CASE("A worker whose capacity shrinks is not overcommitted")
 {
     ResizedCluster cluster;
-    cluster.playWithJobs(Millis(4'000));
+    cluster.runWithJobs(Millis(4'000));
     CHECK(cluster.running() == 32);
     cluster.resizeAll(quarter);
-    cluster.playWithJobs(Millis(12'000));
+    cluster.runWithJobs(Millis(12'000));
     CHECK(cluster.witness.breaches().empty());
     CHECK(cluster.running() <= 8);
 }
 
-TEST_CASE("A worker whose room grows again is used at once")
+TEST_CASE("A worker whose capacity grows again is used at once")
 {
     ResizedCluster cluster;
     cluster.resizeAll(quarter);
-    cluster.playWithJobs(Millis(8'000));
+    cluster.runWithJobs(Millis(8'000));
     CHECK(cluster.running() == 8);
     cluster.resizeAll(whole);
-    cluster.playWithJobs(Millis(1'000));
+    cluster.runWithJobs(Millis(1'000));
     CHECK(cluster.running() == 32);
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Room that shrank is kept over a change of owner")
+TEST_CASE("Reduced capacity is respected across a change of owner")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         ResizedCluster cluster(seed);
-        cluster.playWithJobs(Millis(4'000));
+        cluster.runWithJobs(Millis(4'000));
         cluster.resizeAll(quarter);
         const std::size_t owner = *cluster.owner();
         cluster.clock.runFor(Millis(200));
         cluster.kill(owner);
-        cluster.playWithJobs(Millis(8'000));
+        cluster.runWithJobs(Millis(8'000));
         cluster.start(owner);
-        cluster.playWithJobs(Millis(6'000));
+        cluster.runWithJobs(Millis(6'000));
         CHECK(cluster.witness.breaches().empty());
         CHECK(cluster.running() <= 8);
         CHECK(cluster.running() >= 6);
     }
 }
 
-TEST_CASE("A pool whose workers shrink gets more of them")
+TEST_CASE("A pool whose workers shrink gets more workers")
 {
     SmallCluster cluster(1, 3, 2, 6);
     cluster.workers.guards = false;
--- a/tests/jobs/store_outage_test.cpp
+++ b/tests/jobs/store_outage_test.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("An outage over an accept keeps what was accepted")
+TEST_CASE("An outage during a submission keeps the accepted jobs")
 {
     for (const Outage& outage : outages()) {
         DYNAMIC_SECTION(outage.name)
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE("An outage over a start or an ending runs each task once")
+TEST_CASE("An outage during a start or an end runs each task once")
 {
     for (const Outage& outage : outages()) {
         for (const int begin : { 8, 30, 520 }) {
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("An outage over a move and a hand-over breaks no promise")
+TEST_CASE("An outage during a move and a handover violates no guarantee")
 {
     for (const Outage& outage : outages()) {
         DYNAMIC_SECTION(outage.name)
@@ -119,7 +119,7 @@
     }
 }
 
-TEST_CASE("Two outages 2 s apart break no promise")
+TEST_CASE("Two outages 2 s apart violate no guarantee")
 {
     for (const Outage& outage : outages()) {
         DYNAMIC_SECTION(outage.name)
@@ -140,7 +140,7 @@
     }
 }
 
-TEST_CASE("An outage that ends for some entry instances first breaks no promise")
+TEST_CASE("An outage that ends for some entry instances first violates no guarantee")
 {
     OutageCluster cluster(15);
     const std::size_t owner = cluster.owner().value();
@@ -168,7 +168,7 @@
 }
 
 // Guards against watches and renewals that wait for their own timers: a replica lagged up to 2 s behind a store that was available again.
-TEST_CASE("When a silent store is back, the owner renews and its copy is fresh within 300 ms")
+TEST_CASE("When an unresponsive store is back, the owner renews and its replica is fresh within 300 ms")
 {
     SmallCluster cluster(3);
     const std::size_t owner = cluster.owner().value();
@@ -182,7 +182,7 @@
 }
 
 // Guards against hedging calls that are answered in time: all entry instances share the store's rate limits.
-TEST_CASE("Without trouble the store gets as many calls as without this part")
+TEST_CASE("Without faults the store gets as many calls as with outage handling disabled")
 {
     std::vector<std::uint64_t> calls;
     for (const bool isEnabled : { false, true }) {
@@ -207,7 +207,7 @@
 }
 
 // Covers the metrics that lead from a refused id to the outage: the state of the store and the unsaved changes.
-TEST_CASE("Metrics tell the state of the store and the changes that wait for it")
+TEST_CASE("Metrics show the state of the store and the unsaved changes")
 {
     SmallCluster cluster(17);
     const std::size_t owner = cluster.owner().value();
--- a/tests/jobs/worker_entry_test.cpp
+++ b/tests/jobs/worker_entry_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-json soundEntry()
+json validEntry()
 {
     return json::parse(R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"capacity":{"cpu":16000,"mem_mb":32768,"gpus":0},"labels":["a","r1"],"seq":4})");
 }
@@ -36,18 +36,18 @@
 
 } // namespace
 
-TEST_CASE("An entry whose fields are missing or of another type names no worker")
+TEST_CASE("An entry with missing fields or fields of another type is ignored")
 {
-    REQUIRE(namesWorker(soundEntry()));
+    REQUIRE(namesWorker(validEntry()));
     for (const char* field : { "service", "address", "zone", "state", "capacity" }) {
-        json entry = soundEntry();
+        json entry = validEntry();
         entry.erase(field);
         CAPTURE(field);
         CHECK_FALSE(namesWorker(entry));
     }
-    const json sound = soundEntry();
-    for (const auto& [field, value] : sound.items()) {
-        json entry = soundEntry();
+    const json valid = validEntry();
+    for (const auto& [field, value] : valid.items()) {
+        json entry = validEntry();
         entry[field] = value.is_string() ? json(7) : json("text");
         CAPTURE(field);
         CHECK_FALSE(namesWorker(entry));
@@ -55,19 +55,19 @@
         CHECK_FALSE(namesWorker(entry));
     }
     // Fields that are 0 or empty may be omitted.
-    json brief = soundEntry();
+    json brief = validEntry();
     for (const char* field : { "version", "slots", "cold_left_ms", "labels", "seq" })
         brief.erase(field);
     brief["capacity"].erase("gpus");
     CHECK(namesWorker(brief));
 }
 
-TEST_CASE("An entry with a state or an address or a size that makes no sense names no worker")
+TEST_CASE("An entry with an invalid state, address or size is ignored")
 {
-    const std::vector<std::pair<const char*, json>> senseless { { "state", "resting" }, { "state", "" }, { "address", "10.0.0.1" }, { "address", "somewhere:80" }, { "address", "10.0.0.1:99999" }, { "service", "" },
+    const std::vector<std::pair<const char*, json>> invalid { { "state", "resting" }, { "state", "" }, { "address", "10.0.0.1" }, { "address", "somewhere:80" }, { "address", "10.0.0.1:99999" }, { "service", "" },
         { "capacity", json::object() }, { "capacity", { { "cpu", -5 } } }, { "capacity", { { "cpu", "many" } } }, { "capacity", { { "cpu", 1e300 } } }, { "capacity", { { "cpu", 5 }, { "mem_mb", "much" } } }, { "labels", { 1, 2 } } };
-    for (const auto& [field, value] : senseless) {
-        json entry = soundEntry();
+    for (const auto& [field, value] : invalid) {
+        json entry = validEntry();
         entry[field] = value;
         CAPTURE(field, value.dump());
         CHECK_FALSE(namesWorker(entry));
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("An entry of a pool that no configuration names is asked nothing")
+TEST_CASE("A worker of an unconfigured pool receives no calls")
 {
     SmallCluster cluster(1, 1, 4, 0);
     cluster.clock.runFor(Millis(3'000));
@@ -96,7 +96,7 @@
     CHECK(cluster.shows(jobId(1), JobStatus::Succeeded));
 }
 
-TEST_CASE("A pool that a later configuration names has its workers used")
+TEST_CASE("The workers of a pool are used once a later configuration adds it")
 {
     SmallCluster cluster(1, 1, 4, 0);
     cluster.workers.addInstance("late", "side", "r-9", { .milliCpu = 8'000, .memoryMb = 16'000 });
@@ -108,24 +108,24 @@
     CHECK(cluster.shows(jobId(1), JobStatus::Succeeded));
 }
 
-TEST_CASE("A worker whose entry becomes unreadable gets no new work, and keeps what it has")
+TEST_CASE("A worker whose entry becomes unreadable gets no new tasks, and keeps its running ones")
 {
     SmallCluster cluster(1, 1, 2, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(4'000); };
     cluster.submit(0, "work", jobId(1), job({ step(9) }));
     cluster.clock.runFor(Millis(600));
-    const std::string spoilt = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
-    REQUIRE_FALSE(spoilt.empty());
+    const std::string unreadable = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
+    REQUIRE_FALSE(unreadable.empty());
     const std::uint64_t startsBefore = cluster.witness.starts();
-    cluster.documents.workers.erase(spoilt);
-    cluster.store.put(cluster.documents.workerPrefix() + spoilt, "\xff no entry");
+    cluster.documents.workers.erase(unreadable);
+    cluster.store.put(cluster.documents.workerPrefix() + unreadable, "\xff no entry");
     cluster.clock.runFor(Millis(300));
     cluster.submit(0, "work", jobId(2), job({ step(7) }));
     cluster.clock.runFor(Millis(600));
     for (std::uint32_t i = 0; i < 7; ++i)
-        CHECK(cluster.witness.workerOf(jobId(2), { 0, 0, i }) != spoilt);
+        CHECK(cluster.witness.workerOf(jobId(2), { 0, 0, i }) != unreadable);
     CHECK(cluster.witness.starts() > startsBefore);
-    CHECK(cluster.witness.workerOf(jobId(1), { 0, 0, 0 }) == spoilt);
+    CHECK(cluster.witness.workerOf(jobId(1), { 0, 0, 0 }) == unreadable);
     cluster.clock.runFor(Millis(12'000));
     CHECK(cluster.shows(jobId(1), JobStatus::Succeeded));
     CHECK(cluster.shows(jobId(2), JobStatus::Succeeded));
