--- a/include/lanemoor/jobs/owner/evacuation_report.h
+++ b/include/lanemoor/jobs/owner/evacuation_report.h
@@ -32,7 +32,7 @@
     FailureDomainState state = FailureDomainState::Evacuating;
     std::int64_t forMillis = 0; ///< Time in this state, as observed by the owner.
     std::vector<HallPoolReport> pools;
-    std::optional<std::int64_t> emptyInMillis; ///< Expected time until the hall is empty; nothing while long-running tasks remain.
+    std::optional<std::int64_t> emptyInMillis; ///< Expected time until the hall is empty, by declared and observed run times; nothing while long-running tasks remain.
 
     [[nodiscard]] std::uint32_t tasks() const noexcept;
 
--- a/src/jobs/owner/fleet_controller.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -861,7 +861,7 @@
         }));
     }
 
-    /// Stores the progress for a successor. If this write is lost, the successor orders some maintenance again, which the
+    /// Stores the progress for a successor. If this write is lost, the successor requests some maintenance again, which the
     /// platform recognises as done.
     void writeRecord(const MaintenancePlan& plan)
     {
--- a/tests/jobs/lost_owner_test.cpp
+++ b/tests/jobs/lost_owner_test.cpp
@@ -19,7 +19,7 @@
     }
 };
 
-/// \returns Milliseconds until another entry instance than `former` is the owner.
+/// \returns Milliseconds until another entry instance than `previous` is the owner.
 std::int64_t untilSucceeded(SmallCluster& cluster, std::size_t previous)
 {
     const MonotonicInstant from = cluster.clock.now();
--- a/tests/jobs/worker_entry_test.cpp
+++ b/tests/jobs/worker_entry_test.cpp
@@ -26,7 +26,7 @@
     return platform::readWorker("i", entry.dump()).has_value();
 }
 
-/// \returns The number of calls that the entry instance has sent to workers itself.
+/// \returns The number of calls that the entry instance has sent to workers directly.
 std::uint64_t callsToWorkers(SmallCluster& cluster)
 {
     const std::string text = cluster.entry(0).metrics();
