--- a/include/lanemoor/jobs/owner/job_retirement.h
+++ b/include/lanemoor/jobs/owner/job_retirement.h
@@ -14,7 +14,7 @@
 
 namespace lanemoor::jobs {
 
-class OwnershipKeeper;
+class OwnershipManager;
 class StoreMirror;
 
 /// Dependencies and settings of JobRetirement. The objects must outlive it.
@@ -23,7 +23,7 @@
     KeyValueStore* store = nullptr;
     StoreMirror* mirror = nullptr;
     const JobCatalog* catalog = nullptr;
-    const OwnershipKeeper* ownership = nullptr;
+    const OwnershipManager* ownership = nullptr;
     EventLog* log = nullptr;
     Millis statusTime { 120'000 }; ///< Minimum retention of a finished job's status.
 };
--- a/src/jobs/owner/admission_controller.cpp
+++ b/src/jobs/owner/admission_controller.cpp
@@ -118,7 +118,7 @@
 AdmissionController::ByPool AdmissionController::acceptedByPool() const
 {
     ByPool accepted;
-    for (const auto& [id, job] : m_state.walked) {
+    for (const auto& [id, job] : m_state.individualJobs) {
         const JobRecord& record = job->state.record();
         if (!job->account || isFinal(job->state.status()) || !hasObjective(record.spec))
             continue;
@@ -163,7 +163,7 @@
 {
     std::map<std::string, std::int64_t> present;
     for (const auto& [id, record] : m_state.workers) {
-        if (record.isOpen(m_state.now()) || !record.bookings.empty())
+        if (record.isOpen(m_state.now()) || !record.reservations.empty())
             present[record.entry.pool] += record.entry.capacity.milliCpu;
     }
     std::map<std::string, std::int64_t> demandByPool;
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -32,11 +32,11 @@
 {
 }
 
-bool CommandDispatcher::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool hasSuspectPeer)
+bool CommandDispatcher::start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerRecord& worker, const std::string& ticket, bool hasSuspectPeer)
 {
     // Members of a gang start together or not at all: the caller checks `mayStart` once for the whole gang.
     const bool isGangMember = job.state.spec(task.step).gang;
-    if (!worker.session->leaseForOrder() || !(isGangMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
+    if (!worker.session->leaseForCommand() || !(isGangMember ? m_state.options.ownership->isHeld() : m_state.mayStart(job)))
         return false;
     const Attempt attempt { job.state.id(), task, number };
     const bool isFirstStart = job.state.status() == JobStatus::Queued;
@@ -44,8 +44,8 @@
     const std::uint32_t assumed = hasSuspectPeer || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.bookings.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
-    worker.youngUntil = m_state.now() + maxProbation;
+    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.probationUntil = m_state.now() + maxProbation;
     m_health.noteStartBooked(worker, attempt);
     if (isFirstStart)
         m_state.store(job.state.id());
@@ -58,7 +58,7 @@
 
 /// The start and all earlier crashes must be stored before the worker can crash. Otherwise each change of owner would give
 /// the task an additional start.
-void CommandDispatcher::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     job.state.setPhase(attempt, AttemptPhase::Recording, m_state.now());
     m_state.beginProbation(job, attempt, worker);
@@ -74,8 +74,8 @@
     const LiveAttempt* live = findLive(attempt, worker);
     if (!live || live->phase != AttemptPhase::Recording)
         return;
-    WorkerBook* record = recordOfSession(worker, session);
-    if (!record || !record->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !record->session->leaseForOrder()) {
+    WorkerRecord* record = recordOfSession(worker, session);
+    if (!record || !record->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !record->session->leaseForCommand()) {
         withdrawRecorded(attempt, worker);
         return;
     }
@@ -97,7 +97,7 @@
 }
 
 /// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
-void CommandDispatcher::sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::sendOnAnswer(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     m_awaitingAnswer[worker.entry.id].push_back({ attempt, worker.session, ticket });
     worker.session->probe();
@@ -132,13 +132,13 @@
     m_state.requestPass();
 }
 
-void CommandDispatcher::send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket)
+void CommandDispatcher::send(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket)
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
     const StartOrder order { .attempt = attempt,
         .payload = job.record().spec.payload,
-        .leaseUntil = worker.session->leaseForOrder().value_or(0),
+        .leaseUntil = worker.session->leaseForCommand().value_or(0),
         .epoch = m_state.ownership.epoch,
         .checkpoint = task.checkpoint,
         .ticket = ticket };
@@ -146,7 +146,7 @@
     m_health.noteStartSent(worker, order);
     m_state.options.log->decision("task-start",
         { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentOnClock > 0 } } });
-    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const OrderResult& result) {
+    m_state.options.workers->start(worker.session->incarnation(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const OrderResult& result) {
         const auto dispatcher = self.lock();
         if (dispatcher && !dispatcher->m_closed)
             dispatcher->onStartAnswered(attempt, id, session.lock().get(), result);
@@ -171,7 +171,7 @@
         if (!dispatcher || dispatcher->m_closed)
             return;
         const LiveAttempt* live = dispatcher->findLive(attempt, worker);
-        WorkerBook* record = dispatcher->m_state.worker(worker);
+        WorkerRecord* record = dispatcher->m_state.worker(worker);
         if (!live || !record || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
             return;
         // If the event loop itself is late, the answer may be queued behind this call.
@@ -196,7 +196,7 @@
 /// start stays unknown.
 void CommandDispatcher::onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result)
 {
-    WorkerBook* record = recordOfSession(worker, session);
+    WorkerRecord* record = recordOfSession(worker, session);
     OwnerJob* job = m_state.job(attempt.job);
     bool isOfLife = false;
     if (record && result.outcome != OrderOutcome::OtherLife)
@@ -211,7 +211,7 @@
             m_state.store(attempt.job);
         if (const LiveAttempt* live = findLive(attempt, worker))
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
-        if (record->bookings.suspects().contains(attempt))
+        if (record->reservations.suspects().contains(attempt))
             probeSoon(*record->session);
         if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Ordered || (live->phase == AttemptPhase::Doubtful && isOfLife)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
@@ -240,11 +240,11 @@
     ++m_counts.refusals;
     m_state.options.log->decision("start-refused", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "reason", std::string(nameOf(outcome)) } });
     const MonotonicInstant now = m_state.now();
-    if (WorkerBook* record = m_state.worker(worker)) {
+    if (WorkerRecord* record = m_state.worker(worker)) {
         const bool full = outcome == OrderOutcome::NoRoom;
         const bool stale = outcome == OrderOutcome::LeaseOver || outcome == OrderOutcome::Superseded || outcome == OrderOutcome::BadTicket;
         if (!stale)
-            record->noWorkBefore = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
+            record->closedUntil = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
     }
     release(attempt, worker, now);
     m_state.requestPass();
@@ -252,8 +252,8 @@
 
 void CommandDispatcher::release(const Attempt& attempt, const std::string& worker, MonotonicInstant retryAt)
 {
-    if (WorkerBook* record = m_state.worker(worker)) {
-        record->bookings.erase(attempt);
+    if (WorkerRecord* record = m_state.worker(worker)) {
+        record->reservations.erase(attempt);
         record->starts.noteSettled(attempt);
     }
     OwnerJob* job = m_state.job(attempt.job);
@@ -267,7 +267,7 @@
 
 void CommandDispatcher::stop(const Attempt& attempt, const std::string& worker)
 {
-    WorkerBook* record = m_state.worker(worker);
+    WorkerRecord* record = m_state.worker(worker);
     if (!record)
         return;
     if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Recording) {
@@ -283,7 +283,7 @@
     if (OwnerJob* job = m_state.job(attempt.job))
         job->state.setPhase(attempt, AttemptPhase::Stopping, m_state.now());
     m_state.options.log->decision("task-stop", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-    m_state.options.workers->stop(record->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, session = std::weak_ptr(record->session)](const OrderResult& result) {
+    m_state.options.workers->stop(record->session->incarnation(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, session = std::weak_ptr(record->session)](const OrderResult& result) {
         const auto dispatcher = self.lock();
         if (dispatcher && !dispatcher->m_closed)
             dispatcher->onStopAnswered(attempt, worker, number, session.lock().get(), result);
@@ -303,22 +303,22 @@
         if (sent == dispatcher->m_stopsSent.end() || sent->second != number)
             return;
         // A repeated stop is no new evidence on the worker's health.
-        if (WorkerBook* record = dispatcher->m_state.worker(worker); record && number == 1)
+        if (WorkerRecord* record = dispatcher->m_state.worker(worker); record && number == 1)
             dispatcher->m_health.noteStopOverdue(*record);
         dispatcher->stopLater(attempt, worker, Millis(0));
     });
 }
 
 /// \returns The worker if `session` is still its current session, or null.
-WorkerBook* CommandDispatcher::recordOfSession(const std::string& worker, const WorkerSession* session) const
+WorkerRecord* CommandDispatcher::recordOfSession(const std::string& worker, const WorkerSession* session) const
 {
-    WorkerBook* record = m_state.worker(worker);
+    WorkerRecord* record = m_state.worker(worker);
     return record && record->session.get() == session ? record : nullptr;
 }
 
 void CommandDispatcher::onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result)
 {
-    WorkerBook* record = recordOfSession(worker, session);
+    WorkerRecord* record = recordOfSession(worker, session);
     if (!record) {
         // A previous incarnation may have handled the stop, which does not affect the current one.
         stopLater(attempt, worker, stopRetry);
@@ -357,8 +357,8 @@
         const auto dispatcher = self.lock();
         if (!dispatcher || dispatcher->m_closed)
             return;
-        const WorkerBook* record = dispatcher->m_state.worker(worker);
-        if (!record || !record->bookings.contains(attempt)) {
+        const WorkerRecord* record = dispatcher->m_state.worker(worker);
+        if (!record || !record->reservations.contains(attempt)) {
             dispatcher->m_stopsSent.erase(attempt);
             return;
         }
@@ -415,21 +415,21 @@
         finish(job);
 }
 
-void CommandDispatcher::throttle(WorkerBook& worker, std::uint32_t percent)
+void CommandDispatcher::throttle(WorkerRecord& worker, std::uint32_t percent)
 {
-    for (const auto& [attempt, reservation] : worker.bookings) {
+    for (const auto& [attempt, reservation] : worker.reservations) {
         if (!reservation.step->bestEffort || reservation.throttledTo == percent || !m_state.options.ownership->isHeld())
             continue;
-        worker.bookings.noteThrottled(attempt, percent);
+        worker.reservations.noteThrottled(attempt, percent);
         m_state.options.log->decision("task-throttle", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "percent", std::int64_t { percent } } });
-        m_state.options.workers->throttle(worker.session->life(), attempt, percent, m_state.ownership.epoch,
+        m_state.options.workers->throttle(worker.session->incarnation(), attempt, percent, m_state.ownership.epoch,
             [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const OrderResult& result) {
                 const auto dispatcher = self.lock();
                 if (!dispatcher || dispatcher->m_closed || result.outcome == OrderOutcome::Done)
                     return;
                 // The throttle is sent again after the next report.
-                if (WorkerBook* record = dispatcher->m_state.worker(id))
-                    record->bookings.noteThrottled(attempt, 100);
+                if (WorkerRecord* record = dispatcher->m_state.worker(id))
+                    record->reservations.noteThrottled(attempt, 100);
             });
     }
 }
--- a/src/jobs/owner/command_dispatcher.h
+++ b/src/jobs/owner/command_dispatcher.h
@@ -21,7 +21,7 @@
     /// \brief Reserves resources and sends a start. The start of a suspect is sent once it is stored.
     /// \param hasSuspectPeer Whether another member of its gang is a suspect: the whole gang is sent together.
     /// \returns False if no command may be sent now.
-    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerBook& worker, const std::string& ticket, bool hasSuspectPeer = false);
+    bool start(OwnerJob& job, const TaskId& task, std::uint64_t number, WorkerRecord& worker, const std::string& ticket, bool hasSuspectPeer = false);
 
     /// \brief Sends a stop, and repeats it until it is answered or the attempt is over.
     void stop(const Attempt& attempt, const std::string& worker);
@@ -38,7 +38,7 @@
     /// \brief Sends the recorded starts that wait for an answer of the worker.
     void noteAnswer(const std::string& worker);
 
-    void throttle(WorkerBook& worker, std::uint32_t percent);
+    void throttle(WorkerRecord& worker, std::uint32_t percent);
 
     /// \brief Releases the attempt's reservation at the worker and drops the attempt from its job, if it is the live one.
     /// \param retryAt Earliest time of the task's next start.
@@ -55,19 +55,19 @@
         std::string ticket;
     };
 
-    void recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
+    void recordAndSend(OwnerJob& job, const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
     void sendRecorded(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const std::string& ticket);
     [[nodiscard]] bool needsVerifiedWorker(const Attempt& attempt) const;
-    void sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
+    void sendOnAnswer(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
     void withdrawRecorded(const Attempt& attempt, const std::string& worker);
-    void send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
+    void send(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
     void onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result);
     void onStartRefused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
     void stopLater(const Attempt& attempt, const std::string& worker, Millis pause);
     void watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes);
     void watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number);
     [[nodiscard]] const LiveAttempt* findLive(const Attempt& attempt, const std::string& worker) const;
-    [[nodiscard]] WorkerBook* recordOfSession(const std::string& worker, const WorkerSession* session) const;
+    [[nodiscard]] WorkerRecord* recordOfSession(const std::string& worker, const WorkerSession* session) const;
     [[nodiscard]] bool mayStopNow(const Attempt& attempt) const;
     void onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result);
 
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/owner/fleet_keeper.h"
+#include "lanemoor/jobs/owner/fleet_controller.h"
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/fleet_control.h"
@@ -25,23 +25,23 @@
 namespace {
 
 constexpr Millis storeRetry { 300 };
-constexpr int planShare = 10; // A plan takes a tenth of the time at the most.
-constexpr Millis useLogPause { 1'000 }; // Between lines on what the instances are doing.
-constexpr Millis recordLasts { 500 }; // An act is sent this soon after its record was asked for, or not at all.
-/// An act reaches the platform this soon after its record was asked for, with some time for its way.
-constexpr Millis actSpread { 700 };
-constexpr std::size_t mostActsUnderWay = 128; // Some hundred ms of answers on the few connections to the platform.
-constexpr Millis actsRefresh { 1'000 }; // Some three calls after the last act of a burst.
-constexpr Millis lateAct { 3'000 }; // An act without an answer is settled by the list after this.
-constexpr Millis retryBusy { 500 }; // An instance that was busy is looked at again after this.
-/// Beyond the maintenance time itself: the order's way, and the worker's start.
-constexpr Millis backMargin { 150 };
+constexpr int planTimeDivisor = 10; // Planning takes at most a tenth of the time.
+constexpr Millis useLogPause { 1'000 }; // Between two log lines on the use of the fleet.
+constexpr Millis callRecordValidity { 500 }; // A call is sent within this time after its record was requested, or not at all.
+/// Max time from the request of a call's record until the call reaches the platform, transit included.
+constexpr Millis maxCallDelay { 700 };
+constexpr std::size_t maxPendingCalls = 128; // Worth some hundred ms of responses on the few connections to the platform.
+constexpr Millis callRecordRefresh { 1'000 }; // About three more writes after the last call of a burst.
+constexpr Millis unansweredCallTimeout { 3'000 }; // A call without a response is settled by the list after this time.
+constexpr Millis busyRetryPause { 500 }; // Pause before an instance that was busy is considered again.
+/// Margin beyond the maintenance time for the transit of the call and the start of the worker.
+constexpr Millis returnMargin { 150 };
 
 } // namespace
 
-class FleetKeeper::Impl : public std::enable_shared_from_this<FleetKeeper::Impl> {
+class FleetController::Impl : public std::enable_shared_from_this<FleetController::Impl> {
 public:
-    explicit Impl(FleetKeeperOptions options)
+    explicit Impl(FleetControllerOptions options)
         : m_options(std::move(options))
         , m_storeRetries(*m_options.loop)
     {
@@ -64,22 +64,22 @@
         m_options.loop->cancel(std::exchange(m_planTimer, 0));
         m_active = true;
         m_ownership = ownership;
-        m_mayAct = false;
-        m_formerActs.clear();
-        m_recentActs.clear();
-        m_unsent.clear();
-        readActs();
+        m_isCallRecordReady = false;
+        m_previousCalls.clear();
+        m_recentCalls.clear();
+        m_unrecordedCalls.clear();
+        readCallRecord();
         m_plans.clear();
         m_finished.clear();
         m_list.clear();
-        m_acted.clear();
+        m_overrides.clear();
         m_moving.clear();
         m_draining.clear();
-        m_lives.clear();
+        m_incarnations.clear();
         m_idleSince.clear();
         m_capacity = CapacityPlan(m_options.capacity);
         m_evacuationMoves = EvacuationMoves();
-        m_actBudget = CallBudget(m_options.actsPerSecond, m_options.loop->now());
+        m_callBudget = CallBudget(m_options.callsPerSecond, m_options.loop->now());
         for (const auto& [number, wave] : m_waves)
             begin(wave);
         list();
@@ -106,29 +106,29 @@
     FleetCounts counts;
 
 private:
-    /// The life that the list last named on an instance.
-    struct ListedLife {
+    /// The incarnation that the list last showed on an instance.
+    struct ListedIncarnation {
         std::string worker;
-        std::optional<MonotonicInstant> goneSince; ///< Since when lists name another one, or none.
+        std::optional<MonotonicInstant> goneSince; ///< Since when lists show another incarnation or none.
     };
 
-    /// An instance after an act, until the list must have caught up.
-    struct Acted {
+    /// An instance after a call, until the list must reflect it.
+    struct InstanceOverride {
         FleetInstance instance;
         MonotonicInstant until;
-        std::string emptied; ///< The worker that waits for an act without an answer; empty: none.
+        std::string emptied; ///< The worker kept empty because its call got no response; empty: none.
     };
 
-    [[nodiscard]] bool mayAct() const { return m_active && m_options.ownership->isHeld() && m_mayAct; }
+    [[nodiscard]] bool maySendCalls() const { return m_active && m_options.ownership->isHeld() && m_isCallRecordReady; }
 
-    /// Calls `step` later unless the term is over by then.
-    void later(Millis pause, std::function<void()> step) { m_options.loop->callAt(m_options.loop->now() + pause, unlessOver(std::move(step))); }
+    /// Runs `step` after `pause` if the term has not ended.
+    void later(Millis pause, std::function<void()> step) { m_options.loop->callAt(m_options.loop->now() + pause, withinTerm(std::move(step))); }
 
-    /// Calls `step`, which calls the store, later or when the store answers again.
-    void laterAtStore(std::function<void()> step) { m_storeRetries.runLater(storeRetry, unlessOver(std::move(step))); }
+    /// Runs `step`, which calls the store, after a pause or when the store is available again.
+    void laterAtStore(std::function<void()> step) { m_storeRetries.runLater(storeRetry, withinTerm(std::move(step))); }
 
-    /// \returns `step`, which does nothing once the term is over.
-    [[nodiscard]] std::function<void()> unlessOver(std::function<void()> step)
+    /// \returns `step`, wrapped so that it does nothing once the term has ended.
+    [[nodiscard]] std::function<void()> withinTerm(std::function<void()> step)
     {
         return [self = weak_from_this(), generation = m_generation, step = std::move(step)] {
             const auto impl = self.lock();
@@ -137,7 +137,7 @@
         };
     }
 
-    /// Wraps a callback so that it is heard within this term only.
+    /// Wraps a callback so that it only runs within this term.
     template <typename Result>
     std::function<void(Result)> inTerm(std::function<void(const Result&)> callback)
     {
@@ -148,116 +148,116 @@
         };
     }
 
-    /// What the former owner acted on of late is left alone for the time of a handover; all
-    /// else may be acted on at once.
-    void readActs()
+    /// Reads the calls of the previous owner. Instances of its recent calls are left alone during the handover; all
+    /// others may be changed at once.
+    void readCallRecord()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
-                laterAtStore([this] { readActs(); });
+                laterAtStore([this] { readCallRecord(); });
                 return;
             }
             for (const auto& [instance, age] : decodeActs(result.item.value).value_or(std::map<std::string, Millis> {}))
-                noteFormerAct(instance, age);
+                notePreviousCall(instance, age);
             for (auto& [number, plan] : m_plans)
-                noteFormerMaintenance(plan);
-            m_actsRevision = result.item.revision;
-            m_mayAct = true;
+                notePreviousMaintenance(plan);
+            m_callRecordRevision = result.item.revision;
+            m_isCallRecordReady = true;
             planSoon();
         }));
     }
 
-    /// After a record without an answer: the next one must replace what is there now.
-    void readActsRevision()
+    /// Reads the revision of the record after a write without a response: the next write must replace the current revision.
+    void readCallRecordRevision()
     {
         m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
-                laterAtStore([this] { readActsRevision(); });
+                laterAtStore([this] { readCallRecordRevision(); });
                 return;
             }
-            m_actsRevision = result.item.revision;
-            m_mayAct = true;
+            m_callRecordRevision = result.item.revision;
+            m_isCallRecordReady = true;
         }));
     }
 
-    /// \param age When the record was written; it was written before now, so the act is at least
-    /// as old. The next owner must hear of it too, should this one not last.
-    void noteFormerAct(const std::string& instance, Millis age)
+    /// \param age Age of the call when the record was written, so a lower bound of its age now. Kept in this owner's records too, for
+    /// the next owner in case this one crashes soon.
+    void notePreviousCall(const std::string& instance, Millis age)
     {
         const MonotonicInstant asked = m_options.loop->now() - age;
-        m_formerActs[instance] = asked + actSpread;
-        m_recentActs[instance] = asked;
+        m_previousCalls[instance] = asked + maxCallDelay;
+        m_recentCalls[instance] = asked;
     }
 
-    /// What the former owner acted on of late may be down for its maintenance, answered or not.
-    void noteFormerMaintenance(MaintenancePlan& plan)
+    /// Instances of the previous owner's recent calls may be down for maintenance, whether or not the calls were answered.
+    void notePreviousMaintenance(MaintenancePlan& plan)
     {
-        for (const auto& [instance, actedBy] : m_formerActs) {
+        for (const auto& [instance, calledBy] : m_previousCalls) {
             if (plan.wave().contains(instance))
-                plan.noteMayBeDown(instance, backAfter(actedBy));
+                plan.noteMayBeDown(instance, upAgainBy(calledBy));
         }
     }
 
-    /// \returns When an instance whose maintenance begins at `begin` at the latest is surely back.
-    [[nodiscard]] MonotonicInstant backAfter(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + backMargin; }
+    /// \returns When an instance whose maintenance begins no later than `begin` is certainly up again.
+    [[nodiscard]] MonotonicInstant upAgainBy(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + returnMargin; }
 
-    /// \returns Whether the former owner acted on it too short a time ago.
+    /// \returns Whether the previous owner's last call for the instance is too recent.
     [[nodiscard]] bool isBlocked(const std::string& instance) const
     {
-        const auto found = m_formerActs.find(instance);
-        return found != m_formerActs.end() && m_options.loop->now() < found->second + m_options.handover;
+        const auto found = m_previousCalls.find(instance);
+        return found != m_previousCalls.end() && m_options.loop->now() < found->second + m_options.handover;
     }
 
-    /// \returns How long an act must stand in the record: for as long as a successor must leave
+    /// \returns How long a call must be kept in the record: as long as a successor must leave
     /// the instance alone, or count it as down.
-    [[nodiscard]] Millis actsKept() const { return actSpread + std::max(m_options.handover, m_options.maintenanceTime + backMargin); }
+    [[nodiscard]] Millis callRecordRetention() const { return maxCallDelay + std::max(m_options.handover, m_options.maintenanceTime + returnMargin); }
 
-    /// Records an act under the ownership's condition before it is sent: an owner that was
-    /// superseded without knowing it can send none. Acts of one turn of the loop share a record.
-    /// \param send Told whether the act may be sent.
+    /// Records a call before it is sent, on condition of the ownership: an owner that was
+    /// superseded without noticing can't send any. Calls of one turn of the event loop share a record.
+    /// \param send Receives whether the call may be sent.
     void record(const std::string& instance, std::function<void(bool)> send)
     {
-        m_recentActs[instance] = m_options.loop->now();
-        m_unsent.push_back(std::move(send));
-        if (m_unsent.size() == 1)
-            later(Millis(0), [this] { writeActs(); });
+        m_recentCalls[instance] = m_options.loop->now();
+        m_unrecordedCalls.push_back(std::move(send));
+        if (m_unrecordedCalls.size() == 1)
+            later(Millis(0), [this] { writeCallRecord(); });
     }
 
-    void writeActs()
+    void writeCallRecord()
     {
         const MonotonicInstant now = m_options.loop->now();
-        m_actsWrittenAt = now;
-        std::erase_if(m_recentActs, [&](const auto& act) { return now - act.second > actsKept(); });
+        m_callRecordWrittenAt = now;
+        std::erase_if(m_recentCalls, [&](const auto& call) { return now - call.second > callRecordRetention(); });
         std::map<std::string, Millis> ages;
-        for (const auto& [instance, at] : m_recentActs)
+        for (const auto& [instance, at] : m_recentCalls)
             ages[instance] = std::chrono::duration_cast<Millis>(now - at);
-        // Under its own revision too: a record that is carried out late must not undo a newer one.
-        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_actsRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
-        m_mayAct = false;
+        // Also conditional on its own revision: a delayed write must not undo a newer one.
+        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_callRecordRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
+        m_isCallRecordReady = false;
         const MonotonicInstant sentAt = m_options.loop->now();
-        m_options.store->commit(transaction, inTerm<CommitResult>([this, sends = std::exchange(m_unsent, {}), sentAt](const CommitResult& result) {
-            const bool fresh = m_options.loop->now() - sentAt < recordLasts;
-            m_mayAct = result.outcome == StoreOutcome::Done;
-            if (m_mayAct)
-                m_actsRevision = result.revision;
+        m_options.store->commit(transaction, inTerm<CommitResult>([this, sends = std::exchange(m_unrecordedCalls, {}), sentAt](const CommitResult& result) {
+            const bool fresh = m_options.loop->now() - sentAt < callRecordValidity;
+            m_isCallRecordReady = result.outcome == StoreOutcome::Done;
+            if (m_isCallRecordReady)
+                m_callRecordRevision = result.revision;
             else
-                readActsRevision();
-            const bool may = fresh && mayAct();
+                readCallRecordRevision();
+            const bool may = fresh && maySendCalls();
             for (const std::function<void(bool)>& send : sends)
                 send(may);
         }));
     }
 
-    /// A record says how old acts were when it was written: it is written again while that matters,
-    /// so that a successor need not take old acts for new ones.
-    void refreshActs()
+    /// A record holds the ages of calls at the time of writing. It is rewritten while these ages matter,
+    /// so that a successor does not take old calls for recent ones.
+    void refreshCallRecord()
     {
-        const bool isOld = m_options.loop->now() - m_actsWrittenAt >= actsRefresh;
-        if (mayAct() && isOld && !m_recentActs.empty() && m_unsent.empty())
-            writeActs();
+        const bool isOld = m_options.loop->now() - m_callRecordWrittenAt >= callRecordRefresh;
+        if (maySendCalls() && isOld && !m_recentCalls.empty() && m_unrecordedCalls.empty())
+            writeCallRecord();
     }
 
-    /// Reads how far the wave has come before it goes on.
+    /// Reads the progress of the wave before it continues.
     void begin(const WaveRequest& wave)
     {
         m_options.store->read(waveKey(wave.number), inTerm<ReadResult>([this, wave](const ReadResult& result) {
@@ -267,13 +267,13 @@
             }
             const std::set<std::string> done = decodeInstances(result.item.value).value_or(std::set<std::string> {});
             const auto [plan, inserted] = m_plans.emplace(wave.number, MaintenancePlan(wave, done, m_options.loop->now()));
-            noteFormerMaintenance(plan->second);
+            notePreviousMaintenance(plan->second);
             writeStatus(wave.number, false);
             planSoon();
         }));
     }
 
-    /// Plans as soon as plans may: each list, and each act that is answered, asks for one.
+    /// Plans as soon as the time share permits; requested by each list and each answered call.
     void planSoon() { planAt(std::max(m_options.loop->now(), m_planFrom)); }
 
     void planAt(MonotonicInstant when)
@@ -294,14 +294,14 @@
         m_planTimer = 0;
         const MonotonicInstant begin = m_options.loop->now();
         plan();
-        refreshActs();
-        // On a fleet of a thousand instances a plan takes some ms: it may take a part of the time only, whoever asks.
+        refreshCallRecord();
+        // A plan of a fleet of a thousand instances takes some ms: its share of the time is bounded regardless of the requests.
         const MonotonicInstant end = m_options.loop->now();
-        m_planFrom = begin + planShare * (end - begin);
+        m_planFrom = begin + planTimeDivisor * (end - begin);
         planAt(std::max(end + m_options.planEvery, m_planFrom));
     }
 
-    /// Lists the fleet again and again.
+    /// Polls the list of the fleet.
     void list()
     {
         m_options.fleet->list(inTerm<FleetList>([this, askedAt = m_options.loop->now()](const FleetList& list) {
@@ -309,111 +309,111 @@
             if (std::exchange(m_listAnswers, list.complete) != list.complete)
                 m_options.log->change(list.complete ? "fleet-list-back" : "fleet-list-lost", {});
             if (list.complete)
-                takeList(list.instances);
+                applyList(list.instances);
             if (list.complete)
                 m_options.scheduler->noteFleet(list.instances, askedAt);
             planSoon();
-            later(hasWork() ? m_options.listEveryWhileActing : m_options.listEvery, [this] { this->list(); });
+            later(hasPendingChanges() ? m_options.listEveryWithPendingChanges : m_options.listEvery, [this] { this->list(); });
         }));
     }
 
-    [[nodiscard]] bool hasWork() const
+    [[nodiscard]] bool hasPendingChanges() const
     {
-        return !m_acted.empty() || !m_options.scheduler->isSettled() || std::any_of(m_plans.begin(), m_plans.end(), [](const auto& plan) { return !plan.second.isFinished(); });
+        return !m_overrides.empty() || !m_options.scheduler->isSettled() || std::any_of(m_plans.begin(), m_plans.end(), [](const auto& plan) { return !plan.second.isFinished(); });
     }
 
-    void takeList(const std::vector<FleetInstance>& instances)
+    void applyList(const std::vector<FleetInstance>& instances)
     {
         for (const FleetInstance& instance : instances) {
-            settleAct(instance);
-            noteLives(instance);
+            settleUnansweredCall(instance);
+            noteListedIncarnation(instance);
         }
-        std::erase_if(m_acted, [&](const auto& acted) { return isCaughtUp(acted.second); });
+        std::erase_if(m_overrides, [&](const auto& instanceOverride) { return isReflected(instanceOverride.second); });
         m_list.clear();
         for (const FleetInstance& instance : instances) {
-            const auto acted = m_acted.find(instance.id);
-            m_list[instance.id] = acted == m_acted.end() ? instance : acted->second.instance;
+            const auto instanceOverride = m_overrides.find(instance.id);
+            m_list[instance.id] = instanceOverride == m_overrides.end() ? instance : instanceOverride->second.instance;
         }
     }
 
-    /// \returns Whether lists show by now what came of the act.
-    [[nodiscard]] bool isCaughtUp(const Acted& acted) const { return m_options.loop->now() >= acted.until; }
+    /// \returns Whether lists reflect the outcome of the call by now.
+    [[nodiscard]] bool isReflected(const InstanceOverride& instanceOverride) const { return m_options.loop->now() >= instanceOverride.until; }
 
-    /// An act without an answer whose worker is listed as before was not carried out: the
-    /// worker may have work again.
-    void settleAct(const FleetInstance& instance)
+    /// If a call without a response left the listed worker unchanged, it was not carried out: the
+    /// worker may be open for tasks again.
+    void settleUnansweredCall(const FleetInstance& instance)
     {
-        const auto acted = m_acted.find(instance.id);
-        if (acted == m_acted.end() || !isCaughtUp(acted->second) || acted->second.emptied.empty())
+        const auto instanceOverride = m_overrides.find(instance.id);
+        if (instanceOverride == m_overrides.end() || !isReflected(instanceOverride->second) || instanceOverride->second.emptied.empty())
             return;
-        if (instance.state == FleetState::Up && instance.worker == acted->second.emptied) {
+        if (instance.state == FleetState::Up && instance.worker == instanceOverride->second.emptied) {
             m_options.log->decision("instance-move-not-seen", { { "instance", instance.id }, { "worker", instance.worker } });
             setEvacuating(instance.worker, false);
         }
     }
 
-    /// A life that the list named and names no more is over, whether its worker answers or not.
-    /// One list may be older than the one before, and an entry may be missing for a while: only
-    /// what lists show for longer than they lag is believed.
-    void noteLives(const FleetInstance& instance)
+    /// An incarnation that the list showed and no longer shows has ended, whether or not its worker responds.
+    /// A list may be older than the previous one, and an entry may be missing for a while, so a change
+    /// only counts once lists have shown it for longer than they lag.
+    void noteListedIncarnation(const FleetInstance& instance)
     {
-        ListedLife& life = m_lives[instance.id];
-        const bool other = life.worker != instance.worker && (instance.state != FleetState::Up || !instance.worker.empty());
+        ListedIncarnation& incarnation = m_incarnations[instance.id];
+        const bool other = incarnation.worker != instance.worker && (instance.state != FleetState::Up || !instance.worker.empty());
         const MonotonicInstant now = m_options.loop->now();
-        if (life.worker.empty() || !other) {
-            life = { instance.worker.empty() ? life.worker : instance.worker, std::nullopt };
+        if (incarnation.worker.empty() || !other) {
+            incarnation = { instance.worker.empty() ? incarnation.worker : instance.worker, std::nullopt };
             return;
         }
-        if (!life.goneSince)
-            life.goneSince = now;
-        if (now - *life.goneSince < fleetListLag)
+        if (!incarnation.goneSince)
+            incarnation.goneSince = now;
+        if (now - *incarnation.goneSince < fleetListLag)
             return;
-        m_options.scheduler->noteIncarnationUnlisted(life.worker, *life.goneSince);
-        life = { instance.worker, std::nullopt };
+        m_options.scheduler->noteIncarnationUnlisted(incarnation.worker, *incarnation.goneSince);
+        incarnation = { instance.worker, std::nullopt };
     }
 
-    /// Shows an instance as it is after an act until the list must have caught up.
-    void noteActed(const std::string& id, const std::string& pool, FleetState state, Millis time)
+    /// Overrides the listed instance with its state after a call, until the list must reflect it.
+    void overrideInstance(const std::string& id, const std::string& pool, FleetState state, Millis time)
     {
         FleetInstance& instance = m_list[id];
         instance.id = id;
         instance.pool = pool;
         instance.state = state;
         instance.worker.clear();
-        m_acted[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
+        m_overrides[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
     }
 
-    /// Instances that take work, by pool and kind.
-    using SoundCounts = std::map<std::pair<std::string, std::string>, std::size_t>;
+    /// Instances open for tasks, by pool and kind.
+    using HealthyCounts = std::map<std::pair<std::string, std::string>, std::size_t>;
 
-    /// \returns The use of the instance's worker, or null if that is not known.
+    /// \returns The use of the instance's worker, or null if it is unknown.
     [[nodiscard]] const WorkerUse* useOf(const FleetInstance& instance) const
     {
         const auto use = m_uses.find(instance.worker);
         return use == m_uses.end() ? nullptr : &use->second;
     }
 
-    [[nodiscard]] static bool takesWork(const WorkerUse* use) { return use && use->sound && !use->evacuating; }
+    [[nodiscard]] static bool isOpenForTasks(const WorkerUse* use) { return use && use->sound && !use->evacuating; }
 
-    [[nodiscard]] SoundCounts countSound() const
+    [[nodiscard]] HealthyCounts countHealthy() const
     {
-        SoundCounts sound;
+        HealthyCounts sound;
         for (const auto& [id, instance] : m_list) {
-            if (takesWork(useOf(instance)))
+            if (isOpenForTasks(useOf(instance)))
                 ++sound[{ instance.pool, instance.kind }];
         }
         return sound;
     }
 
-    /// \returns Whether tasks that need the worker's kind of instance have no other one of its pool.
-    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const SoundCounts& sound)
+    /// \returns Whether no other open instance of the pool has this kind, which some tasks require.
+    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const HealthyCounts& sound)
     {
         const auto known = sound.find({ instance.pool, instance.kind });
         const std::size_t all = known == sound.end() ? 0 : known->second;
-        return all == (takesWork(use) ? 1U : 0U);
+        return all == (isOpenForTasks(use) ? 1U : 0U);
     }
 
-    /// Empties a worker, or lets it have work again; the plan under way goes by that too.
+    /// Starts or stops the evacuation of a worker, and updates the current plan accordingly.
     void setEvacuating(const std::string& worker, bool evacuating)
     {
         m_options.scheduler->setEvacuating(worker, evacuating);
@@ -426,7 +426,7 @@
 
     [[nodiscard]] std::vector<MaintenanceCandidate> candidates() const
     {
-        const SoundCounts sound = countSound();
+        const HealthyCounts sound = countHealthy();
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         std::vector<MaintenanceCandidate> fleet;
         for (const auto& [id, instance] : m_list) {
@@ -443,7 +443,7 @@
                 candidate.lastOfKind = candidate.pinned && isLastOfKind(instance, use, sound);
                 candidate.evacuatingSince = use->evacuatingSince;
             } else if (!candidate.reserve) {
-                // A worker that is not known here may run what nobody has looked at.
+                // An unknown worker may run tasks that are not recorded here.
                 candidate.up = false;
             }
             fleet.push_back(std::move(candidate));
@@ -461,7 +461,7 @@
         logUse();
     }
 
-    /// One line a second on what the instances are doing.
+    /// Logs the use of the fleet once per second.
     void logUse()
     {
         const MonotonicInstant now = m_options.loop->now();
@@ -470,7 +470,7 @@
         m_useLoggedAt = now;
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         std::int64_t off = 0;
-        std::int64_t away = 0;
+        std::int64_t unavailable = 0;
         std::int64_t evacuating = 0;
         std::int64_t unsound = 0;
         std::int64_t open = 0;
@@ -483,7 +483,7 @@
             if (isReserve)
                 continue;
             if (instance.state != FleetState::Up || !use) {
-                ++away;
+                ++unavailable;
             } else if (use->evacuating) {
                 ++evacuating;
             } else if (!use->sound) {
@@ -493,10 +493,10 @@
                 free += use->free.milliCpu;
             }
         }
-        m_options.log->decision("fleet-use", { { "off", off }, { "away", away }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
+        m_options.log->decision("fleet-use", { { "off", off }, { "away", unavailable }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
     }
 
-    /// \returns Each pool's load before its instances are counted.
+    /// \returns The load of each pool, without its instances.
     [[nodiscard]] std::map<std::string, PoolLoad> demandedLoads()
     {
         std::map<std::string, PoolDemand> demands = m_options.scheduler->demands();
@@ -520,11 +520,11 @@
         return loads;
     }
 
-    /// \returns An instance as capacity planning sees it. \param use Null if its worker is not known.
+    /// \returns The input of capacity planning for an instance. \param use Null if its worker is unknown.
     [[nodiscard]] PoolInstance instanceOf(const FleetInstance& instance, const WorkerUse* use, bool reserve) const
     {
         const bool isUp = instance.state == FleetState::Up;
-        const bool isSound = takesWork(use);
+        const bool isSound = isOpenForTasks(use);
         PoolInstance seen { .instance = instance.id, .kind = instance.kind, .rack = instance.rack, .capacity = instance.capacity, .idleSince = std::nullopt };
         const auto draining = m_draining.find(instance.id);
         if (draining != m_draining.end())
@@ -532,9 +532,9 @@
         seen.sound = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
         seen.coming = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
         const bool isClosed = this->isClosed(instance, use);
-        // One on its way there will take no work either.
+        // An instance that is moving there won't be open for tasks either.
         seen.sound = seen.sound && (reserve || !isClosed);
-        if (isOrdered(instance.id) || isBlocked(instance.id) || isClosed)
+        if (hasPendingCall(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
         if (isUp && !reserve && isSound && use->attempts > 0 && use->pinned == 0) {
             seen.drainable = instance.worker;
@@ -549,7 +549,7 @@
         return seen;
     }
 
-    /// \returns The pool that the instance counts in: an instance on its way counts where it goes.
+    /// \returns The pool in which the instance counts: for a moving instance, the destination.
     [[nodiscard]] const std::string& destinationOf(const FleetInstance& instance) const
     {
         const auto moving = m_moving.find(instance.id);
@@ -579,25 +579,25 @@
         return list;
     }
 
-    /// \returns Whether an act on the instance is under way.
-    [[nodiscard]] bool isOrdered(const std::string& instance) const { return m_moving.contains(instance) || m_acted.contains(instance); }
+    /// \returns Whether a call for the instance is in progress.
+    [[nodiscard]] bool hasPendingCall(const std::string& instance) const { return m_moving.contains(instance) || m_overrides.contains(instance); }
 
-    /// \returns Acts that the platform takes now, and that can all leave while their record is fresh.
-    [[nodiscard]] std::size_t mostActs()
+    /// \returns The number of calls that the platform accepts now and that can all be sent while their record is fresh.
+    [[nodiscard]] std::size_t availableCalls()
     {
-        const std::size_t left = mostActsUnderWay - std::min(m_moving.size(), mostActsUnderWay);
-        return std::min(m_actBudget.available(m_options.loop->now()), left);
+        const std::size_t left = maxPendingCalls - std::min(m_moving.size(), maxPendingCalls);
+        return std::min(m_callBudget.available(m_options.loop->now()), left);
     }
 
     void planCapacity()
     {
-        if (!mayAct() || m_list.empty())
+        if (!maySendCalls() || m_list.empty())
             return;
         undrainClosed();
         const std::vector<PoolLoad> pools = loads();
-        const std::size_t most = mostActs();
-        const CapacityStep step = m_capacity.next(pools, m_options.loop->now(), most);
-        m_actBudget.take(step.moves.size() + step.drains.size());
+        const std::size_t available = availableCalls();
+        const CapacityStep step = m_capacity.next(pools, m_options.loop->now(), available);
+        m_callBudget.take(step.moves.size() + step.drains.size());
         for (const PoolLoad& pool : pools)
             logSize(pool);
         for (const std::string& instance : step.undrains)
@@ -607,14 +607,14 @@
         for (const CapacityDrain& drain : step.drains)
             this->drain(drain);
         moveDrained();
-        // Half of what is left, as for other instances that go off: a rise of load must find some.
-        powerOffEvacuated((most - std::min(most, step.moves.size() + step.drains.size())) / 2);
+        // Half of the remaining calls, as for other instances that are powered off: a rise of load must find some.
+        powerOffEvacuated((available - std::min(available, step.moves.size() + step.drains.size())) / 2);
     }
 
-    /// \returns Whether the instance's data hall is evacuated or lost. Of a lost one, workers serve that were taken back.
+    /// \returns Whether the instance's data hall is evacuated or lost. Readmitted workers of a lost hall count as open.
     [[nodiscard]] bool isClosed(const FleetInstance& instance, const WorkerUse* use) const { return !m_domains->serves(instance.dataHall) && !(use && use->sound); }
 
-    /// An instance of a data hall that is evacuated or lost is no help to the pool that it is emptied for.
+    /// An instance of a data hall that is evacuated or lost does not help the pool that it is drained for.
     void undrainClosed()
     {
         std::vector<std::string> closed;
@@ -627,31 +627,31 @@
             undrain(id);
     }
 
-    /// \returns Instances of evacuated data halls on which nothing runs, whatever the pool.
+    /// \returns Instances of evacuated data halls without tasks, in all pools.
     [[nodiscard]] std::vector<EmptiedInstance> emptied() const
     {
         std::vector<EmptiedInstance> list;
-        if (!m_options.movesEvacuated || m_options.evacuations->requests().empty())
+        if (!m_options.movesEvacuatedInstances || m_options.evacuations->requests().empty())
             return list;
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         for (const auto& [id, instance] : m_list) {
             const PoolSettings* pool = configuration->pool(instance.pool);
             const WorkerUse* use = useOf(instance);
             const bool isEmpty = instance.state == FleetState::Up && use && use->known && use->attempts == 0;
-            if (isEmpty && pool && !pool->reserve && !isOrdered(id) && !isBlocked(id) && m_options.evacuations->contains(instance.dataHall))
+            if (isEmpty && pool && !pool->reserve && !hasPendingCall(id) && !isBlocked(id) && m_options.evacuations->contains(instance.dataHall))
                 list.push_back({ id, instance.pool });
         }
         return list;
     }
 
-    void powerOffEvacuated(std::size_t mostMoves)
+    void powerOffEvacuated(std::size_t maxMoves)
     {
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         const auto reserve = std::find_if(configuration->pools.begin(), configuration->pools.end(), [](const PoolSettings& pool) { return pool.reserve; });
         if (reserve == configuration->pools.end())
             return;
-        const std::vector<CapacityMove> moves = m_evacuationMoves.next(emptied(), reserve->name, mostMoves, m_options.loop->now());
-        m_actBudget.take(moves.size());
+        const std::vector<CapacityMove> moves = m_evacuationMoves.next(emptied(), reserve->name, maxMoves, m_options.loop->now());
+        m_callBudget.take(moves.size());
         for (const CapacityMove& move : moves)
             this->move(move);
     }
@@ -673,7 +673,7 @@
         m_draining.erase(found);
     }
 
-    /// Moves the instances whose workers are empty by now.
+    /// Moves the drained instances whose workers are empty.
     void moveDrained()
     {
         std::vector<CapacityDrain> empty;
@@ -690,7 +690,7 @@
             move({ drain.instance, drain.from, drain.to });
     }
 
-    /// One line for each change of a pool's size or target.
+    /// Logs each change of a pool's size or target.
     void logSize(const PoolLoad& pool)
     {
         const std::pair<std::uint32_t, std::uint32_t> size { static_cast<std::uint32_t>(pool.instances.size()), m_capacity.target(pool) };
@@ -706,7 +706,7 @@
     {
         const std::string worker = m_list[move.instance].worker;
         m_moving[move.instance] = move.to;
-        // No task may be placed there between this decision and the act.
+        // No task may be placed there between this decision and the call.
         setEvacuating(worker, true);
         m_options.log->decision("instance-move", { { "instance", move.instance }, { "from", move.from }, { "to", move.to }, { "worker", worker } });
         record(move.instance, [this, move, worker](bool may) {
@@ -727,7 +727,7 @@
         m_moving.erase(move.instance);
         if (outcome == FleetOutcome::Done) {
             ++counts.moved;
-            noteActed(move.instance, move.to, FleetState::Moving, m_options.moveTime);
+            overrideInstance(move.instance, move.to, FleetState::Moving, m_options.moveTime);
             m_options.scheduler->noteLifeOver(worker, true);
             return;
         }
@@ -735,13 +735,13 @@
         if (outcome == FleetOutcome::Refused)
             m_capacity.noteRefused(m_list[move.instance].kind, move.to);
         if (outcome == FleetOutcome::NotDone)
-            m_actBudget.drain();
+            m_callBudget.drain();
         counts.unknown += outcome == FleetOutcome::Unknown ? 1 : 0;
-        // An act without an answer may yet be carried out: the instance stays empty, and
-        // the list will show where it is.
-        noteActed(move.instance, move.from, FleetState::Moving, outcome == FleetOutcome::Unknown ? lateAct : retryBusy);
+        // A call without a response may still be carried out: the instance stays empty, and
+        // the list will show its pool.
+        overrideInstance(move.instance, move.from, FleetState::Moving, outcome == FleetOutcome::Unknown ? unansweredCallTimeout : busyRetryPause);
         if (outcome == FleetOutcome::Unknown)
-            m_acted[move.instance].emptied = worker;
+            m_overrides[move.instance].emptied = worker;
         else
             setEvacuating(worker, false);
     }
@@ -757,7 +757,7 @@
                 finish(plan);
                 continue;
             }
-            if (!mayAct() || m_list.empty())
+            if (!maySendCalls() || m_list.empty())
                 continue;
             const MaintenanceStep step = plan.next(candidates(), m_capacity.isShort(), m_options.loop->now());
             for (const std::string& worker : step.evacuate)
@@ -784,7 +784,7 @@
     void maintain(MaintenancePlan& plan, const std::string& instance)
     {
         plan.noteOrdered(instance);
-        m_actBudget.take(1);
+        m_callBudget.take(1);
         const std::uint64_t number = plan.wave().number;
         const std::string worker = m_list[instance].worker;
         m_options.log->decision("maintenance-ordered", { { "instance", instance }, { "wave", static_cast<std::int64_t>(number) }, { "worker", worker } });
@@ -814,11 +814,11 @@
         switch (outcome) {
         case FleetOutcome::Done:
             ++counts.maintained;
-            plan.noteBegun(instance, backAfter(now));
-            noteActed(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
+            plan.noteBegun(instance, upAgainBy(now));
+            overrideInstance(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
             m_options.scheduler->noteLifeOver(worker, true);
             writeRecord(plan);
-            later(m_options.maintenanceTime + backMargin, [this] { planSoon(); });
+            later(m_options.maintenanceTime + returnMargin, [this] { planSoon(); });
             break;
         case FleetOutcome::NotInWave:
         case FleetOutcome::Refused:
@@ -828,10 +828,10 @@
             break;
         case FleetOutcome::Unknown:
             ++counts.unknown;
-            plan.noteMayBeDown(instance, backAfter(now));
+            plan.noteMayBeDown(instance, upAgainBy(now));
             [[fallthrough]];
         default:
-            plan.noteRefused(instance, now + retryBusy);
+            plan.noteRefused(instance, now + busyRetryPause);
             break;
         }
         planSoon();
@@ -848,93 +848,93 @@
 
     void writeStatus(std::uint64_t number, bool finished)
     {
-        // A wave is called running only while nothing was said of it, so that this, carried out
-        // late, can't take back that it is finished.
+        // The status "running" is only written if the wave has none, so that a delayed write
+        // can't revert "finished".
         std::vector<KeyRevision> expected { m_options.ownership->condition() };
         if (!finished)
             expected.push_back({ m_options.documents->waveStatusKey(number), 0 });
         const Transaction transaction { .expected = expected, .writes = { { m_options.documents->waveStatusKey(number), m_options.documents->formatWaveStatus(finished), 0 } }, .removals = {} };
         m_options.store->commit(transaction, inTerm<CommitResult>([this, number, finished](const CommitResult& result) {
-            const bool alreadySaid = !finished && result.outcome == StoreOutcome::Conflict;
-            if (result.outcome != StoreOutcome::Done && !alreadySaid && finished == m_finished.contains(number))
+            const bool alreadyWritten = !finished && result.outcome == StoreOutcome::Conflict;
+            if (result.outcome != StoreOutcome::Done && !alreadyWritten && finished == m_finished.contains(number))
                 laterAtStore([this, number, finished] { writeStatus(number, finished); });
         }));
     }
 
-    /// For a successor; if this write is lost, it orders some maintenance again, which the
-    /// platform knows as done.
+    /// Stores the progress for a successor. If this write is lost, the successor requests some maintenance again, which the
+    /// platform recognises as done.
     void writeRecord(const MaintenancePlan& plan)
     {
         const Transaction transaction { .expected = { m_options.ownership->condition() }, .writes = { { waveKey(plan.wave().number), encode(plan.done()), 0 } }, .removals = {} };
         m_options.store->commit(transaction, [](const CommitResult&) {});
     }
 
-    FleetKeeperOptions m_options;
+    FleetControllerOptions m_options;
     StoreRetries m_storeRetries;
     bool m_active = false;
     TimerId m_planTimer = 0;
     MonotonicInstant m_planDueAt;
-    MonotonicInstant m_planFrom; ///< No plan before this.
-    WorkerUses m_uses; ///< When the plan under way began, with what it changed since.
+    MonotonicInstant m_planFrom; ///< Time of the next plan at the earliest.
+    WorkerUses m_uses; ///< As of the start of the current plan, with the changes that it has made.
     bool m_listAnswers = true;
     std::uint64_t m_generation = 0;
     Ownership m_ownership;
-    bool m_mayAct = false; ///< The former owner's acts are known, and no record is under way.
-    std::uint64_t m_actsRevision = 0;
-    std::map<std::string, MonotonicInstant> m_formerActs; ///< When the former owner's act on an instance was over at the latest.
-    MonotonicInstant m_actsWrittenAt;
-    std::map<std::string, MonotonicInstant> m_recentActs; ///< When acts, the former owner's too, were asked for.
-    std::vector<std::function<void(bool)>> m_unsent; ///< Acts that wait for their record.
+    bool m_isCallRecordReady = false; ///< The previous owner's calls are known, and no write of the record is in progress.
+    std::uint64_t m_callRecordRevision = 0;
+    std::map<std::string, MonotonicInstant> m_previousCalls; ///< Latest time at which the previous owner's call for an instance took effect.
+    MonotonicInstant m_callRecordWrittenAt;
+    std::map<std::string, MonotonicInstant> m_recentCalls; ///< When calls, including those of the previous owner, were requested.
+    std::vector<std::function<void(bool)>> m_unrecordedCalls; ///< Calls that wait for their record.
     std::map<std::uint64_t, WaveRequest> m_waves;
     std::map<std::uint64_t, MaintenancePlan> m_plans;
     std::set<std::uint64_t> m_finished;
     std::map<std::string, FleetInstance> m_list;
-    std::map<std::string, Acted> m_acted; ///< Instances that the list may show as they were.
-    std::map<std::string, std::string> m_moving; ///< Instances whose move is not answered yet, and where they go.
-    std::map<std::string, CapacityDrain> m_draining; ///< Instances that are emptied for another pool.
-    std::map<std::string, ListedLife> m_lives; ///< By instance.
+    std::map<std::string, InstanceOverride> m_overrides; ///< Instances that the list may show in their previous state.
+    std::map<std::string, std::string> m_moving; ///< Destinations of moves without a response yet, by instance.
+    std::map<std::string, CapacityDrain> m_draining; ///< Instances that are drained for another pool.
+    std::map<std::string, ListedIncarnation> m_incarnations; ///< By instance.
     std::map<std::string, MonotonicInstant> m_idleSince;
-    std::shared_ptr<const FailureDomainStatus> m_domains; ///< As of the plan under way.
+    std::shared_ptr<const FailureDomainStatus> m_domains; ///< As of the current plan.
     CapacityPlan m_capacity;
     EvacuationMoves m_evacuationMoves;
-    CallBudget m_actBudget; ///< For acts on instances. A drain counts when it begins.
+    CallBudget m_callBudget; ///< For calls that change instances. A drain counts when it begins.
     MonotonicInstant m_useLoggedAt;
     std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> m_loggedSizes; ///< Instances and target, by pool.
 };
 
-FleetKeeper::FleetKeeper(FleetKeeperOptions options)
+FleetController::FleetController(FleetControllerOptions options)
     : m_impl(std::make_shared<Impl>(std::move(options)))
 {
 }
 
-FleetKeeper::~FleetKeeper() = default;
+FleetController::~FleetController() = default;
 
-void FleetKeeper::activate(const Ownership& ownership)
+void FleetController::activate(const Ownership& ownership)
 {
     m_impl->activate(ownership);
 }
 
-void FleetKeeper::deactivate()
+void FleetController::deactivate()
 {
     m_impl->deactivate();
 }
 
-void FleetKeeper::onWave(const WaveRequest& wave)
+void FleetController::onWave(const WaveRequest& wave)
 {
     m_impl->onWave(wave);
 }
 
-void FleetKeeper::retryStore()
+void FleetController::retryStore()
 {
     m_impl->retryStore();
 }
 
-void FleetKeeper::noteOutageOver()
+void FleetController::noteOutageOver()
 {
     m_impl->noteOutageOver();
 }
 
-const FleetCounts& FleetKeeper::counts() const noexcept
+const FleetCounts& FleetController::counts() const noexcept
 {
     return m_impl->counts;
 }
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -80,13 +80,13 @@
 }
 
 /// Adds the usage of the attempts on a worker. \param hopeless Jobs that can no longer meet their objective.
-void noteRunning(const WorkerBook& record, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
+void noteRunning(const WorkerRecord& record, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
     std::map<Requirement, Resources> usedByLateJobs;
     Resources usedAnywhere;
     Resources usedAnywhereByLateJobs;
-    for (const auto& [attempt, reservation] : record.bookings) {
+    for (const auto& [attempt, reservation] : record.reservations) {
         const bool isLate = hopeless.contains(attempt.job);
         // Fast path: most tasks have no placement requirement.
         if (reservation.step->requiredLabel.empty() && reservation.step->preferredRack.empty()) {
@@ -101,7 +101,7 @@
                 usedByLateJobs[requirement] += footprint(*reservation.step);
         }
     }
-    if (!record.bookings.empty()) {
+    if (!record.reservations.empty()) {
         used[Requirement {}] += usedAnywhere;
         usedByLateJobs[Requirement {}] += usedAnywhereByLateJobs;
     }
@@ -128,7 +128,7 @@
     Term(const JobSchedulerOptions& options, const Ownership& ownership, SchedulerCounts& counts)
         : state { .options = options,
             .ownership = ownership,
-            .inheritedLeaseOverBy = options.loop->now() + options.ownershipTime + Millis(static_cast<std::int64_t>(leaseStretch * static_cast<double>(options.workerLeaseTime.count()))),
+            .inheritedLeaseExpiresBy = options.loop->now() + options.ownershipTime + Millis(static_cast<std::int64_t>(leaseStretch * static_cast<double>(options.workerLeaseTime.count()))),
             .forecast = LoadForecast(options.seesRises),
             .hallLosses = HallLossDetector(options.failureDomains) }
         , health(state, counts)
@@ -140,7 +140,7 @@
     {
         // No owner precedes the first term, so no inherited task runs.
         if (ownership.term == 1)
-            state.inheritedLeaseOverBy = options.loop->now();
+            state.inheritedLeaseExpiresBy = options.loop->now();
     }
 
     void close()
@@ -187,16 +187,16 @@
         m_term = std::make_shared<Term>(m_options, ownership, counts);
         OwnerState& state = m_term->state;
         state.requestPass = [this] { requestPass(); };
-        state.beginSession = [this](WorkerBook& worker, std::int64_t startedAt) { beginSession(worker, startedAt); };
+        state.beginSession = [this](WorkerRecord& worker, std::int64_t startedAt) { beginSession(worker, startedAt); };
         state.writer = std::make_unique<ProgressWriter>(*m_options.loop, *m_options.store, *m_options.mirror, m_options.ownership->condition(),
             ProgressSource { .read = [this](const std::string& id) { return progressOf(id); },
                 .mayWrite = [this] { return m_options.ownership->isHeld(); },
                 .superseded = [this] { m_options.ownership->noteSuperseded(); },
                 .meter = m_options.meter });
-        state.inheritedLosses.begin(m_options.directory->poolsWithRecentEnds());
+        state.inheritedFailures.begin(m_options.directory->poolsWithRecentEnds());
         for (const auto& [id, entry] : m_options.catalog->all())
             load(id, entry, ownership.term > 1);
-        m_options.directory->forgetOld();
+        m_options.directory->dropExpired();
         for (const auto& [id, entry] : m_options.directory->all()) {
             if (isPoolConfigured(entry))
                 addWorker(entry);
@@ -247,7 +247,7 @@
         const auto found = m_options.directory->all().find(id);
         if (found == m_options.directory->all().end())
             return;
-        WorkerBook* record = m_term->state.worker(id);
+        WorkerRecord* record = m_term->state.worker(id);
         if (!record) {
             if (isPoolConfigured(found->second))
                 addWorker(found->second);
@@ -302,15 +302,15 @@
         uses.reserve(m_term->state.workers.size());
         const MonotonicInstant now = m_options.loop->now();
         for (const auto& [id, record] : m_term->state.workers) {
-            WorkerUse use { .free = record.free(), .attempts = static_cast<std::uint32_t>(record.bookings.size()), .evacuating = record.evacuating, .evacuatingSince = record.evacuatingSince };
-            for (const auto& [attempt, reservation] : record.bookings) {
+            WorkerUse use { .free = record.free(), .attempts = static_cast<std::uint32_t>(record.reservations.size()), .evacuating = record.evacuating, .evacuatingSince = record.evacuatingSince };
+            for (const auto& [attempt, reservation] : record.reservations) {
                 use.longRunning += reservation.step->longRunning ? 1 : 0;
                 if (!reservation.step->longRunning)
                     use.emptyBy = std::max(use.emptyBy, reservation.endsBy);
                 use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
-            use.known = record.session->isMet() || now >= record.session->leaseOverBy();
-            use.sound = record.listed && !record.entry.draining && record.isHallOpen() && record.session->isMet() && !record.session->isSilent() && !record.session->isLifeOver() && !record.health.isEjected(now);
+            use.known = record.session->hasAnswered() || now >= record.session->leaseExpiresBy();
+            use.sound = record.listed && !record.entry.draining && record.isHallOpen() && record.session->hasAnswered() && !record.session->isUnresponsive() && !record.session->isIncarnationOver() && !record.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -340,12 +340,12 @@
 
     void setEvacuating(const std::string& worker, bool evacuating)
     {
-        WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
+        WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
         if (!record || record->evacuating == evacuating)
             return;
         record->evacuating = evacuating;
         record->evacuatingSince = m_options.loop->now();
-        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(record->bookings.size()) } });
+        m_options.log->decision("worker-evacuating", { { "worker", worker }, { "on", std::int64_t { evacuating } }, { "attempts", static_cast<std::int64_t>(record->reservations.size()) } });
         requestPass();
     }
 
@@ -374,17 +374,17 @@
 
     void noteLifeOver(const std::string& worker, bool ordered = false)
     {
-        WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
+        WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
         if (!record || !record->session)
             return;
-        record->endOrdered = ordered;
+        record->isEndOrdered = ordered;
         record->session->noteLifeOver();
     }
 
     void noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
     {
-        const WorkerBook* record = m_term ? m_term->state.worker(worker) : nullptr;
-        const bool mayMeanPrevious = record && !record->formerStarts.empty() && record->knownSince + fleetListLag >= since;
+        const WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
+        const bool mayMeanPrevious = record && !record->previousStarts.empty() && record->knownSince + fleetListLag >= since;
         if (!mayMeanPrevious)
             noteLifeOver(worker);
     }
@@ -401,7 +401,7 @@
     bool isSettled()
     {
         OwnerState& state = m_term->state;
-        if (state.now() >= state.inheritedLeaseOverBy)
+        if (state.now() >= state.inheritedLeaseExpiresBy)
             return true;
         std::erase_if(m_term->unreportedWorkers, [&](const std::string& id) { return state.workers.contains(id) && !isUnreported(id); });
         return m_term->unknownInstances == 0U && m_term->unreportedWorkers.empty();
@@ -466,13 +466,13 @@
                 demands[pool][requirement].waiting = waiting;
         }
         std::unordered_set<std::string_view> hopeless;
-        for (const auto& [id, job] : state.walked) {
+        for (const auto& [id, job] : state.individualJobs) {
             if (!isFinal(job->state.status()) && state.isHopeless(*job, now))
                 hopeless.insert(id);
         }
         for (const auto& [id, record] : state.workers)
             noteRunning(record, hopeless, demands[record.entry.pool]);
-        for (const auto& [id, job] : state.walked) {
+        for (const auto& [id, job] : state.individualJobs) {
             if (!isFinal(job->state.status()))
                 noteSpread(job->state, demands[state.poolOf(job->state)]);
         }
@@ -486,7 +486,7 @@
     /// Updates the demand level of each required label, which keeps other tasks off scarce instances.
     static void noteWanted(OwnerState& state)
     {
-        state.wanted.clear();
+        state.labelDemand.clear();
         for (const auto& [pool, classes] : state.demands) {
             for (const auto& [requirement, demand] : classes) {
                 if (requirement.label.empty() || requirement.preferred)
@@ -494,7 +494,7 @@
                 std::int64_t supply = 0;
                 for (const auto& [id, record] : state.workers)
                     supply += record.entry.pool == pool && record.listed && hasLabel(record.entry, requirement.label) ? record.entry.capacity.milliCpu : 0;
-                state.wanted[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
+                state.labelDemand[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
             }
         }
     }
@@ -522,7 +522,7 @@
         const std::uint64_t base = (state.ownership.term - 1) * attemptsPerTerm;
         auto [place, inserted] = state.jobs.emplace(id, OwnerJob { .state = JobState(id, entry.record, entry.progress, base), .inherited = inherited });
         OwnerJob& job = place->second;
-        state.walked.emplace(id, &job);
+        state.individualJobs.emplace(id, &job);
         job.account = state.accountOf(*entry.record);
         const Millis age = m_options.loop->timeOfDay() - entry.record->acceptedAt;
         const QueueSettings* queue = state.configuration()->queue(entry.record->queue);
@@ -533,7 +533,7 @@
         m_term->admission->noteArrival(job);
         if (inherited) {
             job.state.openOccurrences(m_options.loop->timeOfDay());
-            job.openBefore = openSteps(job.state);
+            job.possiblyStartedBefore = openSteps(job.state);
             m_term->reconciler.crashes().load(job);
         }
         if (entry.cancelled)
@@ -584,27 +584,27 @@
 
     void addWorker(const DirectoryEntry& entry)
     {
-        WorkerBook& record = m_term->state.workers[entry.worker.id];
+        WorkerRecord& record = m_term->state.workers[entry.worker.id];
         record.entry = entry.worker;
         record.listed = entry.listed;
         record.knownSince = entry.knownSince;
         beginSession(record, entry.worker.startedAt);
     }
 
-    void noteHall(WorkerBook& record) const { record.hallEvacuated = m_options.evacuations->contains(record.entry.dataHall); }
+    void noteHall(WorkerRecord& record) const { record.hallEvacuated = m_options.evacuations->contains(record.entry.dataHall); }
 
-    void beginSession(WorkerBook& record, std::int64_t startedAt)
+    void beginSession(WorkerRecord& record, std::int64_t startedAt)
     {
         const OwnerState& state = m_term->state;
         noteHall(record);
         WorkerSessionOptions options { .epoch = state.ownership.epoch,
-            .inheritedLeaseOverBy = state.inheritedLeaseOverBy,
+            .inheritedLeaseExpiresBy = state.inheritedLeaseExpiresBy,
             .leaseTime = m_options.workerLeaseTime,
-            .mayOrder = [this] { return m_options.ownership->isHeld(); },
+            .maySendCommands = [this] { return m_options.ownership->isHeld(); },
             .overdueAfter = [this] { return m_term ? m_term->state.responses.overdueAfter() : ResponseTime::maxOverdue; } };
         // A command to a previous incarnation may have reached this one, with a lease on the previous incarnation's clock.
-        if (!record.formerStarts.empty())
-            options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + maxLateRun);
+        if (!record.previousStarts.empty())
+            options.inheritedLeaseExpiresBy = std::max(options.inheritedLeaseExpiresBy, state.now() + maxLateRun);
         record.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { record.entry.id, record.entry.address, startedAt, record.entry.dataHall }, std::move(options), m_term->reconciler);
         record.session->start();
         // Also a worker whose entry arrives late: its tasks may have been running while the entry was missing.
@@ -612,15 +612,15 @@
     }
 
     /// Updates a worker from its entry. The entry of a previous incarnation may arrive after the first report of the new one.
-    void noteEntry(WorkerBook& record, const DirectoryEntry& entry) const
+    void noteEntry(WorkerRecord& record, const DirectoryEntry& entry) const
     {
         record.listed = entry.listed;
         const std::int64_t startedAt = entry.worker.startedAt;
-        if (startedAt != 0 && record.formerStarts.contains(startedAt))
+        if (startedAt != 0 && record.previousStarts.contains(startedAt))
             return;
         record.entry = entry.worker;
         noteHall(record);
-        if (record.session->life().startedAt != 0 && !record.isEntryOfLife())
+        if (record.session->incarnation().startedAt != 0 && !record.isEntryOfIncarnation())
             record.session->noteRestart(startedAt);
     }
 
@@ -655,9 +655,9 @@
         HallWatch(term->state).run();
         // Cancellations take effect within 3 s, so no task starts on an older replica of the jobs. An idle watch is answered
         // every second.
-        const bool knowsCancels = term->state.knowsCancels();
-        noteReplica(knowsCancels);
-        if (!m_options.ownership->isHeld() || !knowsCancels || !m_options.evacuations->isConfirmed()) {
+        const bool areCancelsCurrent = term->state.areCancelsCurrent();
+        noteReplica(areCancelsCurrent);
+        if (!m_options.ownership->isHeld() || !areCancelsCurrent || !m_options.evacuations->isConfirmed()) {
             schedulePass(begin + idlePassInterval);
             return;
         }
@@ -690,8 +690,8 @@
         if (m_term->isInheritedSettled || !isSettled())
             return;
         m_term->isInheritedSettled = true;
-        m_term->reconciler.crashes().noteUnanswering();
-        m_term->reconciler.crashes().settleAbsent(m_term->unknownInstances == 0U && m_term->unreportedWorkers.empty());
+        m_term->reconciler.crashes().noteUnansweredWorkers();
+        m_term->reconciler.crashes().settleUnknownIncarnations(m_term->unknownInstances == 0U && m_term->unreportedWorkers.empty());
     }
 
     /// Logs when starts begin to wait for a newer replica of the jobs, and when they resume.
@@ -707,7 +707,7 @@
     [[nodiscard]] bool isUnreported(const std::string& id) const
     {
         const auto found = m_term->state.workers.find(id);
-        return found != m_term->state.workers.end() && !found->second.session->isMet() && !found->second.session->isLifeOver();
+        return found != m_term->state.workers.end() && !found->second.session->hasAnswered() && !found->second.session->isIncarnationOver();
     }
 
     /// An incarnation that a complete list does not name runs nowhere, if it was known before the time of the list.
@@ -729,9 +729,9 @@
     {
         std::vector<std::string> ended;
         for (const auto& [id, record] : m_term->state.workers) {
-            if (!record.unlistedSince || record.session->isLifeOver())
+            if (!record.unlistedSince || record.session->isIncarnationOver())
                 continue;
-            const bool isGone = !record.session->isMet() || (record.session->isSilent() && m_options.loop->now() - *record.unlistedSince >= fleetListLag);
+            const bool isGone = !record.session->hasAnswered() || (record.session->isUnresponsive() && m_options.loop->now() - *record.unlistedSince >= fleetListLag);
             if (isGone)
                 ended.push_back(id);
         }
@@ -744,7 +744,7 @@
     {
         OwnerState& state = m_term->state;
         std::erase_if(state.waits, [&](const auto& entry) { return !state.jobs.contains(entry.first.first); });
-        std::erase_if(state.walked, [&](const auto& entry) {
+        std::erase_if(state.individualJobs, [&](const auto& entry) {
             const JobState& job = entry.second->state;
             if (!isFinal(job.status()))
                 return false;
@@ -759,15 +759,15 @@
     void dropEndedWorkers()
     {
         std::erase_if(m_term->state.workers, [&](const auto& entry) {
-            const WorkerBook& record = entry.second;
-            const bool ended = record.session->isLifeOver() || m_options.loop->now() >= record.session->leaseOverBy();
-            const bool isDropped = !record.listed && ended && record.bookings.empty() && (record.session->isLifeOver() || record.session->isSilent());
+            const WorkerRecord& record = entry.second;
+            const bool ended = record.session->isIncarnationOver() || m_options.loop->now() >= record.session->leaseExpiresBy();
+            const bool isDropped = !record.listed && ended && record.reservations.empty() && (record.session->isIncarnationOver() || record.session->isUnresponsive());
             if (isDropped)
                 m_term->state.hallLosses.noteGone(entry.first);
             return isDropped;
         });
         if (m_term->isInheritedSettled)
-            m_term->reconciler.crashes().settleAbsent(false);
+            m_term->reconciler.crashes().settleUnknownIncarnations(false);
     }
 
     JobSchedulerOptions m_options;
--- a/src/jobs/owner/ownership_keeper.cpp
+++ b/src/jobs/owner/ownership_manager.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/owner/ownership_keeper.h"
+#include "lanemoor/jobs/owner/ownership_manager.h"
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/store/store_mirror.h"
@@ -10,21 +10,21 @@
 
 namespace {
 
-/// Kept free at the end of a lease for what was decided just before to leave this process.
+/// Reserve before the lease expires, for commands that were decided just before to leave this process.
 constexpr Millis leaseMargin { 100 };
 
-/// Between two leases that are ended for lost owners: whoever is wrong about one must not go on so.
-constexpr Millis endLostPause { 10'000 };
+/// Between two revocations: a process that wrongly takes owners for crashed must not revoke one lease after another.
+constexpr Millis revocationPause { 10'000 };
 
-/// \returns Whether `holder` is an earlier process of the instance of `own`.
-bool isFormerLife(const std::string& holder, const std::string& own)
+/// \returns Whether `holder` is a previous process on the instance of `own`.
+bool isPreviousProcess(const std::string& holder, const std::string& own)
 {
     return holder != own && holder.substr(0, holder.rfind('-')) == own.substr(0, own.rfind('-'));
 }
 
 } // namespace
 
-class OwnershipKeeper::Impl : public std::enable_shared_from_this<OwnershipKeeper::Impl> {
+class OwnershipManager::Impl : public std::enable_shared_from_this<OwnershipManager::Impl> {
 public:
     Impl(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
         : m_loop(loop)
@@ -39,7 +39,7 @@
 
     void start()
     {
-        m_claimFrom = m_loop.now() + m_options.claimDelay;
+        m_nextClaimAt = m_loop.now() + m_options.claimDelay;
         compete();
     }
 
@@ -51,8 +51,8 @@
             later(&Impl::compete);
             return;
         }
-        if (m_loop.now() < m_claimFrom) {
-            m_loop.callAt(m_claimFrom, [self = weak_from_this()] {
+        if (m_loop.now() < m_nextClaimAt) {
+            m_loop.callAt(m_nextClaimAt, [self = weak_from_this()] {
                 if (const auto impl = self.lock())
                     impl->compete();
             });
@@ -85,14 +85,14 @@
         m_holder = owner ? owner->holder : std::string();
         m_holderPeer = owner ? owner->peer : std::string();
         m_holderLease = owner ? item.lease : 0;
-        // This process began after that one ended: they are of one instance.
-        if (owner && !m_held && isFormerLife(m_holder, m_options.holder))
-            endHolderLease();
+        // Both run on one instance, and this process started after the owner's process had exited.
+        if (owner && !m_held && isPreviousProcess(m_holder, m_options.holder))
+            revokeHolderLease();
         if (m_held && item.revision > m_ownership.epoch)
-            lose();
+            loseOwnership();
         if (!item.removed)
             return;
-        m_claimFrom = std::max(m_claimFrom, m_loop.now() + m_options.claimDelay);
+        m_nextClaimAt = std::max(m_nextClaimAt, m_loop.now() + m_options.claimDelay);
         compete();
     }
 
@@ -102,13 +102,13 @@
             sendRenewal();
     }
 
-    void endLost(const std::string& peer)
+    void revokeCrashedOwner(const std::string& peer)
     {
         const MonotonicInstant now = m_loop.now();
-        if (m_held || m_holderPeer != peer || peer.empty() || now < m_endLostFrom)
+        if (m_held || m_holderPeer != peer || peer.empty() || now < m_nextRevocationAt)
             return;
-        m_endLostFrom = now + endLostPause;
-        endHolderLease();
+        m_nextRevocationAt = now + revocationPause;
+        revokeHolderLease();
     }
 
     void release(const std::function<void()>& done)
@@ -122,21 +122,21 @@
         m_store.endLease(m_lease, [self = shared_from_this(), done](const LeaseResult&) { done(); });
     }
 
-    void lose()
+    void loseOwnership()
     {
         if (!m_held)
             return;
         m_held = false;
         m_observer.lost();
-        // What is left of the lease is given back, so that the next owner need not wait for it.
+        // Revoked so that the next owner doesn't wait for its expiry.
         m_store.endLease(m_lease, [](const LeaseResult&) {});
         later(&Impl::compete);
     }
 
     void resign(Millis pause)
     {
-        m_claimFrom = m_loop.now() + pause;
-        lose();
+        m_nextClaimAt = m_loop.now() + pause;
+        loseOwnership();
     }
 
     [[nodiscard]] bool isHeld() const { return m_held && m_loop.now() < m_validUntil; }
@@ -149,12 +149,12 @@
     [[nodiscard]] bool isOwned() const { return m_held || m_mirror.revisionOf(m_ownerKey) != 0; }
 
 private:
-    void endHolderLease()
+    void revokeHolderLease()
     {
         if (m_holderLease == 0)
             return;
-        if (m_observer.endsLost)
-            m_observer.endsLost(m_holder);
+        if (m_observer.revokingLease)
+            m_observer.revokingLease(m_holder);
         m_store.endLease(std::exchange(m_holderLease, 0), [](const LeaseResult&) {});
     }
 
@@ -203,7 +203,7 @@
             m_observer.claimFailed(outcome);
     }
 
-    /// A claim whose answer was lost may be carried out later: without its lease it can't be.
+    /// Without the lease, a claim whose response was lost can't be carried out later.
     void abandonClaim()
     {
         m_claiming = false;
@@ -236,8 +236,8 @@
         });
     }
 
-    /// Past its lease's time the ownership is not used, but it may still stand: while the store is
-    /// away, leases may wait. Only the store's word ends it, or another owner.
+    /// After the lease time the ownership is suspended but may still be valid: while the store is
+    /// unavailable, leases may not expire. Only a reply of the store or another owner ends it.
     void renew()
     {
         if (m_loop.now() >= m_validUntil)
@@ -254,7 +254,7 @@
             if (!self->m_held || self->m_ownership.epoch != epoch)
                 return;
             if (result.outcome == StoreOutcome::NotFound) {
-                self->lose();
+                self->loseOwnership();
                 return;
             }
             if (result.outcome == StoreOutcome::Done)
@@ -288,17 +288,17 @@
     bool m_claiming = false;
     bool m_held = false;
     bool m_released = false;
-    bool m_suspended = false; ///< Held, but its lease may be over.
+    bool m_suspended = false; ///< Held, but the lease may have expired.
     std::uint64_t m_lease = 0;
     std::uint64_t m_lastTerm = 0;
-    std::string m_holder; ///< By the store's word.
-    std::string m_holderPeer; ///< The same holder's address for peers.
-    std::uint64_t m_holderLease = 0; ///< That its key is bound to; 0: not known, or ended from here.
-    MonotonicInstant m_endLostFrom; ///< No lease is ended for a lost owner before this.
+    std::string m_holder; ///< As read from the store.
+    std::string m_holderPeer; ///< Address of this holder for peers.
+    std::uint64_t m_holderLease = 0; ///< Lease of the holder's key; 0: unknown, or already revoked by this process.
+    MonotonicInstant m_nextRevocationAt; ///< Time of the next revocation at the earliest.
     std::uint64_t m_claimedTerm = 0;
     Ownership m_ownership;
     MonotonicInstant m_validUntil;
-    MonotonicInstant m_claimFrom;
+    MonotonicInstant m_nextClaimAt;
     MonotonicInstant m_heldSince;
 };
 
@@ -307,84 +307,84 @@
     return instance + '-' + std::to_string(startedAt.time_since_epoch().count());
 }
 
-OwnershipKeeper::OwnershipKeeper(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
+OwnershipManager::OwnershipManager(EventLoop& loop, KeyValueStore& store, const StoreMirror& mirror, OwnershipOptions options, OwnershipObserver observer)
     : m_impl(std::make_shared<Impl>(loop, store, mirror, std::move(options), std::move(observer)))
 {
 }
 
-OwnershipKeeper::~OwnershipKeeper() = default;
+OwnershipManager::~OwnershipManager() = default;
 
-void OwnershipKeeper::start()
+void OwnershipManager::start()
 {
     m_impl->start();
 }
 
-void OwnershipKeeper::renewNow()
+void OwnershipManager::renewNow()
 {
     m_impl->renewNow();
 }
 
-void OwnershipKeeper::observe(const StoreItem& item)
+void OwnershipManager::observe(const StoreItem& item)
 {
     m_impl->observe(item);
 }
 
-void OwnershipKeeper::release(const std::function<void()>& done)
+void OwnershipManager::release(const std::function<void()>& done)
 {
     m_impl->release(done);
 }
 
-void OwnershipKeeper::endLost(const std::string& peer)
+void OwnershipManager::revokeCrashedOwner(const std::string& peer)
 {
-    m_impl->endLost(peer);
+    m_impl->revokeCrashedOwner(peer);
 }
 
-void OwnershipKeeper::noteSuperseded()
+void OwnershipManager::noteSuperseded()
 {
-    m_impl->lose();
+    m_impl->loseOwnership();
 }
 
-void OwnershipKeeper::resign(Millis pause)
+void OwnershipManager::resign(Millis pause)
 {
     m_impl->resign(pause);
 }
 
-bool OwnershipKeeper::isHeld() const noexcept
+bool OwnershipManager::isHeld() const noexcept
 {
     return m_impl->isHeld();
 }
 
-MonotonicInstant OwnershipKeeper::heldSince() const noexcept
+MonotonicInstant OwnershipManager::heldSince() const noexcept
 {
     return m_impl->heldSince();
 }
 
-const Ownership& OwnershipKeeper::ownership() const noexcept
+const Ownership& OwnershipManager::ownership() const noexcept
 {
     return m_impl->ownership();
 }
 
-KeyRevision OwnershipKeeper::condition() const
+KeyRevision OwnershipManager::condition() const
 {
     return m_impl->condition();
 }
 
-std::string OwnershipKeeper::holder() const
+std::string OwnershipManager::holder() const
 {
     return m_impl->holder();
 }
 
-std::string OwnershipKeeper::holderPeer() const
+std::string OwnershipManager::holderPeer() const
 {
     return m_impl->holderPeer();
 }
 
-std::uint64_t OwnershipKeeper::lastTerm() const noexcept
+std::uint64_t OwnershipManager::lastTerm() const noexcept
 {
     return m_impl->lastTerm();
 }
 
-bool OwnershipKeeper::isOwned() const noexcept
+bool OwnershipManager::isOwned() const noexcept
 {
     return m_impl->isOwned();
 }
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -41,7 +41,7 @@
     if (!settled)
         m_state.endInheritedWaits();
     m_state.waitingJobs.moveHopeless(m_now);
-    for (auto next = m_state.walked.begin(); next != m_state.walked.end();) {
+    for (auto next = m_state.individualJobs.begin(); next != m_state.individualJobs.end();) {
         OwnerJob& job = *(next++)->second;
         if (isFinal(job.state.status()))
             continue;
@@ -50,7 +50,7 @@
             continue;
         }
         // Most jobs only run: a pass inspects just the jobs that changed or wait.
-        if (job.quietSince == job.state.changes())
+        if (job.blockedAtChange == job.state.changes())
             continue;
         openDueOccurrences(job);
         if (m_state.beginWait(job, m_now))
@@ -102,10 +102,10 @@
 {
     std::map<const OrganisationAccount*, Resources> used;
     PoolRoom room;
-    for (const WorkerBook* record : sites.records) {
-        if (record->isOpen(m_now) || !record->bookings.empty())
+    for (const WorkerRecord* record : sites.records) {
+        if (record->isOpen(m_now) || !record->reservations.empty())
             room.capacity += record->entry.capacity;
-        for (const auto& [account, resources] : record->bookings.usedByAccount())
+        for (const auto& [account, resources] : record->reservations.usedByAccount())
             used[account] += resources;
     }
     for (const auto& [account, resources] : used)
@@ -162,9 +162,9 @@
             { .priority = queue ? queue->priority : 0, .hopeless = *hopeless, .beyondRate = job.beyondRate && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks) });
     }
     if (!hopeless && !startsByTime)
-        job.quietSince = job.state.changes();
+        job.blockedAtChange = job.state.changes();
     else
-        job.quietSince.reset();
+        job.blockedAtChange.reset();
 }
 
 /// Charges all idle tasks of an inherited job to the quota: they may run on workers that have not reported yet.
@@ -209,10 +209,10 @@
         return sites;
     std::vector<PlacementSite> list;
     list.reserve(sites.records.size());
-    for (const WorkerBook* record : sites.records) {
+    for (const WorkerRecord* record : sites.records) {
         list.push_back(record->site(m_now));
         sites.livenessChecks += m_now < record->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.wantedLevelOf(record->entry);
+        list.back().wanted = m_state.labelDemandOf(record->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
@@ -248,7 +248,7 @@
     static const std::map<std::string, std::string> none;
     if (candidate.queue && candidate.queue->advice) {
         std::vector<std::string> workers;
-        for (const WorkerBook* record : sites.records) {
+        for (const WorkerRecord* record : sites.records) {
             if (record->isOpen(m_now))
                 workers.push_back(record->entry.id);
         }
@@ -272,7 +272,7 @@
     return query;
 }
 
-std::string PlacementPass::ticketFor(const WorkerBook& record) const
+std::string PlacementPass::ticketFor(const WorkerRecord& record) const
 {
     if (!m_tickets)
         return {};
@@ -336,7 +336,7 @@
             noteWait(candidate, sites, query, candidate.tasks.size() - i);
             return;
         }
-        WorkerBook& record = *sites.records[*site];
+        WorkerRecord& record = *sites.records[*site];
         if (!m_dispatcher.start(*candidate.job, task, candidate.job->state.nextAttempt(task), record, ticketFor(record)))
             continue;
         reserveAt(sites, *site, step, query);
@@ -351,7 +351,7 @@
 {
     std::map<std::string, std::uint32_t> tasks;
     for (const TaskState& task : candidate.job->state.steps().at(candidate.step).tasks) {
-        const WorkerBook* record = task.live ? m_state.worker(task.live->worker) : nullptr;
+        const WorkerRecord* record = task.live ? m_state.worker(task.live->worker) : nullptr;
         if (record && record->isHallOpen())
             ++tasks[record->entry.dataHall];
     }
@@ -369,12 +369,12 @@
 }
 
 /// \returns The query, narrowed to sites that pass `admits` and at which the outcome of a suspect's start can be determined.
-PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerBook&)> admits) const
+PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const
 {
     PlacementQuery narrow = query;
     const bool mustBeEstablished = query.suspicion >= crashesToIsolate;
     narrow.admits = [this, &sites, mustBeEstablished, mayTake = query.admits, admits = std::move(admits)](std::size_t index) {
-        const WorkerBook& record = *sites.records[index];
+        const WorkerRecord& record = *sites.records[index];
         return (!mustBeEstablished || record.isEstablished(m_now)) && admits(record) && (!mayTake || mayTake(index));
     };
     return narrow;
@@ -383,19 +383,19 @@
 /// Chooses only among probably live workers: the crash of a dead worker would be attributed to the suspect.
 std::optional<std::size_t> PlacementPass::chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const
 {
-    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerBook& record) { return record.isProbablyUp(m_now); }));
+    return sites.placer->choose(step, narrowed(query, sites, [this](const WorkerRecord& record) { return record.isProbablyUp(m_now); }));
 }
 
 /// Probes a few workers. The suspect starts in the pass after the first answer.
 void PlacementPass::checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
     ++sites.waitingSuspects;
-    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerBook& record) { return m_now >= record.nextLivenessCheckAt; });
+    const PlacementQuery unasked = narrowed(query, sites, [this](const WorkerRecord& record) { return m_now >= record.nextLivenessCheckAt; });
     while (sites.livenessChecks < livenessChecksPerSuspect * sites.waitingSuspects) {
         const std::optional<std::size_t> site = sites.placer->choose(step, unasked);
         if (!site)
             return;
-        WorkerBook& record = *sites.records[*site];
+        WorkerRecord& record = *sites.records[*site];
         record.checkLiveness(m_now, m_state.responses.overdueAfter());
         requestWakeAt(record.livenessCheckDueAt);
         ++sites.livenessChecks;
@@ -473,7 +473,7 @@
         return;
     if (step.sameRack) {
         std::vector<std::string> racks;
-        for (const WorkerBook* record : sites.records)
+        for (const WorkerRecord* record : sites.records)
             racks.push_back(record->entry.rack);
         std::sort(racks.begin(), racks.end());
         racks.erase(std::unique(racks.begin(), racks.end()), racks.end());
@@ -520,7 +520,7 @@
     }
     const std::uint64_t number = job.nextAttempt(candidate.tasks.front());
     for (std::size_t i = 0; i < chosen.size(); ++i) {
-        WorkerBook& record = *sites.records[chosen[i]];
+        WorkerRecord& record = *sites.records[chosen[i]];
         m_dispatcher.start(*candidate.job, candidate.tasks[i], number, record, ticketFor(record), hasSuspect);
         if (m_fair)
             m_fair->noteStarted(candidate, footprint(step));
--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -31,16 +31,16 @@
 {
 }
 
-void StatusReconciler::onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::onRenewalAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
     const WorkMeter::Piece piece(m_state.options.meter, WorkKind::Reports);
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
-    if (!worker->met) {
-        worker->met = true;
+    if (!worker->hasReported) {
+        worker->hasReported = true;
         m_state.options.log->decision("worker-met",
-            { { "worker", session.life().id }, { "running", static_cast<std::int64_t>(result.running.size()) }, { "ended", static_cast<std::int64_t>(result.ended.size()) } });
+            { { "worker", session.incarnation().id }, { "running", static_cast<std::int64_t>(result.running.size()) }, { "ended", static_cast<std::int64_t>(result.ended.size()) } });
     }
     handleEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running)
@@ -54,7 +54,7 @@
 }
 
 /// Handles ended attempts, and acknowledges them to the worker once they are stored.
-void StatusReconciler::handleEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
+void StatusReconciler::handleEnds(WorkerRecord& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends)
 {
     std::uint64_t last = 0;
     for (const EndedAttempt& ended : ends) {
@@ -70,9 +70,9 @@
     });
 }
 
-void StatusReconciler::handleEnded(WorkerBook& worker, const EndedAttempt& ended)
+void StatusReconciler::handleEnded(WorkerRecord& worker, const EndedAttempt& ended)
 {
-    worker.bookings.erase(ended.attempt);
+    worker.reservations.erase(ended.attempt);
     worker.starts.noteSettled(ended.attempt);
     OwnerJob* job = m_state.job(ended.attempt.job);
     if (!job)
@@ -86,7 +86,7 @@
     m_state.endWait(*job);
     // Any reported end proves that the worker survived the attempt.
     m_crashes.noteSurvived(worker, *job, ended.attempt);
-    const EndEffect effect = job->state.end(ended, worker.entry.id, m_state.mostAttemptsOf(job->state), m_state.now());
+    const EndEffect effect = job->state.end(ended, worker.entry.id, m_state.maxAttemptsOf(job->state), m_state.now());
     m_state.options.log->decision("task-end",
         { { "attempt", nameOf(ended.attempt) }, { "worker", worker.entry.id }, { "end", std::string(nameOf(ended.end)) }, { "counted", std::int64_t { effect.counted } } });
     m_counts.successes += effect.counted && ended.end == AttemptEnd::Succeeded ? 1 : 0;
@@ -102,7 +102,7 @@
         m_dispatcher.finish(*job);
 }
 
-void StatusReconciler::handleRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock)
+void StatusReconciler::handleRunning(WorkerRecord& worker, const RunningAttempt& report, std::int64_t workerClock)
 {
     OwnerJob* job = m_state.job(report.attempt.job);
     const TaskState* task = job ? job->state.find(report.attempt.task) : nullptr;
@@ -114,7 +114,7 @@
     }
     if (task && job->state.adopt(report.attempt, worker.entry.id, m_state.now())) {
         m_state.endWait(*job);
-        worker.bookings.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
+        worker.reservations.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
         job->state.noteReport(report, m_state.now());
         m_state.options.log->decision("task-adopted", { { "attempt", nameOf(report.attempt) }, { "worker", worker.entry.id } });
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
@@ -139,9 +139,9 @@
 
 /// Handles ends, which are final in any order of answers, and settles starts and stops whose outcome is unknown. The running
 /// attempts may be older than those of an earlier answer.
-void StatusReconciler::onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::onProbeAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     handleEnds(*worker, session, result.ended);
@@ -157,7 +157,7 @@
             || std::any_of(result.ended.begin(), result.ended.end(), [&](const EndedAttempt& ended) { return ended.attempt == attempt; });
     };
     std::vector<Attempt> missing;
-    for (const auto& [attempt, reservation] : worker->bookings) {
+    for (const auto& [attempt, reservation] : worker->reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker->entry.id);
         const bool hasUnknownOutcome = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
         if (hasUnknownOutcome && !isListed(attempt))
@@ -171,7 +171,7 @@
 
 /// \returns The step of an attempt, also if its job ended before this term. For an unknown job, a step that takes the whole
 /// worker.
-std::shared_ptr<const StepSpec> StatusReconciler::specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const
+std::shared_ptr<const StepSpec> StatusReconciler::specOf(const WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job) const
 {
     const CatalogEntry* entry = m_state.options.catalog->find(attempt.job);
     const std::vector<StepSpec>* steps = nullptr;
@@ -194,10 +194,10 @@
 }
 
 /// Stops an attempt whose job has ended or whose task runs elsewhere.
-void StatusReconciler::stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job)
+void StatusReconciler::stopStray(WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job)
 {
-    if (!worker.bookings.contains(attempt))
-        worker.bookings.put(attempt, { .step = specOf(worker, attempt, job), .account = accountOf(attempt, job) });
+    if (!worker.reservations.contains(attempt))
+        worker.reservations.put(attempt, { .step = specOf(worker, attempt, job), .account = accountOf(attempt, job) });
     MonotonicInstant& stopAgainAt = worker.strayStops[attempt];
     if (m_state.now() < stopAgainAt)
         return;
@@ -205,10 +205,10 @@
     m_dispatcher.stop(attempt, worker.entry.id);
 }
 
-void StatusReconciler::settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt)
+void StatusReconciler::settleMissing(WorkerRecord& worker, const RenewResult& result, MonotonicInstant sentAt)
 {
     std::vector<Attempt> missing;
-    for (const auto& [attempt, reservation] : worker.bookings) {
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const auto isThis = [&wanted = attempt](const RunningAttempt& running) { return running.attempt == wanted; };
         if (std::none_of(result.running.begin(), result.running.end(), isThis))
             missing.push_back(attempt);
@@ -217,11 +217,11 @@
         settleMissing(worker, attempt, result.workerClock, sentAt);
 }
 
-void StatusReconciler::settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
+void StatusReconciler::settleMissing(WorkerRecord& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt)
 {
     const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
     if (!task) {
-        worker.bookings.erase(attempt);
+        worker.reservations.erase(attempt);
         worker.starts.noteSettled(attempt);
         return;
     }
@@ -256,11 +256,11 @@
     m_dispatcher.release(attempt, worker.entry.id, m_state.now());
 }
 
-void StatusReconciler::stopStalled(WorkerBook& worker)
+void StatusReconciler::stopStalled(WorkerRecord& worker)
 {
     const MonotonicInstant now = m_state.now();
     std::vector<Attempt> stalled;
-    for (const auto& [attempt, reservation] : worker.bookings) {
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         if (!task || !task->live || task->live->phase != AttemptPhase::Running || reservation.step->bestEffort)
@@ -282,13 +282,13 @@
     }
 }
 
-void StatusReconciler::adjustThrottle(WorkerBook& worker, const RenewResult& result)
+void StatusReconciler::adjustThrottle(WorkerRecord& worker, const RenewResult& result)
 {
     double maxLoadRatio = 0;
     bool hasBestEffort = false;
     for (const RunningAttempt& running : result.running) {
-        const auto reservation = worker.bookings.find(running.attempt);
-        if (reservation == worker.bookings.end())
+        const auto reservation = worker.reservations.find(running.attempt);
+        if (reservation == worker.reservations.end())
             continue;
         const Millis target = reservation->second.step->latencyTarget;
         if (target.count() > 0)
@@ -299,9 +299,9 @@
         m_dispatcher.throttle(worker, worker.throttle.update(maxLoadRatio, m_state.now()));
 }
 
-void StatusReconciler::onHeard(WorkerSession& session)
+void StatusReconciler::onAlive(WorkerSession& session)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     worker->hallLost = !m_state.hallLosses.noteAnswer(worker->entry.dataHall, worker->entry.id, m_state.now());
@@ -312,43 +312,43 @@
     m_crashes.noteAnswer(*worker);
 }
 
-void StatusReconciler::onOverdue(WorkerSession& session)
+void StatusReconciler::onProbeOverdue(WorkerSession& session)
 {
-    if (WorkerBook* worker = m_state.worker(session.life().id)) {
+    if (WorkerRecord* worker = m_state.worker(session.incarnation().id)) {
         m_health.noteProbeOverdue(*worker);
         m_crashes.noteOverdue(*worker);
     }
 }
 
-void StatusReconciler::onSilence(WorkerSession& session)
+void StatusReconciler::onUnresponsive(WorkerSession& session)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     m_crashes.noteSilence(*worker);
     noteHallStop(*worker, false);
-    m_state.options.log->decision("worker-silent", { { "worker", session.life().id }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
+    m_state.options.log->decision("worker-silent", { { "worker", session.incarnation().id }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
 }
 
-void StatusReconciler::onOver(WorkerSession& session, bool isIncarnationOver)
+void StatusReconciler::onEnded(WorkerSession& session, bool isIncarnationOver)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     m_state.options.log->decision("worker-over",
-        { { "worker", session.life().id }, { "life_over", std::int64_t { isIncarnationOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) } });
+        { { "worker", session.incarnation().id }, { "life_over", std::int64_t { isIncarnationOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
     releaseAll(*worker, {}, isIncarnationOver);
     if (isIncarnationOver) {
         noteHallStop(*worker, true);
-        m_state.options.workers->forget(session.life());
+        m_state.options.workers->forget(session.incarnation());
     }
     m_state.requestPass();
 }
 
 /// A planned end is no evidence of a lost data hall. A move whose answer was lost shows only as an unresponsive worker.
-void StatusReconciler::noteHallStop(const WorkerBook& worker, bool hasEnded)
+void StatusReconciler::noteHallStop(const WorkerRecord& worker, bool hasEnded)
 {
-    if (worker.endOrdered || worker.entry.draining || worker.evacuating)
+    if (worker.isEndOrdered || worker.entry.draining || worker.evacuating)
         m_state.hallLosses.noteGone(worker.entry.id);
     else
         m_state.hallLosses.noteStop(worker.entry.id, hasEnded, m_state.now());
@@ -357,20 +357,20 @@
 /// Releases the attempts of a worker whose incarnation has ended or whose lease has expired.
 /// \param unacknowledged Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
 /// \param isIncarnationOver False: only the lease has expired.
-void StatusReconciler::releaseAll(WorkerBook& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver)
+void StatusReconciler::releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver)
 {
     std::optional<Attempt> failed;
     if (isIncarnationOver)
-        failed = m_crashes.noteOver(worker);
+        failed = m_crashes.noteIncarnationEnd(worker);
     else
         m_crashes.noteLeaseExpired(worker);
-    Bookings::Map bookings = worker.bookings.takeAll();
-    for (auto& [attempt, reservation] : bookings) {
+    Bookings::Map reservations = worker.reservations.takeAll();
+    for (auto& [attempt, reservation] : reservations) {
         if (!unacknowledged.contains(attempt)) {
             m_dispatcher.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
             continue;
         }
-        worker.bookings.put(attempt, std::move(reservation));
+        worker.reservations.put(attempt, std::move(reservation));
         m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
     }
     if (failed)
@@ -378,18 +378,18 @@
 }
 
 /// Settles the crashes of an incarnation that is proved to have ended after its lease had expired.
-void StatusReconciler::settleExpired(WorkerBook& worker)
+void StatusReconciler::settleExpired(WorkerRecord& worker)
 {
-    if (const std::optional<Attempt> failed = m_crashes.noteOver(worker))
+    if (const std::optional<Attempt> failed = m_crashes.noteIncarnationEnd(worker))
         m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
 }
 
 /// \returns Live attempts that no report of the worker has shown. An answer to their start does not identify the incarnation, and
 /// without an answer the start may be executed later.
-std::set<Attempt> StatusReconciler::unacknowledgedStarts(const WorkerBook& worker) const
+std::set<Attempt> StatusReconciler::unacknowledgedStarts(const WorkerRecord& worker) const
 {
     std::set<Attempt> unacknowledged;
-    for (const auto& [attempt, reservation] : worker.bookings) {
+    for (const auto& [attempt, reservation] : worker.reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
         if (task && !task->live->listed && task->live->phase != AttemptPhase::Recording)
             unacknowledged.insert(attempt);
@@ -399,18 +399,18 @@
 
 void StatusReconciler::onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver)
 {
-    WorkerBook* worker = m_state.worker(session.life().id);
+    WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     const std::set<Attempt> unacknowledged = unacknowledgedStarts(*worker);
     m_state.options.log->decision("worker-restarted",
-        { { "worker", session.life().id }, { "started_at", startedAt }, { "former_start", session.life().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->bookings.size()) }, { "open_orders", static_cast<std::int64_t>(unacknowledged.size()) } });
+        { { "worker", session.incarnation().id }, { "started_at", startedAt }, { "former_start", session.incarnation().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) }, { "open_orders", static_cast<std::int64_t>(unacknowledged.size()) } });
     if (wasOver)
         settleExpired(*worker);
     else
         releaseAll(*worker, unacknowledged, true);
-    WorkerBook next { .entry = worker->entry, .knownSince = m_state.now(), .formerStarts = std::move(worker->formerStarts), .listed = worker->listed, .session = nullptr, .bookings = std::move(worker->bookings) };
-    next.formerStarts.insert(session.life().startedAt);
+    WorkerRecord next { .entry = worker->entry, .knownSince = m_state.now(), .previousStarts = std::move(worker->previousStarts), .listed = worker->listed, .session = nullptr, .reservations = std::move(worker->reservations) };
+    next.previousStarts.insert(session.incarnation().startedAt);
     noteHallStop(*worker, true);
     next.evacuating = worker->evacuating;
     next.evacuatingSince = worker->evacuatingSince;
@@ -421,7 +421,7 @@
 
 void StatusReconciler::onFenced(WorkerSession& session)
 {
-    m_state.options.log->change("fenced", { { "worker", session.life().id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) } });
+    m_state.options.log->change("fenced", { { "worker", session.incarnation().id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) } });
     m_state.options.ownership->noteSuperseded();
 }
 
--- a/src/jobs/owner/status_reconciler.h
+++ b/src/jobs/owner/status_reconciler.h
@@ -15,12 +15,12 @@
 public:
     StatusReconciler(OwnerState& state, HealthMonitor& health, CommandDispatcher& dispatcher, SchedulerCounts& counts);
 
-    void onAnswer(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
-    void onProbe(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
-    void onHeard(WorkerSession& session) override;
-    void onOverdue(WorkerSession& session) override;
-    void onSilence(WorkerSession& session) override;
-    void onOver(WorkerSession& session, bool isIncarnationOver) override;
+    void onRenewalAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
+    void onProbeAnswered(WorkerSession& session, const RenewResult& result, MonotonicInstant sentAt) override;
+    void onAlive(WorkerSession& session) override;
+    void onProbeOverdue(WorkerSession& session) override;
+    void onUnresponsive(WorkerSession& session) override;
+    void onEnded(WorkerSession& session, bool isIncarnationOver) override;
     void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) override;
     void onFenced(WorkerSession& session) override;
 
@@ -28,21 +28,21 @@
     [[nodiscard]] CrashTracker& crashes() noexcept { return m_crashes; }
 
 private:
-    void handleRunning(WorkerBook& worker, const RunningAttempt& report, std::int64_t workerClock);
-    void handleEnds(WorkerBook& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends);
-    void handleEnded(WorkerBook& worker, const EndedAttempt& ended);
-    [[nodiscard]] std::shared_ptr<const StepSpec> specOf(const WorkerBook& worker, const Attempt& attempt, const OwnerJob* job) const;
+    void handleRunning(WorkerRecord& worker, const RunningAttempt& report, std::int64_t workerClock);
+    void handleEnds(WorkerRecord& worker, WorkerSession& session, const std::vector<EndedAttempt>& ends);
+    void handleEnded(WorkerRecord& worker, const EndedAttempt& ended);
+    [[nodiscard]] std::shared_ptr<const StepSpec> specOf(const WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job) const;
     [[nodiscard]] OrganisationAccount* accountOf(const Attempt& attempt, const OwnerJob* job) const;
-    void stopStray(WorkerBook& worker, const Attempt& attempt, const OwnerJob* job);
-    void settleMissing(WorkerBook& worker, const RenewResult& result, MonotonicInstant sentAt);
-    void settleMissing(WorkerBook& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt);
+    void stopStray(WorkerRecord& worker, const Attempt& attempt, const OwnerJob* job);
+    void settleMissing(WorkerRecord& worker, const RenewResult& result, MonotonicInstant sentAt);
+    void settleMissing(WorkerRecord& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt);
     void confirm(const RunningAttempt& report, std::int64_t workerClock);
-    void stopStalled(WorkerBook& worker);
-    void releaseAll(WorkerBook& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver);
-    void noteHallStop(const WorkerBook& worker, bool hasEnded);
-    void settleExpired(WorkerBook& worker);
-    [[nodiscard]] std::set<Attempt> unacknowledgedStarts(const WorkerBook& worker) const;
-    void adjustThrottle(WorkerBook& worker, const RenewResult& result);
+    void stopStalled(WorkerRecord& worker);
+    void releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver);
+    void noteHallStop(const WorkerRecord& worker, bool hasEnded);
+    void settleExpired(WorkerRecord& worker);
+    [[nodiscard]] std::set<Attempt> unacknowledgedStarts(const WorkerRecord& worker) const;
+    void adjustThrottle(WorkerRecord& worker, const RenewResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
