--- a/include/lanemoor/jobs/policy/admission_options.h
+++ b/include/lanemoor/jobs/policy/admission_options.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What can be switched and weighed in how organisations share the fleet.
+/// Settings of how organisations share the fleet.
 
 #include "lanemoor/decisions/time.h"
 
@@ -8,19 +8,19 @@
 
 namespace lanemoor::jobs {
 
-/// Weights of admission and of shares. They have an effect only where the configuration names organisations.
+/// Settings of admission and of organisations' shares. They have an effect only if the configuration names organisations.
 struct AdmissionOptions {
-    /// Whether organisations get shares of full pools, and jobs that can't be served in time are refused. Off: where load comes by turns,
-    /// jobs are refused that the next moves of instances would serve.
+    /// Whether organisations get shares of full pools and jobs that cannot be served in time are refused. If load alternates
+    /// between pools, this refuses jobs that the next instance moves would serve.
     bool enabled = false;
-    /// A job that could not end within so many times its objective is refused. Later completion is worth nothing to its caller.
+    /// A job that cannot end within this multiple of its objective is refused: later completion has no value to its caller.
     double lateFactor = 3.0;
-    Millis grantEvery { 250 }; ///< Between two computations of what may be admitted.
-    Millis grantValidity { 2'000 }; ///< An entry instance that hears nothing newer falls back to the safe share after this.
-    /// An organisation below its share that started nothing for half a second holds others back until it starts something, for this
-    /// long at most.
+    Millis grantEvery { 250 }; ///< Interval between two computations of the admission budgets.
+    Millis grantValidity { 2'000 }; ///< An entry that receives no newer grant falls back to the safe share after this.
+    /// Max time for which an organisation below its share that started nothing for half a second blocks others. The block also
+    /// ends when it starts something.
     Millis deficitMemory { 2'000 };
-    /// Waiting jobs of one organisation and queue that a pass looks at in vain before it turns to the next ones.
+    /// Waiting jobs of one organisation and queue that may fail to fit in one pass before the pass moves on to the next group.
     std::uint32_t missesOfGroup = 8;
 
     [[nodiscard]] bool operator==(const AdmissionOptions&) const = default;
--- a/include/lanemoor/jobs/policy/bookings.h
+++ b/include/lanemoor/jobs/policy/bookings.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What attempts take at one worker, until they are over.
+/// Resource reservations of the attempts at one worker.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/job_record.h"
@@ -15,45 +15,45 @@
 
 struct OrganisationAccount;
 
-/// What an attempt takes at its worker until it is over.
+/// Resources that an attempt reserves at its worker until it ends.
 struct Booking {
     std::shared_ptr<const StepSpec> step;
-    OrganisationAccount* account = nullptr; ///< That the attempt counts for, by all that its step asks; null: nobody's.
-    std::uint32_t throttledTo = 100; ///< Percent that the worker was last told.
-    MonotonicInstant endsBy; ///< When it should have ended, by its declared time and what is observed.
-    std::uint32_t suspicion = 0; ///< Crashes that may be its task's doing; 0 once the worker has survived the start.
+    OrganisationAccount* account = nullptr; ///< Account charged with the step's full needs; null: none.
+    std::uint32_t throttledTo = 100; ///< Percent last sent to the worker.
+    MonotonicInstant endsBy; ///< Expected end, from the declared time corrected by observed run times.
+    std::uint32_t suspicion = 0; ///< Crashes that its task may have caused; 0 once the worker has survived the start.
 };
 
-/// \brief The bookings at one worker, and their sums, which placement asks for at each pass.
+/// \brief The reservations at one worker and their sums, which placement reads in each pass.
 ///
 /// \code
-/// bookings.put(attempt, { .step = step });
-/// const Resources free = capacity - bookings.used();
+/// reservations.put(attempt, { .step = step });
+/// const Resources free = capacity - reservations.used();
 /// \endcode
 class Bookings {
 public:
     using Map = std::map<Attempt, Booking>;
 
-    /// \brief Books an attempt; one that is booked already is booked anew.
+    /// \brief Adds a reservation or replaces the attempt's existing one.
     void put(const Attempt& attempt, Booking booking);
 
-    /// \brief Takes an attempt out of the books, if it stands there.
+    /// \brief Removes an attempt's reservation, if it has one.
     void erase(const Attempt& attempt);
 
-    /// \brief Empties the books. \returns What stood there.
+    /// \brief Removes all reservations. \returns The removed ones.
     Map takeAll();
 
-    /// \brief Notes what the worker was told last; ignored if the attempt is not booked.
+    /// \brief Records the percent last sent to the worker; ignored if the attempt has no reservation.
     void noteThrottled(const Attempt& attempt, std::uint32_t percent);
 
-    /// \brief Notes that the worker may not survive the attempt's start; ignored if the attempt is not booked.
-    /// \param suspicion Crashes that may be its task's doing, this one included.
+    /// \brief Records that the worker may not survive the attempt's start; ignored if the attempt has no reservation.
+    /// \param suspicion Crashes that the task may have caused, this one included.
     void noteSuspect(const Attempt& attempt, std::uint32_t suspicion);
 
-    /// \brief Notes that the worker has survived the attempt's start; ignored if the attempt is not booked.
+    /// \brief Records that the worker has survived the attempt's start; ignored if the attempt has no reservation.
     void noteSurvived(const Attempt& attempt);
 
-    /// \name The bookings
+    /// \name Reservations
     ///@{
     [[nodiscard]] Map::const_iterator begin() const noexcept { return m_bookings.begin(); }
     [[nodiscard]] Map::const_iterator end() const noexcept { return m_bookings.end(); }
@@ -66,18 +66,18 @@
 
     /// \name Sums
     ///@{
-    /// \returns What all of them take of the worker's capacity.
+    /// \returns The part of the worker's capacity that all reservations take.
     [[nodiscard]] const Resources& used() const noexcept { return m_used; }
 
-    /// \returns The same by the account that it counts for, without what counts for nobody.
+    /// \returns The same by account, without reservations that have no account.
     [[nodiscard]] const std::map<const OrganisationAccount*, Resources>& usedByAccount() const noexcept { return m_usedByAccount; }
 
-    /// \returns Tasks with a latency target.
+    /// \returns Number of tasks with a latency target.
     [[nodiscard]] std::uint32_t servingTasks() const noexcept { return m_servingTasks; }
 
     [[nodiscard]] std::uint32_t bestEffortTasks() const noexcept { return m_bestEffortTasks; }
 
-    /// \returns Attempts of suspect tasks and their suspicion, while the worker has not survived their start.
+    /// \returns Suspect attempts whose start the worker has not survived yet, with their suspicion.
     [[nodiscard]] const std::map<Attempt, std::uint32_t>& suspects() const noexcept { return m_suspects; }
     ///@}
 
--- a/include/lanemoor/jobs/policy/call_budget.h
+++ b/include/lanemoor/jobs/policy/call_budget.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Token bucket for calls to an interface with a rate limit. Pure: time is passed in.
+/// Token bucket for calls to a rate-limited interface. Pure: time is passed in.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -8,7 +8,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Holds at most one second's worth of calls.
+/// \brief A bucket that holds at most one second's worth of calls.
 ///
 /// \code
 /// CallBudget budget(590.0, now);
@@ -17,20 +17,20 @@
 /// \endcode
 class CallBudget {
 public:
-    /// \brief A budget without limit.
+    /// \brief A budget without a limit.
     CallBudget() = default;
 
-    /// \brief A full budget: a takeover lasts about as long as the bucket takes to fill.
+    /// \brief A full budget, since a takeover lasts about as long as the bucket takes to fill.
     /// \param perSecond The rate; 0: no limit.
     CallBudget(double perSecond, MonotonicInstant now);
 
-    /// \returns Whole calls that may be made now.
+    /// \returns Number of whole calls that may be made now.
     [[nodiscard]] std::size_t available(MonotonicInstant now);
 
-    /// \brief Counts calls that are made now.
+    /// \brief Removes tokens for calls that are made now.
     void take(std::size_t calls);
 
-    /// \brief The interface refused a call over its rate: whoever else calls it has used it up.
+    /// \brief Empties the bucket after the interface refused a call over its rate: another client has used the rate up.
     void drain() noexcept { m_tokens = 0; }
 
 private:
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Decides how many instances each pool has, by the load of its jobs. Pure.
+/// Plans how many instances each pool has, from the load of its jobs. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/pool_load.h"
@@ -16,7 +16,7 @@
 
 namespace lanemoor::jobs {
 
-/// An instance that is to change pool.
+/// A move of an instance to another pool.
 struct CapacityMove {
     std::string instance;
     std::string from;
@@ -25,7 +25,7 @@
     [[nodiscard]] bool operator==(const CapacityMove&) const = default;
 };
 
-/// An instance that is to be emptied, so that a pool that has less can get it.
+/// A drain of an instance, so that a pool with less capacity can get it.
 struct CapacityDrain {
     std::string instance;
     std::string worker;
@@ -35,46 +35,45 @@
     [[nodiscard]] bool operator==(const CapacityDrain&) const = default;
 };
 
-/// What to do now.
+/// Actions to take now.
 struct CapacityStep {
     std::vector<CapacityMove> moves; ///< At most one for each instance.
-    std::vector<CapacityDrain> drains; ///< Each is to be moved once its worker is empty.
-    std::vector<std::string> undrains; ///< Instances whose drain no pool needs any more.
+    std::vector<CapacityDrain> drains; ///< Each instance moves once its worker is empty.
+    std::vector<std::string> undrains; ///< Instances whose drain no pool needs any longer.
 
     [[nodiscard]] bool operator==(const CapacityStep&) const = default;
 };
 
-/// Weights of capacity planning.
+/// Settings of capacity planning.
 struct CapacityOptions {
-    /// Demand is met with this much to spare: a move takes longer than a short task may wait,
-    /// and an instance that serves earns some 20 times what it costs.
+    /// Capacity target as a multiple of demand: a move takes longer than a short task may wait, and an instance that serves earns
+    /// some 20 times its cost.
     double margin = 1.3;
-    /// Of an instance's processor time that tasks of some cores can be packed into.
+    /// Share of an instance's processor time that tasks of several cores can be packed into.
     double packing = 0.85;
-    Millis demandMemory { 2'000 }; ///< Before an instance is switched off, the highest demand of this long counts.
-    /// Nothing is switched off before load was watched for so long: more than the demand's memory.
+    Millis demandMemory { 2'000 }; ///< An instance is powered off against the highest demand within this time.
+    /// Min observation of load before any instance is powered off; longer than `demandMemory`.
     Millis observation { 3'000 };
-    Millis mostIdleStart { 60'000 }; ///< Without any load, pools keep what they began with for so long.
-    /// A rise counts as lasting after this; until then a pool of a fleet with ample room meets it by what is idle there. The forecast
-    /// of one instant may be several times the mean.
+    Millis mostIdleStart { 60'000 }; ///< Without any load, pools keep their initial instances for this time.
+    /// A rise of demand counts as sustained after this. Until then a pool of a fleet with ample room serves it from idle
+    /// instances: a momentary forecast may be several times the mean.
     Millis sustainTime { 500 };
-    double idleShareOfRoom = 0.25; ///< Of a pool's sound instances: with so many idle and no task waiting, the pool has room.
-    Millis idleBeforeOff { 1'200 }; ///< A move costs what an instance costs in about this time.
-    std::uint32_t leastInstances = 2; ///< Of a pool with queues, so that one may fail.
-    bool sharesFairly = true; ///< Whether a pool that has more than another empties instances for it.
-    /// By how many of an instance's processor time a pool must have more than another to do so: a
-    /// drain and a move waste some 2.5 s of the instance. 5 measured 0.020 better than 2 on changed
-    /// deployments, and the same on the others.
+    double idleShareOfRoom = 0.25; ///< A pool has room if this share of its healthy instances is idle and no task waits.
+    Millis idleBeforeOff { 1'200 }; ///< Min idle time before power-off. A move costs about as much as an instance does in this time.
+    std::uint32_t leastInstances = 2; ///< Min size of a pool with queues, so that one instance may fail.
+    bool sharesFairly = true; ///< Whether a pool with more capacity drains instances for one with less.
+    /// Min lead of a pool over the one it drains for, in multiples of the instance's processor time. A drain and a move waste some
+    /// 2.5 s of the instance. A gap of 2 scores 0.020 lower than 5 on changed deployments, and the same on the others.
     double fairnessGap = 5.0;
-    bool backlogApart = true; ///< Whether jobs that end late whatever is done get only what nobody else asks for.
-    bool seesRises = true; ///< Whether the newest arrivals count more, and a rise is taken to go on.
+    bool backlogApart = true; ///< Whether jobs that end late in any case only get capacity that no other job asks for.
+    bool seesRises = true; ///< Whether the newest arrivals weigh more and a rise is extrapolated.
     PeakReservationOptions peaks;
-    bool leastFirst = true; ///< Whether the pool that has least is relieved first, or else the one that lacks the largest share.
+    bool leastFirst = true; ///< Whether the pool with the least capacity is served first; otherwise the one with the largest relative shortage.
 
     [[nodiscard]] bool operator==(const CapacityOptions&) const = default;
 };
 
-/// Processor time and instances that a requirement class needs of its pool.
+/// Processor time and instances that a requirement class needs in its pool.
 struct CapacityNeed {
     double milliCpu = 0;
     std::uint32_t instances = 0;
@@ -82,42 +81,39 @@
     [[nodiscard]] bool operator==(const CapacityNeed&) const = default;
 };
 
-/// \brief Follows load: instances come from the reserve or from pools that have idle ones to
-/// spare, and go back once they were idle for a while.
+/// \brief Follows load: instances come from the reserve or from pools with spare idle ones, and return to the reserve after some
+/// idle time.
 ///
-/// Demand is reckoned by requirement class. A pool is short of a class if the sound instances
-/// with its label do not cover it; it gives no instance away that one of its classes needs.
-/// While there are too few for all, shares are max-min fair: the pool that has least gets the
-/// next instance, and one that has more empties instances for it.
+/// Demand is computed per requirement class. A pool is short of a class if the healthy instances with its label do not cover it,
+/// and a pool keeps every instance that one of its classes needs. If there are too few instances for all pools, shares are
+/// max-min fair: the pool with the least capacity gets the next instance, and a pool with more capacity drains instances for it.
 class CapacityPlan {
 public:
     explicit CapacityPlan(CapacityOptions options = {});
 
-    /// \param maxActs Moves and drains together. Pools that are short come first; instances are powered off with half of what
-    /// is left, so that a rise of load meets a budget that is not used up.
-    /// \returns What to do now.
+    /// \param maxActs Max sum of moves and drains. Pools that are short come first. Power-offs use at most half of the remainder,
+    /// so that a rise of load does not meet an exhausted budget.
+    /// \returns Actions to take now.
     [[nodiscard]] CapacityStep next(const std::vector<PoolLoad>& pools, MonotonicInstant now, std::size_t maxActs = std::numeric_limits<std::size_t>::max());
 
-    /// \returns Instances that `pool` needs for its demand now; unsound ones come on top.
+    /// \returns Instances that `pool` needs for its current demand, plus its unhealthy ones.
     [[nodiscard]] std::uint32_t target(const PoolLoad& pool) const;
 
-    /// \returns Whether a pool lacked instances that its tasks can't do without when moves were
-    /// last chosen.
+    /// \returns Whether the last call of `next` found a pool short of instances that its tasks require.
     [[nodiscard]] bool isShort() const noexcept { return m_short; }
 
-    /// \returns How many times an instance was looked at when moves were last chosen: what a plan costs,
-    /// whatever the machine.
+    /// \returns Instance inspections of the last call of `next`: a cost that does not depend on the machine.
     [[nodiscard]] std::uint64_t inspected() const noexcept { return m_inspected; }
 
-    /// \brief Takes load as not seen yet: nothing is powered off before it was observed again. For the end of an outage in which
-    /// nothing could arrive.
+    /// \brief Restarts the observation of load: no instance is powered off before load was observed again. Called at the end of
+    /// an outage in which no job could arrive.
     void observeAnew(MonotonicInstant now);
 
-    /// \brief Remembers that `pool` does not take instances of `kind`.
+    /// \brief Records that `pool` does not accept instances of `kind`.
     void noteRefused(const std::string& kind, const std::string& pool);
 
 private:
-    /// Demand of a class within the last seconds.
+    /// Demand of a class within a sliding window.
     struct DemandHistory {
         SlidingExtreme<std::int64_t, std::less_equal<>> highest;
         SlidingExtreme<std::int64_t, std::greater_equal<>> lowest;
--- a/include/lanemoor/jobs/policy/checkpoint_move.h
+++ b/include/lanemoor/jobs/policy/checkpoint_move.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Whether a batch task with a checkpoint is moved out of a data hall that is to be empty. Pure.
+/// Decides whether a batch task with a checkpoint moves out of an evacuated data hall. Pure.
 
 #include "lanemoor/decisions/time.h"
 
@@ -8,28 +8,28 @@
 
 namespace lanemoor::jobs {
 
-/// What the move of a task costs.
+/// Cost of moving a task.
 struct CheckpointMoveCost {
-    Millis restore { 600 }; ///< Of the checkpoint where the task goes on; the platform says it.
-    /// A stop takes up to 0.9 s at the worker, a start elsewhere follows it, and up to a second of work is not in the checkpoint.
+    Millis restore { 600 }; ///< Time to restore the checkpoint at the new worker; set by the platform.
+    /// A stop takes up to 0.9 s at the worker, the start elsewhere follows it, and up to 1 s of work is not in the checkpoint.
     Millis stopAndStart { 2'000 };
 
     [[nodiscard]] bool operator==(const CheckpointMoveCost&) const = default;
 };
 
-/// An attempt as far as its workers' reports go.
+/// Progress of an attempt, from its worker's reports.
 struct CheckpointedAttempt {
     Millis elapsed { 0 }; ///< Since its start.
-    std::uint32_t percent = 0; ///< Of its work.
-    Millis declaredLeft { 0 }; ///< By its declared time and what is observed of others; may be negative.
+    std::uint32_t percent = 0; ///< Share of its work that is done.
+    Millis declaredLeft { 0 }; ///< Remaining time from the declared time, corrected by run times of other tasks; may be negative.
 
     [[nodiscard]] bool operator==(const CheckpointedAttempt&) const = default;
 };
 
-/// \returns The time that the attempt still takes where it runs.
+/// \returns Remaining run time of the attempt at its current worker.
 [[nodiscard]] Millis timeLeft(const CheckpointedAttempt& attempt) noexcept;
 
-/// \returns Whether the rest of the attempt takes longer than the move.
+/// \returns Whether the remaining run time exceeds the cost of the move.
 [[nodiscard]] bool isWorthMoving(const CheckpointedAttempt& attempt, const CheckpointMoveCost& cost) noexcept;
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/crash_attribution.h
+++ b/include/lanemoor/jobs/policy/crash_attribution.h
@@ -13,78 +13,79 @@
 
 namespace lanemoor::jobs {
 
-/// A worker that answers this long after it acknowledged a start has survived the start. The probation shrinks from the
-/// maximum to the minimum as independent crashes become frequent.
+/// A worker survives a start if it still answers this long after acknowledging it. The probation shrinks from the maximum to the
+/// minimum as independent crashes become frequent.
 constexpr Millis minProbation { 50 };
 constexpr Millis maxProbation { 1'000 };
 
-/// Crashes from which a task shares a worker with no other suspect, and nothing else starts beside it until the worker has
-/// survived it, so that the next crash is attributed to this task alone.
+/// With this many crashes a task shares a worker with no other suspect, and no other task starts beside it until the worker has
+/// survived its start: the next crash is then attributed to this task alone.
 constexpr std::uint32_t crashesToIsolate = 2;
 
-/// Crashes after which a task fails whatever else may explain them: the platform allows two more starts after the third one.
+/// Crashes after which a task fails even if another task may have caused them: the platform allows two more starts after the
+/// third crash.
 constexpr std::uint32_t maxCrashes = 5;
 
-/// Confirmed crashes without which no task fails: the platform's owners accept no failure under fewer.
+/// Min confirmed crashes before a task may fail, required by the platform's owners.
 constexpr std::uint32_t minConfirmedCrashes = 2;
 
-/// \returns The limit for a job. \param inherited A previous owner had it and may have lost the record of one crash.
+/// \returns The crash limit for a job. \param inherited A previous owner had the job and may have lost the record of one crash.
 [[nodiscard]] constexpr std::uint32_t maxCrashesOf(bool inherited) noexcept
 {
     return inherited ? maxCrashes - 1 : maxCrashes;
 }
 
-/// Crashes count towards the rate of independent crashes for this long. A poison task restarts every two seconds or so, which puts
-/// three of its crashes into one window.
+/// Crashes count towards the rate of independent crashes for this long. A poison task restarts about every two seconds, which
+/// puts three of its crashes into one window.
 constexpr Millis crashWindow { 5'000 };
 
-/// How poison tasks are handled.
+/// Settings for poison tasks.
 struct CrashOptions {
     bool isolatesSuspects = true; ///< Places suspects apart from other tasks.
-    std::uint32_t crashesToFail = 3; ///< Consecutive confirmed crashes with which a task fails if nothing else explains them.
+    std::uint32_t crashesToFail = 3; ///< Consecutive confirmed crashes with which a task fails if no other task explains them.
 
     [[nodiscard]] bool operator==(const CrashOptions&) const = default;
 };
 
-/// \returns Names what fails together with an attempt's task: its job, or the task alone if it is long-running, since the job goes
-/// on without it.
+/// \returns Key of the unit that fails together with an attempt's task: its job, or the task alone if it is long-running, since
+/// its job goes on without it.
 [[nodiscard]] std::string quarantineKey(const Attempt& attempt, bool isLongRunning);
 
 /// \returns Whether the evidence suffices to fail a task without another crash.
 [[nodiscard]] bool isExhausted(const CrashCount& crashes, std::uint32_t openProbations, bool isInherited) noexcept;
 
-/// An attempt that was not over when its worker crashed.
+/// An attempt that was running when its worker crashed.
 struct LostAttempt {
     Attempt attempt;
     bool isLongRunning = false;
-    /// Worker clock between the acknowledgement of the start and the last answer; nothing: the start was never acknowledged.
+    /// Worker clock time between the acknowledgement of the start and the last answer; empty: the start was not acknowledged.
     std::optional<Millis> survived;
-    bool isAdopted = false; ///< Found running by this owner: `survived` counts from then on. How long before it began is not known.
-    bool isInherited = false; ///< A previous owner had its job.
+    bool isAdopted = false; ///< Found running by this owner: `survived` counts from then on, and the earlier run time is unknown.
+    bool isInherited = false; ///< Its job was accepted under a previous owner.
     CrashCount before; ///< Consecutive crashes attributed to its task before this one.
 
     [[nodiscard]] bool operator==(const LostAttempt&) const = default;
 };
 
-/// \returns The crashes of the task with this one included, as confirmed only if the start was acknowledged.
+/// \returns Crashes of the task including this one, which is confirmed only if the start was acknowledged.
 [[nodiscard]] CrashCount crashesAfter(const LostAttempt& lost) noexcept;
 
-/// Attribution of one crash.
+/// Result of attributing one crash.
 struct CrashVerdict {
     std::vector<LostAttempt> suspects; ///< The crash counts against their tasks.
     std::vector<LostAttempt> possibleSuspects; ///< Unacknowledged starts beside acknowledged ones, and adopted attempts: unconfirmed crashes of their tasks.
     std::optional<Attempt> failed; ///< A suspect whose task fails permanently.
-    std::uint32_t crashesNeeded = 0; ///< Consecutive confirmed crashes with which a task would have failed.
+    std::uint32_t crashesNeeded = 0; ///< Consecutive confirmed crashes with which a task would fail.
 
     [[nodiscard]] bool operator==(const CrashVerdict&) const = default;
 };
 
 /// \brief Attributes worker crashes one by one.
 ///
-/// Tasks that crash together repeatedly are told apart by placing them apart, not by counting: a task fails only if it has more
-/// consecutive crashes than any suspect that would not fail with it. An unacknowledged start makes a suspect only if no
-/// acknowledged one does, and never fails a task alone. The more workers crash independently, the shorter the probation and the more
-/// crashes it takes.
+/// Tasks that crash together repeatedly are separated by placement, not by counting: a task fails only if it has more consecutive
+/// crashes than any suspect that would not fail with it. An unacknowledged start is suspect only if no acknowledged one is, and
+/// never fails a task alone. The more workers crash independently, the shorter the probation and the higher the number of crashes
+/// required.
 class CrashAttributor {
 public:
     /// \param since Start of this owner's term. Earlier crashes are unknown.
@@ -94,13 +95,13 @@
     {
     }
 
-    /// \brief Attributes the crash of a worker whose end nobody ordered or announced.
-    /// \param lost The attempts that were there; empty: the worker was idle.
-    /// \param workers Size of the fleet that is up.
+    /// \brief Attributes the crash of a worker that was neither stopped by command nor announced its end.
+    /// \param lost Attempts at the worker; empty: the worker was idle.
+    /// \param workers Number of workers that are up.
     CrashVerdict attribute(const std::vector<LostAttempt>& lost, std::size_t workers, MonotonicInstant now);
 
-    /// \returns How long a worker must answer after a start to have survived it: short enough that an independent crash
-    /// in that time is rare at the current rate.
+    /// \returns How long a worker must answer after a start to count as having survived it: short enough that an independent
+    /// crash in that time is rare at the current rate.
     [[nodiscard]] Millis probation(std::size_t workers, MonotonicInstant now);
 
 private:
--- a/include/lanemoor/jobs/policy/ejection_bound.h
+++ b/include/lanemoor/jobs/policy/ejection_bound.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// How many workers may be left out at once. Pure.
+/// Limits how many workers are ejected at once. Pure.
 
 #include "lanemoor/jobs/policy/worker_health.h"
 
@@ -14,27 +14,27 @@
 
 struct WorkerEntry;
 
-/// A worker as the bound sees it.
+/// State of a worker for the bound.
 struct EjectionMember {
     const WorkerEntry* worker = nullptr;
     bool out = false; ///< Ejected or probing.
-    bool answering = true; ///< It takes work as far as its answers go.
+    bool answering = true; ///< It answers calls.
 };
 
-/// A worker that should be left out.
+/// A worker that its health score proposes for ejection.
 struct EjectionCandidate {
     EjectionMember member;
     HealthFault fault = HealthFault::None;
     double score = 0;
 };
 
-/// Instances that long-running steps need, by pool and label; an empty label stands for any instance of the pool.
+/// Min instances that long-running steps need, by pool and label; an empty label means any instance of the pool.
 using LeastInstances = std::map<std::pair<std::string, std::string>, std::uint32_t>;
 
-/// \brief Keeps the others of a pool, rack and data hall at work, however many of them look ill.
+/// \brief Limits ejections per pool, rack and data hall, regardless of how many workers look faulty.
 ///
-/// What makes many workers of one rack or hall look ill at a time is seldom the workers. Of each group one worker may always be left out,
-/// since the share of a small group would allow none.
+/// If many workers of one rack or data hall look faulty at once, the cause is rarely the workers. One worker of each group may
+/// always be ejected, since the share of a small group would allow none.
 ///
 /// \code
 /// EjectionBound bound(options, members, leastInstances);
@@ -46,7 +46,7 @@
     /// \param members All listed workers.
     EjectionBound(const WorkerHealthOptions& options, const std::vector<EjectionMember>& members, LeastInstances least);
 
-    /// \returns Those of the candidates that may be left out, the worst ones first.
+    /// \returns The candidates that may be ejected, the worst ones first.
     [[nodiscard]] std::vector<EjectionCandidate> choose(std::vector<EjectionCandidate> candidates);
 
 private:
@@ -56,7 +56,7 @@
         std::uint32_t answering = 0;
     };
 
-    using Domain = std::pair<std::string, std::string>; ///< Data hall and rack; an empty rack stands for the whole hall.
+    using Domain = std::pair<std::string, std::string>; ///< Data hall and rack; an empty rack means the whole data hall.
 
     [[nodiscard]] bool admits(const EjectionCandidate& candidate) const;
     [[nodiscard]] bool leavesEnough(const EjectionMember& member) const;
@@ -68,7 +68,7 @@
     LeastInstances m_least;
     std::map<std::string, Group> m_pools;
     std::map<Domain, Group> m_domains;
-    std::map<std::pair<std::string, std::string>, std::uint32_t> m_serving; ///< Workers that are not out, by pool and label.
+    std::map<std::pair<std::string, std::string>, std::uint32_t> m_serving; ///< Workers in service, by pool and label.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/evacuation_moves.h
+++ b/include/lanemoor/jobs/policy/evacuation_moves.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Chooses the empty instances of evacuated data halls that leave their pools for the reserve. Pure.
+/// Chooses empty instances of evacuated data halls to move from their pools to the reserve. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/policy/capacity_plan.h"
@@ -12,7 +12,7 @@
 
 namespace lanemoor::jobs {
 
-/// An instance of an evacuated data hall that is up and runs nothing.
+/// An instance of an evacuated data hall that is up and has no attempts.
 struct EmptiedInstance {
     std::string instance;
     std::string pool;
@@ -20,27 +20,29 @@
     [[nodiscard]] bool operator==(const EmptiedInstance&) const = default;
 };
 
-/// Weights of the moves.
+/// Settings of the moves.
 struct EvacuationMovesOptions {
-    /// A request that is withdrawn at once should cost no moves; an instance that stands idle costs as much as a move in about this time.
+    /// Min empty time before a move: a request that is withdrawn at once should cost no moves. An idle instance costs about as
+    /// much as a move in this time.
     Millis emptyBefore { 1'200 };
-    Millis retryPause { 5'000 }; ///< Between two moves of one instance, of which the first failed.
+    Millis retryPause { 5'000 }; ///< Between a failed move and the next one of the same instance.
 
     [[nodiscard]] bool operator==(const EvacuationMovesOptions&) const = default;
 };
 
-/// \brief Remembers since when instances are empty, and powers them off with the acts that the pools' own moves leave.
+/// \brief Tracks how long instances are empty, and powers them off within the calls that the moves of the pools leave.
 class EvacuationMoves {
 public:
     explicit EvacuationMoves(EvacuationMovesOptions options = {});
 
-    /// \param emptied All that are empty and not being moved now. \param reserve The pool whose instances are off.
-    /// \param mostMoves What the platform takes beside the moves of instances that replace these.
+    /// \param emptied All instances that are empty and not being moved now.
+    /// \param reserve The pool of instances that are off.
+    /// \param mostMoves Moves that the platform accepts beside those of the instances that replace these.
     [[nodiscard]] std::vector<CapacityMove> next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t mostMoves, MonotonicInstant now);
 
 private:
     struct Turn {
-        MonotonicInstant moveAt; ///< It does not leave before this.
+        MonotonicInstant moveAt; ///< Earliest time of the move.
         bool wasMoved = false;
     };
 
--- a/include/lanemoor/jobs/policy/expected_service.h
+++ b/include/lanemoor/jobs/policy/expected_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// When a job that is submitted now could end, and what may be admitted. Pure.
+/// Estimates when a newly submitted job ends, and computes admission budgets. Pure.
 
 #include "lanemoor/jobs/model/admission_grants.h"
 #include "lanemoor/jobs/policy/admission_options.h"
@@ -11,52 +11,52 @@
 
 namespace lanemoor::jobs {
 
-/// What a usual job of a queue is like, by what was submitted of late.
+/// A typical job of a queue, from recent submissions.
 struct UsualJob {
-    std::int64_t workMillis = 0; ///< Ms of a core, corrected by what was observed.
-    Millis chain { 0 }; ///< Of its longest chain of steps, corrected too.
-    Millis allowed { 0 }; ///< From its submission to its objective.
+    std::int64_t workMillis = 0; ///< Core milliseconds, corrected by observed run times.
+    Millis chain { 0 }; ///< Duration of its longest chain of steps, corrected too.
+    Millis allowed { 0 }; ///< From submission to objective.
 
     [[nodiscard]] bool operator==(const UsualJob&) const = default;
 };
 
-/// What an organisation has accepted on one queue that is not over.
+/// Unfinished work of one organisation on one queue.
 struct AcceptedWork {
     std::string queue;
     std::string organisation;
     double weight = 0;
     std::uint32_t priority = 0; ///< Of the queue.
-    std::int64_t workMillis = 0; ///< Ms of a core, of all jobs that are not over, those that end late included.
-    std::int64_t runningMilliCpu = 0; ///< What it has running in the pool.
+    std::int64_t workMillis = 0; ///< Core milliseconds of all unfinished jobs, including those that end late.
+    std::int64_t runningMilliCpu = 0; ///< Running in the pool.
     UsualJob usual;
-    double correction = 1.0; ///< Observed times as a multiple of declared ones.
-    bool wasPressed = false; ///< It was under pressure a short time ago: its callers come back.
+    double correction = 1.0; ///< Observed run times as a multiple of declared ones.
+    bool wasPressed = false; ///< It was under pressure recently: its callers retry.
 
     [[nodiscard]] bool operator==(const AcceptedWork&) const = default;
 };
 
-/// \brief Compares what was accepted with what can be served.
+/// \brief Compares accepted work with the capacity that serves it.
 ///
-/// An organisation gets at least its weighted max-min share of the pool, so that its accepted work is done at that rate. A new job ends
-/// after that work and its own chain. It is admitted while that is within its objective, or within `lateFactor` times the objective if
-/// the organisation needs less than its share for what it has accepted.
+/// An organisation gets at least its weighted max-min share of the pool, so that its accepted work proceeds at that rate. A new
+/// job ends after that work and its own longest chain of steps. It is admitted if that is within its objective, or within
+/// `lateFactor` times the objective if the organisation needs less than its share for its accepted work.
 class ExpectedService {
 public:
-    /// \param milliCpu Of the pool: what it has and what the plan could bring it.
+    /// \param milliCpu Capacity of the pool, including instances that the capacity plan could add.
     ExpectedService(const AdmissionOptions& options, std::int64_t milliCpu);
 
-    /// \param accepted All of one pool.
-    /// \returns Budgets over all entry instances, of those under pressure only.
+    /// \param accepted All accepted work of one pool.
+    /// \returns Budgets summed over all entries, only for organisations under pressure.
     [[nodiscard]] std::vector<AdmissionBudget> budgets(const std::vector<AcceptedWork>& accepted) const;
 
-    /// Of a pool's processor time that is asked for: below it there is no pressure.
+    /// Share of the pool's processor time in demand below which there is no pressure.
     static constexpr double pressureFrom = 0.5;
-    /// Of the time that is allowed: an organisation with less work than its share does in it is not named. A burst must meet a budget
-    /// before the first grant that counts it: twenty times the usual is late within a quarter of a second.
+    /// Share of the allowed time: an organisation whose work takes less of it at its share gets no budget entry. A burst needs a
+    /// budget before the first grant that counts it: at twenty times the usual rate, jobs are late within a quarter of a second.
     static constexpr double namedFrom = 0.25;
-    /// Of the time that is allowed: a job that is expected to end at the last moment is late as often as not.
+    /// Share of the allowed time to aim at: a job that is expected to end at the last moment is late half of the time.
     static constexpr double aimAt = 0.8;
-    /// Of a pool's processor time that tasks of some cores can be packed into; the same as in the capacity plan.
+    /// Share of a pool's processor time that tasks of several cores can be packed into; the same as in the capacity plan.
     static constexpr double packing = 0.85;
 
 private:
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Data halls as failure domains: whether each serves, and when one is lost or back. Pure.
+/// Tracks data halls as failure domains: whether each serves, and when one is lost or returns. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -15,85 +15,85 @@
 
 namespace lanemoor::jobs {
 
-/// Weights of the decisions on data halls.
+/// Settings of the loss detection for data halls.
 struct FailureDomainOptions {
-    bool enabled = true; ///< False: workers are judged one by one, whatever their data hall.
-    /// Workers of a lost data hall stop answering within this: a renewal waits up to a second for an end.
+    bool enabled = true; ///< False: each worker is assessed alone, regardless of its data hall.
+    /// Workers of a lost data hall stop answering within this time: a renewal call waits up to 1 s for the end of a task.
     Millis lossWindow { 1'000 };
-    std::uint32_t leastStopped = 4; ///< Fewer may be lost by chance.
-    double lostShare = 0.5; ///< Of the workers of a data hall; it is lost if more than this stop answering.
-    Millis returnStep { 250 }; ///< Between two parts of a data hall that are taken back.
-    double returnShare = 0.25; ///< Of the workers of the data hall, in one part.
-    /// A data hall of which fewer workers return counts as back once no other one came for so long.
+    std::uint32_t leastStopped = 4; ///< Fewer workers may stop by coincidence.
+    double lostShare = 0.5; ///< A data hall is lost if more than this share of its workers stops answering.
+    Millis returnStep { 250 }; ///< Interval between two batches of readmitted workers.
+    double returnShare = 0.25; ///< Share of the data hall's workers in one batch.
+    /// A data hall of which only a smaller share returns counts as back if no other worker came for this time.
     Millis returnSettles { 5'000 };
-    /// A data hall of which no worker returns is no longer judged as a whole: instances of it that are off may be all that is left.
+    /// A data hall of which no worker returns counts as back after this: its only remaining instances may be off.
     Millis longestLoss { 30'000 };
 
     [[nodiscard]] bool operator==(const FailureDomainOptions&) const = default;
 };
 
-/// What can be said of a data hall.
+/// State of a data hall.
 enum class FailureDomainState {
     Serving,
-    Evacuating, ///< Operators ask that nothing starts there.
-    Lost, ///< Its workers stopped answering together, and are not all taken back yet.
+    Evacuating, ///< Operators request that no task starts there.
+    Lost, ///< Its workers stopped answering together, and not all are readmitted yet.
 };
 
 /// \returns A short name of `state` for logs and operators.
 [[nodiscard]] std::string_view nameOf(FailureDomainState state) noexcept;
 
-/// One data hall.
+/// Status of one data hall.
 struct FailureDomain {
     std::string dataHall;
     FailureDomainState state = FailureDomainState::Serving;
-    MonotonicInstant since; ///< Of the state; meaningful unless it serves.
-    std::uint32_t workers = 0; ///< That answer or have stopped answering.
-    std::uint32_t silent = 0; ///< Of them, those that have stopped answering.
+    MonotonicInstant since; ///< Start of the state; meaningful unless it serves.
+    std::uint32_t workers = 0; ///< Workers that answer or have stopped answering.
+    std::uint32_t silent = 0; ///< Workers that have stopped answering.
 
     [[nodiscard]] bool operator==(const FailureDomain&) const = default;
 };
 
-/// \brief All data halls as of one time.
+/// \brief Status of all data halls at one time.
 struct FailureDomainStatus {
     MonotonicInstant asOf;
     std::vector<FailureDomain> halls; ///< By name.
 
-    /// \returns The data hall, or null if it is not known.
+    /// \returns The data hall, or null if it is unknown.
     [[nodiscard]] const FailureDomain* find(std::string_view dataHall) const noexcept;
 
-    /// \returns Whether instances of the data hall may be given work.
+    /// \returns Whether instances of the data hall may get tasks.
     [[nodiscard]] bool serves(std::string_view dataHall) const noexcept;
 
     [[nodiscard]] bool operator==(const FailureDomainStatus&) const = default;
 };
 
-/// \brief Adds the data halls that operators ask to evacuate, with the time of each request. One that is lost stays shown as lost.
+/// \brief Adds the data halls under an evacuation request, with the time of each request. A lost data hall stays lost.
 void noteEvacuations(FailureDomainStatus& status, const std::map<std::string, MonotonicInstant>& requests);
 
-/// The loss or the return of a data hall.
+/// Loss or return of a data hall.
 struct HallChange {
     std::string dataHall;
     bool isLost = false; ///< False: it is back.
-    std::uint32_t workers = 0; ///< When it was lost.
-    std::uint32_t stopped = 0; ///< Of them, those that stopped answering within the window.
-    Millis lasted { 0 }; ///< Until it was back.
+    std::uint32_t workers = 0; ///< At the time of the loss.
+    std::uint32_t stopped = 0; ///< Workers that stopped answering within the window.
+    Millis lasted { 0 }; ///< Duration of the loss.
 
     [[nodiscard]] bool operator==(const HallChange&) const = default;
 };
 
-/// What the detector has found since it was last asked.
+/// Findings since the last update.
 struct HallFindings {
     std::vector<HallChange> changes;
-    std::vector<std::string> admitted; ///< Workers that were taken back.
+    std::vector<std::string> admitted; ///< Workers that were readmitted.
 
     [[nodiscard]] bool operator==(const HallFindings&) const = default;
 };
 
-/// \brief Finds data halls whose workers stop answering together, and takes them back in parts.
+/// \brief Detects data halls whose workers stop answering together, and readmits their workers in batches.
 ///
-/// Workers that stop one by one are judged one by one. If more than half of a data hall stop within a second while another one
-/// answers, the data hall is lost: none of its workers is admitted. Those that answer once all others have been missed are admitted
-/// in parts, so that a data hall whose power comes and goes does not attract all work.
+/// Workers that stop one by one are assessed one by one. If more than half of a data hall's workers stop within a second while
+/// another data hall answers, the data hall is lost and none of its workers is admitted. The ones that still answer once the
+/// window has passed are admitted in batches, so that a data hall with unstable power does not attract all tasks.
 ///
 /// \code
 /// detector.noteStop("i-17", now);
@@ -105,23 +105,23 @@
 public:
     explicit HallLossDetector(FailureDomainOptions options = {});
 
-    /// \brief Notes that a worker answered. \returns Whether it may have work, as far as its data hall goes.
+    /// \brief Records an answer of a worker. \returns Whether its data hall's state allows it to get tasks.
     bool noteAnswer(const std::string& dataHall, const std::string& worker, MonotonicInstant now);
 
-    /// \brief Notes that a worker did not answer, or that its incarnation has ended unplanned.
-    /// \param hasEnded It will not answer again.
+    /// \brief Records that a worker did not answer, or that its incarnation has ended unplanned.
+    /// \param hasEnded The incarnation will not answer again.
     void noteStop(const std::string& worker, bool hasEnded, MonotonicInstant now);
 
-    /// \brief Forgets a worker whose end was planned.
+    /// \brief Removes a worker whose end was planned.
     void noteGone(const std::string& worker);
 
-    /// \returns What was lost, is back, or was taken back by now.
+    /// \returns Losses, returns and readmissions up to now.
     [[nodiscard]] HallFindings update(MonotonicInstant now);
 
-    /// \returns Whether the worker may have work, as far as its data hall goes.
+    /// \returns Whether the state of the worker's data hall allows it to get tasks.
     [[nodiscard]] bool admits(const std::string& worker) const;
 
-    /// \returns All data halls that were heard of; those that are not lost as serving.
+    /// \returns All data halls of known workers; those that are not lost are shown as serving.
     [[nodiscard]] FailureDomainStatus status(MonotonicInstant now) const;
 
 private:
@@ -130,21 +130,21 @@
         bool hasEnded = false;
     };
 
-    /// A loss that is not over.
+    /// An ongoing loss.
     struct Loss {
         MonotonicInstant since;
-        std::uint32_t workers = 0; ///< Of the data hall then.
+        std::uint32_t workers = 0; ///< Workers of the data hall at the time of the loss.
         std::uint32_t admitted = 0;
-        std::deque<std::string> waiting; ///< Workers that answer and are not admitted.
+        std::deque<std::string> waiting; ///< Workers that answer and are not admitted yet.
         MonotonicInstant nextStepAt;
-        MonotonicInstant lastAdmittedAt; ///< Meaningful if any was admitted.
+        MonotonicInstant lastAdmittedAt; ///< Meaningful after the first admission.
     };
 
     struct Hall {
         std::uint32_t answering = 0;
         std::map<std::string, Stop> stopped; ///< By worker.
         bool hasNewStops = false; ///< Since the last update.
-        MonotonicInstant answeredAt; ///< Of the latest answer.
+        MonotonicInstant answeredAt; ///< Time of the latest answer.
         std::optional<Loss> loss;
     };
 
@@ -154,7 +154,7 @@
         bool admitted = true;
     };
 
-    /// Stops within the window.
+    /// Stops within the loss window.
     struct RecentStops {
         std::uint32_t count = 0;
         MonotonicInstant first = MonotonicInstant::max();
--- a/include/lanemoor/jobs/policy/load_forecast.h
+++ b/include/lanemoor/jobs/policy/load_forecast.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What jobs that arrive as they do now will keep busy. Pure.
+/// Forecasts the processor time that arriving jobs will use. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/requirement.h"
@@ -12,27 +12,27 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Arrivals by queue, and how long tasks really take against what callers declare.
+/// \brief Tracks arrivals by queue and the ratio of observed to declared run times.
 class LoadForecast {
 public:
-    /// \param seesRises Whether the newest arrivals count more, and a rise is taken to go on.
+    /// \param seesRises Whether the newest arrivals weigh more and a rise is extrapolated.
     explicit LoadForecast(bool seesRises = true)
         : m_seesRises(seesRises)
     {
     }
 
-    /// \brief Notes a new job. Long-running steps are left out: they show in what runs.
-    /// \param share Of its work, what may run at once, from 0 to 1: the rest waits whatever room there is.
+    /// \brief Records a new job. Long-running steps are skipped: they count as running load.
+    /// \param share Part of its work that may run at once, from 0 to 1: the rest waits regardless of free capacity.
     void noteArrival(const std::string& queue, const JobSpec& job, MonotonicInstant now, double share = 1);
 
-    /// \brief Notes submissions that were refused, of which only the sum of their work is known. Their callers come back.
-    /// \param workMillis Declared work of all of them, in ms of one core.
+    /// \brief Records refused submissions, of which only the sum of their work is known. Their callers retry.
+    /// \param workMillis Declared work of all of them, in core milliseconds.
     void noteRefused(const std::string& queue, std::uint32_t count, std::uint64_t workMillis, MonotonicInstant now);
 
-    /// \brief Notes a task that succeeded.
+    /// \brief Records the run time of a task that succeeded.
     void noteRunTime(const std::string& queue, Millis declared, Millis observed);
 
-    /// \returns Thousandths of a core that arrivals at the rate of the last moments keep busy.
+    /// \returns Thousandths of a core that arrivals at the recent rate keep busy.
     [[nodiscard]] std::int64_t milliCpu(const std::string& queue, MonotonicInstant now) const;
 
     /// \returns The same by requirement class.
--- a/include/lanemoor/jobs/policy/maintenance_plan.h
+++ b/include/lanemoor/jobs/policy/maintenance_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Chooses the instances that a maintenance wave takes next. Pure.
+/// Chooses the next instances of a maintenance wave. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/fleet_control.h"
@@ -14,61 +14,60 @@
 
 namespace lanemoor::jobs {
 
-/// An instance as maintenance sees it.
+/// State of an instance for maintenance planning.
 struct MaintenanceCandidate {
     std::string instance;
     std::string pool;
-    std::string worker; ///< Id of the life on it; empty: none is known.
+    std::string worker; ///< Id of its worker incarnation; empty: unknown.
     bool reserve = false; ///< Its pool is off.
-    bool up = true; ///< As the list says; others can't be taken.
+    bool up = true; ///< According to the instance list; other instances cannot be maintained.
     bool evacuating = false;
-    std::uint32_t attempts = 0; ///< Not over on its worker.
-    bool pinned = false; ///< It runs tasks that last and need an instance of its kind.
-    bool lastOfKind = false; ///< No other sound instance of its pool is of its kind.
-    MonotonicInstant evacuatingSince; ///< Meaningful while evacuating.
+    std::uint32_t attempts = 0; ///< Unfinished attempts at its worker.
+    bool pinned = false; ///< It has long-running tasks that need an instance of its kind.
+    bool lastOfKind = false; ///< No other healthy instance of its pool is of its kind.
+    MonotonicInstant evacuatingSince; ///< Meaningful only while evacuating.
 };
 
-/// What to do next.
+/// Actions to take now.
 struct MaintenanceStep {
-    std::vector<std::string> evacuate; ///< Workers to be emptied.
-    std::vector<std::string> maintain; ///< Empty instances whose maintenance may begin now.
-    std::vector<std::string> release; ///< Workers that can't be emptied for now, and may have work again.
+    std::vector<std::string> evacuate; ///< Workers to evacuate.
+    std::vector<std::string> maintain; ///< Empty instances whose maintenance may start now.
+    std::vector<std::string> release; ///< Workers that cannot be emptied for now and may get tasks again.
 
     [[nodiscard]] bool operator==(const MaintenanceStep&) const = default;
 };
 
-/// \brief One wave under way.
+/// \brief An active maintenance wave.
 class MaintenancePlan {
 public:
-    /// \param done Instances whose maintenance began before.
-    /// \param now Counts as the time when the wave was asked for.
+    /// \param done Instances whose maintenance has started already.
+    /// \param now Taken as the time of the wave request.
     MaintenancePlan(WaveRequest wave, std::set<std::string> done, MonotonicInstant now);
 
-    /// \brief Chooses what to do now: instances that are off or empty first, then those with
-    /// the fewest attempts, never more of one pool than it can spare.
-    /// \param hasShortage Whether a pool lacks instances: then the wave takes no more than it
-    /// must to end in time.
+    /// \brief Chooses the next actions: instances that are off or empty first, then those with the fewest attempts, within the
+    /// limit of each pool.
+    /// \param hasShortage Whether a pool lacks instances: the wave then takes only as many as it needs to end in time.
     [[nodiscard]] MaintenanceStep next(const std::vector<MaintenanceCandidate>& fleet, bool hasShortage, MonotonicInstant now);
 
-    /// \brief Notes that an order was sent; the instance counts as down until it is answered.
+    /// \brief Records that a maintenance request was sent; the instance counts as down until it is answered.
     void noteOrdered(const std::string& instance);
 
-    /// \brief Notes that the platform took the order.
-    /// \param backBy When the instance is surely back.
+    /// \brief Records that the platform accepted the request.
+    /// \param backBy Latest time at which the instance is back.
     void noteBegun(const std::string& instance, MonotonicInstant backBy);
 
-    /// \brief Notes that an instance may be down: a former owner ordered it of late, or an order
-    /// got no answer.
-    /// \param backBy When the instance is surely back.
+    /// \brief Records that an instance may be down: a previous owner requested its maintenance recently, or a request was not
+    /// answered.
+    /// \param backBy Latest time at which the instance is back.
     void noteMayBeDown(const std::string& instance, MonotonicInstant backBy);
 
-    /// \brief Notes that the platform refused the order; it may be tried again at `retryAt`.
+    /// \brief Records that the platform refused the request; it may be retried at `retryAt`.
     void noteRefused(const std::string& instance, MonotonicInstant retryAt);
 
-    /// \brief Notes that an instance of the wave is no more.
+    /// \brief Records that an instance of the wave does not exist any longer.
     void noteGone(const std::string& instance);
 
-    /// \returns Whether the maintenance of every instance began.
+    /// \returns Whether the maintenance of every instance has started.
     [[nodiscard]] bool isFinished() const noexcept;
 
     [[nodiscard]] const WaveRequest& wave() const noexcept { return m_wave; }
@@ -79,9 +78,9 @@
     [[nodiscard]] std::uint32_t down(MonotonicInstant now) const;
 
     WaveRequest m_wave;
-    MonotonicInstant m_paceBy; ///< When the wave should be over if it is paced.
+    MonotonicInstant m_paceBy; ///< Planned end of the wave while it is paced.
     std::set<std::string> m_done;
-    std::set<std::string> m_ordered; ///< Not answered yet.
+    std::set<std::string> m_ordered; ///< Requested and not answered yet.
     std::map<std::string, MonotonicInstant> m_backBy;
     std::map<std::string, MonotonicInstant> m_retryAt;
 };
--- a/include/lanemoor/jobs/policy/organisation_share.h
+++ b/include/lanemoor/jobs/policy/organisation_share.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Shares of organisations in a full pool. Pure.
+/// Computes the shares of organisations in a full pool. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/job_spec.h"
@@ -16,21 +16,21 @@
 
 namespace lanemoor::jobs {
 
-/// What an organisation has and asks of a pool.
+/// Use and demand of an organisation in a pool.
 struct OrganisationDemand {
     std::string organisation;
-    double weight = 0; ///< 0: as much as the mean of the others.
-    Resources used; ///< Of attempts that are not over.
-    Resources waiting; ///< Of tasks that could start if there were room.
+    double weight = 0; ///< 0: the mean of the other weights.
+    Resources used; ///< By unfinished attempts.
+    Resources waiting; ///< By tasks that could start if there were room.
 
     [[nodiscard]] bool operator==(const OrganisationDemand&) const = default;
 };
 
-/// An organisation's part of a pool, by the resource of which it takes the largest part: processor time, memory or accelerators.
+/// An organisation's part of a pool, measured by its dominant resource: processor time, memory or accelerators.
 struct OrganisationShare {
     std::string organisation;
-    double use = 0; ///< What it has running, as a part of the pool.
-    double share = 0; ///< What it is owed, as a part of the pool: never more than it uses and asks for.
+    double use = 0; ///< Part of the pool that it uses.
+    double share = 0; ///< Part of the pool that it is entitled to, at most what it uses and asks for.
     bool waits = false; ///< It has tasks that could start if there were room.
 
     [[nodiscard]] bool isBelow() const noexcept;
@@ -40,12 +40,12 @@
 
 /// \brief Divides a pool by weighted max-min fairness of dominant shares (dominant resource fairness).
 ///
-/// All shares grow in proportion to their weights. One stops growing when it covers what its organisation asks for, or when a resource
-/// that the organisation needs is used up.
+/// All shares grow in proportion to their weights. A share stops growing when it covers its organisation's demand, or when a
+/// resource that the organisation needs is used up.
 /// \returns Shares in the order of `demands`.
 [[nodiscard]] std::vector<OrganisationShare> sharesOf(const std::vector<OrganisationDemand>& demands, const Resources& capacity);
 
-/// \brief Shares of a pool during one placement pass, with what the pass starts.
+/// \brief Shares of a pool during one placement pass, updated with the tasks that the pass starts.
 ///
 /// \code
 /// PoolShares shares(demands, capacity);
@@ -56,13 +56,13 @@
 public:
     PoolShares(const std::vector<OrganisationDemand>& demands, const Resources& capacity);
 
-    /// \returns Whether the organisation has its share already, so that others come first. Unknown ones are never beyond.
+    /// \returns Whether the organisation has reached its share, so that others come first. False for unknown organisations.
     [[nodiscard]] bool isBeyond(std::string_view organisation) const;
 
-    /// \brief Notes a task that was started.
+    /// \brief Records a started task.
     void noteStarted(std::string_view organisation, const Resources& needs);
 
-    /// \returns Whether the organisation started something since the construction.
+    /// \returns Whether a task of the organisation was started since construction.
     [[nodiscard]] bool hasStarted(std::string_view organisation) const;
 
     [[nodiscard]] const std::vector<OrganisationShare>& all() const noexcept { return m_shares; }
@@ -77,26 +77,27 @@
     std::map<std::string, std::size_t, std::less<>> m_byName;
 };
 
-/// \brief Remembers which organisations below their share get no room, because their tasks are wider than what is free.
+/// \brief Tracks organisations below their share whose tasks are too large for the free room.
 ///
-/// While others fill each free core at once, a wide task never finds room. An organisation that started nothing for `starvedAfter` has
-/// a claim: others beyond their share wait until it starts something, for `memory` at most. Then they go on for as long.
+/// While others fill each free core at once, a large task never finds room. An organisation that started nothing for
+/// `starvedAfter` gets a claim: others beyond their share wait until it starts a task, for at most `memory`. They then go on for
+/// as long.
 class ShareDeficits {
 public:
-    /// \param memory How long a claim lasts.
+    /// \param memory Max duration of a claim.
     explicit ShareDeficits(Millis memory)
         : m_memory(memory)
     {
     }
 
-    /// \brief Notes how an organisation fared in a pass.
+    /// \brief Records the result of a pass for an organisation.
     /// \param isUnserved It is below its share, and its tasks found no room.
     void note(const std::string& pool, const std::string& organisation, bool isUnserved, MonotonicInstant now);
 
-    /// \returns Whether somebody has a claim on the pool now.
+    /// \returns Whether an organisation has a claim on the pool now.
     [[nodiscard]] bool holdsOthersBack(const std::string& pool, MonotonicInstant now) const;
 
-    /// Wide tasks wait this long beside others before a claim begins: most rooms are freed within it.
+    /// Large tasks wait this long beside others before a claim begins: most room is freed within this time.
     static constexpr Millis starvedAfter { 500 };
 
 private:
--- a/include/lanemoor/jobs/policy/organisation_use.h
+++ b/include/lanemoor/jobs/policy/organisation_use.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What organisations have running, against their quotas and shares. Pure.
+/// Tracks the resources that organisations use, against their quotas and shares. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/organisation.h"
@@ -12,12 +12,12 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Counts jobs against a rate: what comes beyond it is told apart.
+/// \brief Token bucket that tells jobs within a rate from jobs beyond it.
 ///
-/// Holds one second's worth, so that a burst within the rate counts as such.
+/// Holds one second's worth of tokens, so that a burst within the rate passes.
 class RateMeter {
 public:
-    /// \brief Notes a job. \param perSecond The rate; 0: no limit.
+    /// \brief Takes a token for a job. \param perSecond The rate; 0: no limit.
     /// \returns Whether the job is within the rate.
     bool take(double perSecond, MonotonicInstant now);
 
@@ -26,25 +26,26 @@
     std::optional<MonotonicInstant> m_countedAt;
 };
 
-/// What one organisation takes of the fleet.
+/// Resource use of one organisation.
 struct OrganisationAccount {
-    /// Of all attempts that are not over by proof: running, being stopped, ordered, in doubt, or at silent workers.
+    /// By attempts that are not proved to have ended: running, stopping, commanded, with unknown outcome, or at unresponsive
+    /// workers.
     Resources used;
-    /// What attempts of an earlier owner may take at workers that nobody has asked yet.
+    /// Estimate for attempts of a previous owner at workers that have not reported to this one yet.
     Resources unseen;
     RateMeter rate;
-    std::uint64_t beyondRate = 0; ///< Jobs of this term that came beyond the organisation's rate.
-    std::uint32_t heldTasks = 0; ///< Tasks that the quota held back in the last pass.
-    std::string name; ///< Of the organisation; set with the first use of the account.
+    std::uint64_t beyondRate = 0; ///< Jobs of this term beyond the organisation's rate.
+    std::uint32_t heldTasks = 0; ///< Tasks that the quota blocked in the last pass.
+    std::string name; ///< Of the organisation; set when the account is first used.
 };
 
 /// \brief Accounts of all organisations that have jobs, by name. Addresses of accounts are stable.
 class OrganisationUse {
 public:
-    /// \returns The account; a new one for a name not seen before.
+    /// \returns The account, which is created for a new name.
     [[nodiscard]] OrganisationAccount& account(const std::string& name);
 
-    /// \brief Forgets what the last pass counted.
+    /// \brief Resets the counts of the last pass.
     void startPass() noexcept;
 
     [[nodiscard]] const std::map<std::string, OrganisationAccount>& all() const noexcept { return m_accounts; }
@@ -55,13 +56,11 @@
 
 /// \returns Whether `tasks` tasks that need `each` may start together within `quota`.
 ///
-/// An organisation that holds less than half of its quota may pass it by one task: without that, a
-/// task larger than half of the quota might wait behind smaller ones for ever, and one larger than
-/// the whole would never run.
+/// An organisation that uses less than half of its quota may exceed it by one task. Otherwise a task larger than half of the
+/// quota could starve behind smaller ones, and a task larger than the whole quota could never run.
 [[nodiscard]] bool fitsQuota(const OrganisationAccount& account, const Resources& quota, const Resources& each, std::uint32_t tasks);
 
-/// \returns Of the widest step of `job`, the part that may run at once within what is left of `quota`,
-/// from 0 to 1.
+/// \returns Share of the tasks of the widest step of `job` that may run at once within the remaining `quota`, from 0 to 1.
 [[nodiscard]] double shareWithinQuota(const OrganisationAccount& account, const Resources& quota, const JobSpec& job);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/peak_reservation.h
+++ b/include/lanemoor/jobs/policy/peak_reservation.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Decides whether pools keep enough instances for their peaks between them. Pure.
+/// Decides whether pools keep enough instances for their load peaks. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/policy/sliding_extreme.h"
@@ -13,55 +13,54 @@
 
 namespace lanemoor::jobs {
 
-/// Weights of peak reservation.
+/// Settings of peak reservation.
 struct PeakReservationOptions {
-    /// A peak counts for this long: several cycles of load that changes by turns within some seconds each.
+    /// Window of the peak: several cycles of a load that alternates between pools every few seconds.
     Millis memory { 30'000 };
-    /// Peaks are reserved if all of them together take at most this share of the fleet. Beyond it pools have to share
-    /// instances over time.
+    /// Peaks are reserved if their sum is at most this share of the fleet. Otherwise pools have to share instances over time.
     double maxFleetShare = 0.5;
 
     [[nodiscard]] bool operator==(const PeakReservationOptions&) const = default;
 };
 
-/// What a pool needs now, in thousandths of a core.
+/// Current need of a pool, in thousandths of a core.
 struct PoolNeed {
     std::string pool;
     double needed = 0;
-    double size = 0; ///< Of its sound instances.
+    double size = 0; ///< Of its healthy instances.
 
     [[nodiscard]] bool operator==(const PoolNeed&) const = default;
 };
 
-/// \brief Remembers the peak need of each pool.
+/// \brief Tracks the peak need of each pool.
 ///
-/// On a fleet with ample room, instances that follow each turn of load are moved twice a cycle, are missing while they
-/// move, and save little; there, each pool keeps what its peak takes. A pool that has not had its peak yet keeps the share
-/// of its largest size that the peak of any other pool takes, and while load has been observed for less than the memory, the share of
-/// its largest size that is not observed yet.
+/// On a fleet with ample room, instances that follow an alternating load move twice a cycle, are missing while they move, and
+/// save little. Each pool therefore keeps its peak need. A pool without a peak yet keeps the largest share of its largest size
+/// that the peak of any other pool takes. While load has been observed for less than the window, a pool also keeps the unobserved
+/// share of the window of its largest size.
 ///
 /// \code
 /// peaks.update({ { .pool = "a", .needed = 900, .size = 10'000 } }, 20'000, now, now - Millis(27'000));
-/// const double kept = peaks.reservedFor("a"); // 1'000: a tenth of the memory is not observed yet.
+/// const double kept = peaks.reservedFor("a"); // 1'000: a tenth of the window is not observed yet.
 /// \endcode
 class PeakReservation {
 public:
     explicit PeakReservation(PeakReservationOptions options = {});
 
-    /// \brief Notes what all pools need now.
-    /// \param fleet Processor time of all instances, those of the reserve included.
-    /// \param loadSince When the first job arrived; nothing: none has.
+    /// \brief Updates the needs of all pools.
+    /// \param fleet Processor time of all instances, including the reserve.
+    /// \param loadSince Arrival of the first job; empty: no job has arrived.
     void update(const std::vector<PoolNeed>& needs, double fleet, MonotonicInstant now, std::optional<MonotonicInstant> loadSince);
 
     /// \returns Whether the peaks of all pools fit together, as of the last update.
     [[nodiscard]] bool hasAmpleRoom() const noexcept { return !m_isScarce; }
 
-    /// \returns What the pool keeps, in thousandths of a core; 0 if room is scarce.
+    /// \returns Capacity that the pool keeps, in thousandths of a core; 0 if room is scarce.
     [[nodiscard]] double reservedFor(const std::string& pool) const;
 
 private:
     struct Pool {
-        double largestSize = 0; ///< Seen so far; instances that are still starting make a pool small at first.
+        double largestSize = 0; ///< So far; a pool looks small at first, while its instances start.
         SlidingExtreme<double, std::less_equal<>> peak;
         double reserved = 0;
     };
--- a/include/lanemoor/jobs/policy/placement.h
+++ b/include/lanemoor/jobs/policy/placement.h
@@ -16,92 +16,91 @@
 
 namespace lanemoor::jobs {
 
-/// A task that may have ended the workers that started it, at a site that has not survived its start yet.
+/// A task that may have crashed the workers that started it, at a site that has not survived its start yet.
 struct SiteSuspect {
-    std::string quarantineKey; ///< See `quarantineKey`: those with the same name need not be told apart.
-    std::uint32_t suspicion = 0; ///< Crashes that may be its doing.
+    std::string quarantineKey; ///< See `quarantineKey`: suspects with the same key need no separation.
+    std::uint32_t suspicion = 0; ///< Crashes that it may have caused.
 };
 
-/// A worker as placement sees it.
+/// A worker as a candidate for placement.
 struct PlacementSite {
     const WorkerEntry* worker = nullptr;
-    Resources free; ///< Capacity less what all attempts there need, those being stopped included.
+    Resources free; ///< Capacity minus the needs of all attempts, including those being stopped.
     std::uint32_t servingTasks = 0; ///< Tasks with a latency target.
     std::uint32_t bestEffortTasks = 0;
-    bool open = true; ///< False: it takes no new work now.
-    bool preferred = true; ///< False: only taken if no preferred site has room.
-    std::string keptFor; ///< A label: only tasks that require it may come; empty: all may.
-    std::uint32_t wanted = 0; ///< How much tasks that require its labels ask of sites with them; see `wantedLevel`.
+    bool open = true; ///< False: it accepts no new task now.
+    bool preferred = true; ///< False: only used if no preferred site has room.
+    std::string keptFor; ///< Only tasks that require this label are placed here; empty: all tasks.
+    std::uint32_t wanted = 0; ///< Demand of tasks that require its labels, relative to the capacity of the sites with them; see `wantedLevel`.
     std::vector<SiteSuspect> suspects;
-    bool distrusted = false; ///< It has not answered its latest starts: taken only if no other site has room.
-    bool probing = false; ///< The next task there shows whether it is sound again.
-    std::uint32_t startsLeft = std::numeric_limits<std::uint32_t>::max(); ///< How many tasks may still be started there.
-    bool hasYoungAttempts = false; ///< Some attempt there started less than a probation ago.
+    bool distrusted = false; ///< It has not answered its latest starts: only used if no other site has room.
+    bool probing = false; ///< The result of its next task shows whether the worker is healthy again.
+    std::uint32_t startsLeft = std::numeric_limits<std::uint32_t>::max(); ///< Number of tasks that may still be started there.
+    bool hasYoungAttempts = false; ///< An attempt started there less than one probation ago.
 };
 
-/// What is asked of a site beside the step's own needs.
+/// Conditions on the site beside the step's own needs.
 struct PlacementQuery {
-    std::string avoidWorker; ///< Taken only if there is no other.
+    std::string avoidWorker; ///< Only used if no other site is available.
     std::string quarantineKey; ///< See `quarantineKey`.
-    std::uint32_t suspicion = 0; ///< Crashes that may be the task's doing.
+    std::uint32_t suspicion = 0; ///< Crashes that the task may have caused.
     std::string rack; ///< Only sites of this rack; empty: any.
     bool nearOnly = false; ///< Only sites in the rack that the step prefers, if it prefers one.
-    /// \returns Tasks of the same step and occurrence that site `index` has; asked only for
-    /// steps with a limit.
+    /// \returns Tasks of the same step and occurrence at site `index`; only called for steps with a limit per instance.
     std::function<std::uint32_t(std::size_t index)> tasksOfStep;
-    /// Tasks of the same step and occurrence by data hall, so that they are spread over the data halls; null: they need not be.
+    /// Tasks of the same step and occurrence by data hall, which spreads them over the data halls; null: no spreading.
     const std::map<std::string, std::uint32_t>* tasksByHall = nullptr;
-    /// \returns Whether the site may be taken at all; null: every site may.
+    /// \returns Whether the site is allowed at all; null: every site is.
     std::function<bool(std::size_t index)> admits;
 };
 
-/// \brief Chooses sites and books what they take.
+/// \brief Chooses sites and reserves resources on them.
 ///
-/// Among the sites that fit, those come first that have no suspect to be told apart from the task, then those of the preferred rack, then those
-/// where serving and best-effort tasks keep apart, then the fullest: whole instances stay free for
-/// maintenance and for being powered off. A suspect goes to the emptiest: what runs there is lost if it is guilty. A task that is
-/// to be isolated prefers sites without young attempts, with which a crash could not be attributed to it alone.
+/// Among the sites that fit, sites without a suspect to be separated from the task come first, then those in the preferred rack,
+/// then those that keep serving and best-effort tasks apart, then the fullest: this keeps whole instances free for maintenance
+/// and for power-off. A suspect goes to the emptiest site, which limits the attempts that fail with the worker if it crashes. A
+/// task to be isolated prefers sites without recent starts, beside which a crash could not be attributed to it alone.
 ///
-/// Distrusted sites come after all others, whatever speaks against those. They are kept apart, so that a choice looks at none of
-/// them while another site has room.
+/// Distrusted sites come after all others, regardless of the drawbacks of those. They are stored separately, so that a choice
+/// inspects none of them while another site has room.
 ///
-/// Sites are kept in the order of what they have free, so that a choice looks at the few that are nearly full and
-/// not at all of them; what found no room is remembered, so that work which waits costs a look a pass and not one a
-/// site. Steps that are spread over data halls look at each data hall's sites by themselves, the one with the fewest of their tasks
-/// first. With 275 sites and thousands of tasks a second both together were half of the owner's time.
+/// Sites are sorted by free processor time, so that a choice inspects only the few nearly full ones. Requests that found no room
+/// are cached, so that waiting work costs one lookup per pass and not one per site. Steps that are spread over data halls inspect
+/// the sites of one data hall at a time, the one with the fewest of their tasks first. Without both, placement took half of the
+/// owner's time at 275 sites and thousands of tasks per second.
 class Placer {
 public:
-    /// \param sites Of one pool.
+    /// \param sites Sites of one pool.
     explicit Placer(std::vector<PlacementSite> sites);
 
-    /// \returns The index of the best site for a task of `step`, or nothing.
+    /// \returns The index of the best site for a task of `step`; empty: none has room.
     [[nodiscard]] std::optional<std::size_t> choose(const StepSpec& step, const PlacementQuery& query) const;
 
-    /// \brief Books a task of `step` on site `index`.
+    /// \brief Reserves resources for a task of `step` on site `index`.
     void book(std::size_t index, const StepSpec& step);
 
-    /// \brief Notes that a suspect was booked on site `index`.
+    /// \brief Records a suspect placed on site `index`.
     void noteSuspect(std::size_t index, const std::string& quarantineKey, std::uint32_t suspicion);
 
-    /// \brief Takes a booking back.
+    /// \brief Releases the resources of a task of `step` on site `index`.
     void release(std::size_t index, const StepSpec& step);
 
     [[nodiscard]] const std::vector<PlacementSite>& sites() const noexcept { return m_sites; }
 
-    /// \returns How many times a site was looked at: what the choices cost, whatever the machine.
+    /// \returns Number of site inspections so far: a cost that does not depend on the machine.
     [[nodiscard]] std::uint64_t inspected() const noexcept { return m_inspected; }
 
 private:
     /// Free processor time and index of a site.
     using Place = std::pair<std::int64_t, std::size_t>;
 
-    /// What found no room: nothing that needs as much, under the same label, does.
+    /// A request that found no room: no request with the same label and at least these needs finds any.
     struct NoRoom {
         std::string label;
         Resources needs;
     };
 
-    /// Places in order, the fullest first.
+    /// Sorted by free processor time, the fullest site first.
     using Places = std::vector<Place>;
 
     struct Choice;
@@ -115,25 +114,24 @@
     [[nodiscard]] bool isKnownFull(const StepSpec& step, const Resources& needs) const;
 
     std::vector<PlacementSite> m_sites;
-    Places m_byFree; ///< Of the sites that take work and are trusted, the fullest first.
-    Places m_distrusted; ///< Of the others that take work.
-    mutable std::map<std::string, Places> m_byHall; ///< `m_byFree` by data hall, once a step asked for it.
+    Places m_byFree; ///< Sites that accept tasks and are trusted.
+    Places m_distrusted; ///< Distrusted sites that accept tasks.
+    mutable std::map<std::string, Places> m_byHall; ///< `m_byFree` by data hall; empty until a step needs it.
     mutable std::vector<NoRoom> m_noRoom;
     mutable std::uint64_t m_inspected = 0;
 };
 
-/// \returns Demand for sites with a label against what they have, in eighths and at most 16:
-/// tasks that run anywhere leave those sites alone that are wanted most.
+/// \returns Demand for sites with a label relative to their capacity, in eighths and at most 16: tasks without a required label
+/// avoid the sites with the highest demand.
 [[nodiscard]] std::uint32_t wantedLevel(std::int64_t demandMilliCpu, std::int64_t supplyMilliCpu) noexcept;
 
-/// \returns `used` as processor time: the largest of its shares of `capacity`, in thousandths of
-/// a core. A task that needs half of the memory takes half of the instance.
+/// \returns `used` as processor time: its largest share of `capacity`, in thousandths of a core. A task that needs half of the
+/// memory uses half of the instance.
 [[nodiscard]] std::int64_t asMilliCpu(const Resources& used, const Resources& capacity) noexcept;
 
-/// \returns Whether `worker` has `label`.
 [[nodiscard]] bool hasLabel(const WorkerEntry& worker, std::string_view label) noexcept;
 
-/// \returns What a task of `step` takes of a worker's capacity.
+/// \returns Resources that a task of `step` reserves at a worker.
 [[nodiscard]] Resources footprint(const StepSpec& step) noexcept;
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/retry_advice.h
+++ b/include/lanemoor/jobs/policy/retry_advice.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// When a caller whose submission was refused should come back. Pure: time and randomness are passed in.
+/// Computes when a caller should retry a refused submission. Pure: time and randomness are passed in.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -9,12 +9,12 @@
 
 namespace lanemoor::jobs {
 
-/// What is known when a submission is refused because of the store.
+/// State of the refusals while the store refuses submissions.
 struct RefusalSituation {
     std::uint64_t refused = 0; ///< Submissions refused since refusals began.
-    std::uint64_t waiting = 0; ///< Of them, those that have not come back yet.
+    std::uint64_t waiting = 0; ///< Refused submissions that were not retried yet.
     Millis lasted { 0 }; ///< Since refusals began.
-    Millis useful { 0 }; ///< After this the caller has no use for its job any more.
+    Millis useful { 0 }; ///< Time for which the caller has use for its job.
 
     [[nodiscard]] bool operator==(const RefusalSituation&) const = default;
 };
@@ -22,12 +22,12 @@
 constexpr Millis leastRetryAfter { 1'000 };
 constexpr Millis mostRetryAfter { 3'000 };
 
-/// \returns The time in which those that wait come back at the rate at which they came: the pools serve about that rate, so a
-/// faster return would meet no room.
+/// \returns The time in which the waiting callers return at the rate at which they came: the pools serve about that rate, so a
+/// faster return finds no room.
 [[nodiscard]] Millis expectedDrain(const RefusalSituation& situation) noexcept;
 
 /// \returns Whole seconds from `leastRetryAfter` to `mostRetryAfter`, spread at random over the expected drain so that callers do
-/// not return together; never later than the caller has use for its job, but for the least.
+/// not return together. Within the time for which the caller has use for its job, but at least `leastRetryAfter`.
 [[nodiscard]] Millis adviseRetry(const RefusalSituation& situation, std::minstd_rand& random);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/run_time_ranks.h
+++ b/include/lanemoor/jobs/policy/run_time_ranks.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Compares run times with those of the same kind of task at other workers. Pure.
+/// Compares run times with those of similar tasks at other workers. Pure.
 
 #include <array>
 #include <cstddef>
@@ -11,16 +11,16 @@
 
 namespace lanemoor::jobs {
 
-/// \brief The rank of a run time among the latest ones of its pool and queue.
+/// \brief Compares a run time with the latest ones of its pool and queue.
 ///
-/// Declared times are wrong by half and more, so run times are compared as multiples of them within one queue. The median bears a
-/// third of slow workers; where half of a pool is slow, none of it is.
+/// Declared times are off by half and more, so run times are compared as multiples of them within one queue. The median is robust
+/// against a third of slow workers; if half of a pool is slow, no worker counts as slow.
 class RunTimeRanks {
 public:
-    /// \brief Takes in the run time of a task that succeeded.
-    /// \param ratio Of the run time to the declared one.
-    /// \param lateFactor Late is what takes so many times the median.
-    /// \returns Whether it was late; nothing is while there are few samples.
+    /// \brief Records the run time of a task that succeeded.
+    /// \param ratio Ratio of the run time to the declared one.
+    /// \param lateFactor Multiple of the median above which a run time is late.
+    /// \returns Whether it is late; false while there are few samples.
     bool note(const std::string& pool, const std::string& queue, double ratio, double lateFactor);
 
 private:
--- a/include/lanemoor/jobs/policy/sliding_extreme.h
+++ b/include/lanemoor/jobs/policy/sliding_extreme.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The highest or lowest of the values noted within a window of time. Pure.
+/// Max or min of the values within a sliding time window. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -9,7 +9,7 @@
 namespace lanemoor::jobs {
 
 /// \brief Extreme of a series over a sliding window, at constant amortised cost.
-/// \tparam Compare `std::less_equal` for the highest value, `std::greater_equal` for the lowest one.
+/// \tparam Compare `std::less_equal` for the maximum, `std::greater_equal` for the minimum.
 ///
 /// \code
 /// SlidingExtreme<double, std::less_equal<>> highest;
@@ -19,12 +19,12 @@
 template <typename Value, typename Compare>
 class SlidingExtreme {
 public:
-    /// \brief Notes a value. \returns The extreme of the values noted within `window` before `now`, this one included.
+    /// \brief Adds a value. \returns The extreme of the values within `window` before `now`, this one included.
     Value note(Value value, MonotonicInstant now, Millis window)
     {
         while (!m_samples.empty() && now - m_samples.front().at > window)
             m_samples.pop_front();
-        // A sample that a later one surpasses cannot become the extreme.
+        // A later sample dominates this one, which can never be the extreme again.
         while (!m_samples.empty() && Compare {}(m_samples.back().value, value))
             m_samples.pop_back();
         m_samples.push_back({ now, value });
@@ -37,7 +37,7 @@
         Value value;
     };
 
-    std::deque<Sample> m_samples; ///< Each surpasses all later ones.
+    std::deque<Sample> m_samples; ///< Each dominates all later ones.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/start_answers.h
+++ b/include/lanemoor/jobs/policy/start_answers.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Which starts at a worker were not answered, and what it may be sent meanwhile. Pure: time is passed in.
+/// Tracks unacknowledged starts at a worker and limits further ones. Pure: time is passed in.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/worker_control.h"
@@ -11,49 +11,49 @@
 
 namespace lanemoor::jobs {
 
-/// \brief The open starts at one incarnation of a worker.
+/// \brief The unacknowledged starts at one incarnation of a worker.
 ///
-/// A worker that answered no start since one was overdue is distrusted: it comes after all others and has two open starts at most, since
-/// its empty room would attract what other workers would run. So is one that does not answer a probe, until it answers anything; with two
-/// overdue starts it gets no more meanwhile.
+/// A worker with an overdue start and no answer to any start since is distrusted: placement uses it last, with at most two
+/// unacknowledged starts, since its empty room would attract the tasks of other workers. A worker that does not answer a probe is
+/// distrusted until it answers any call; with two overdue starts it gets no further ones meanwhile.
 class StartAnswers {
 public:
     /// No limit on further starts.
     static constexpr std::uint32_t unlimited = std::numeric_limits<std::uint32_t>::max();
 
-    /// \brief A start was sent. \param leaseUntil That it carries, on the worker's clock in ms.
+    /// \brief Records a sent start. \param leaseUntil Lease end in the start, in ms on the worker's clock.
     void noteSent(const Attempt& attempt, std::int64_t leaseUntil, MonotonicInstant now) { m_open.insert_or_assign(attempt, OpenStart { .leaseUntil = leaseUntil, .deliveredBy = now + latestDelivery }); }
 
-    /// \brief The answer to a start is overdue. \returns False if it was noted before, or the start is settled.
+    /// \brief Records that the answer to a start is overdue. \returns False if it was recorded before, or the start is settled.
     bool noteOverdue(const Attempt& attempt, MonotonicInstant now);
 
-    /// \brief A start was answered. \returns Whether the answer was overdue.
+    /// \brief Records the answer to a start. \returns Whether it was overdue.
     bool noteAnswered(const Attempt& attempt);
 
-    /// \brief A report of the worker tells what became of a start, or the attempt is over.
+    /// \brief Settles a start whose outcome a report of the worker shows, or whose attempt has ended.
     void noteSettled(const Attempt& attempt) { m_open.erase(attempt); }
 
-    /// \brief A probe was not answered in time, nor was anything since it was sent.
+    /// \brief Records that a probe timed out and no other answer came since it was sent.
     void noteProbeOverdue() noexcept { m_probeOverdue = true; }
 
-    /// \brief The worker has answered any call.
+    /// \brief Records an answer of the worker to any call.
     void noteHeard() noexcept { m_probeOverdue = false; }
 
-    /// \returns Whether the worker has answered no start since one was overdue, or no probe.
+    /// \returns Whether the worker has an overdue start and no answer to any start since, or an overdue probe.
     [[nodiscard]] bool isDistrusted(MonotonicInstant now) const noexcept { return m_probeOverdue || now < m_distrustedUntil; }
 
-    /// \returns Whether a start that no report has shown can't begin any more: a worker refuses a start whose lease is over, and
-    /// no connection delivers it any more to another incarnation, whose clock may be behind.
-    /// \param workerClock Of the incarnation that does not list the attempt, ms.
+    /// \returns Whether a start that no report has shown cannot take effect any longer: the worker refuses a start whose lease
+    /// has expired, and no connection can still deliver it to another incarnation, whose clock may be behind.
+    /// \param workerClock Clock of the incarnation that does not list the attempt, in ms.
     [[nodiscard]] bool hasExpired(const Attempt& attempt, std::int64_t workerClock, MonotonicInstant now) const;
 
-    /// \returns Whether the worker answered its last probe in time, as far as one was due.
+    /// \returns Whether no probe is overdue.
     [[nodiscard]] bool isAnswering() const noexcept { return !m_probeOverdue; }
 
-    /// \returns How many more starts may be sent.
+    /// \returns Number of further starts that may be sent.
     [[nodiscard]] std::uint32_t startsLeft(MonotonicInstant now) const;
 
-    /// \brief Forgets open starts of attempts that are over. \param isOver Tells so of an attempt.
+    /// \brief Drops starts of attempts that have ended. \param isOver Predicate on an attempt.
     template <typename Predicate>
     void dropSettled(Predicate isOver)
     {
@@ -61,13 +61,12 @@
     }
 
 private:
-    /// An order without an answer may be carried out some 6 s after it was sent.
+    /// An unacknowledged command may be carried out some 6 s after it was sent.
     static constexpr Millis latestDelivery { 7'000 };
 
-    /// A start without an answer.
     struct OpenStart {
         std::int64_t leaseUntil = 0; ///< On the worker's clock, ms.
-        MonotonicInstant deliveredBy; ///< It does not arrive later.
+        MonotonicInstant deliveredBy; ///< Latest possible delivery.
         bool overdue = false;
     };
 
--- a/include/lanemoor/jobs/policy/throttle.h
+++ b/include/lanemoor/jobs/policy/throttle.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Slows best-effort tasks down where they disturb serving ones. Pure.
+/// Throttles best-effort tasks that disturb serving tasks. Pure.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -8,14 +8,14 @@
 
 namespace lanemoor::jobs {
 
-/// \brief The share of their speed that the best-effort tasks of one worker may use.
+/// \brief Share of their speed that the best-effort tasks of one worker may use.
 ///
-/// It is cut as soon as the tail latency of a serving task beside them comes near its target,
-/// and given back step by step after a calm while.
+/// The share is cut as soon as the tail latency of a serving task at the same worker comes near its target, and restored in steps
+/// after a calm period.
 class Throttle {
 public:
-    /// \brief Takes in the worst tail latency at the worker, as a share of its target.
-    /// \returns The share to use from now on, in percent.
+    /// \brief Updates the share. \param worstTail Highest tail latency at the worker, as a share of its target.
+    /// \returns The new share, in percent.
     std::uint32_t update(double worstTail, MonotonicInstant now);
 
     [[nodiscard]] std::uint32_t percent() const noexcept { return m_percent; }
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Judges workers by how calls to them and attempts there end. Pure: time is passed in.
+/// Scores workers by the outcomes of calls to them and of attempts there. Pure: time is passed in.
 
 #include "lanemoor/decisions/ejection_backoff.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -13,55 +13,55 @@
 
 namespace lanemoor::jobs {
 
-/// How workers are judged.
+/// Settings of health scoring and ejection.
 struct WorkerHealthOptions {
-    bool enabled = true; ///< False: only failures of tasks are judged, and no bound holds.
-    double mostOfPool = 0.2; ///< Share of a pool's workers that may be left out at once.
-    double mostOfDomain = 0.5; ///< The same of a rack and of a data hall.
+    bool enabled = true; ///< False: only task failures are scored, and ejections are not limited.
+    double mostOfPool = 0.2; ///< Max share of a pool's workers that is ejected at once.
+    double mostOfDomain = 0.5; ///< The same for a rack and for a data hall.
     Millis firstBackoff { 2'000 };
     Millis longestBackoff { 16'000 };
-    double lateFactor = 4; ///< A run time of so many times the median of its peers is late.
+    double lateFactor = 4; ///< A run time above this multiple of its peers' median is late.
 
     [[nodiscard]] bool operator==(const WorkerHealthOptions&) const = default;
 };
 
-/// What speaks against a worker.
+/// Reason for ejecting a worker.
 enum class HealthFault : std::uint8_t {
     None,
     Failures, ///< Tasks of several jobs failed in a row.
-    Unanswered, ///< Starts and stops got no answer.
-    Slow, ///< Tasks took far longer than at its peers.
+    Unanswered, ///< Starts and stops were not answered.
+    Slow, ///< Run times were far longer than at other workers.
 };
 
 [[nodiscard]] std::string_view nameOf(HealthFault fault) noexcept;
 
-/// What was observed of a worker within the window.
+/// Observations of a worker within the window.
 struct WorkerEvidence {
     std::int32_t calls = 0; ///< Starts and stops.
-    std::int32_t unanswered = 0; ///< Of them, those whose answer was overdue and has not come since.
-    std::int32_t ends = 0; ///< Whose run time was compared with that of peers.
-    std::int32_t lateEnds = 0; ///< Of them, those that took far longer.
+    std::int32_t unanswered = 0; ///< Calls whose answer is overdue.
+    std::int32_t ends = 0; ///< Attempts whose run time was compared with that of peers.
+    std::int32_t lateEnds = 0; ///< Attempts that took far longer.
 
     WorkerEvidence& operator+=(const WorkerEvidence& other) noexcept;
     [[nodiscard]] bool operator==(const WorkerEvidence&) const = default;
 };
 
-/// A judgement and what it rests on.
+/// Health score and the evidence for it.
 struct WorkerHealthScore {
-    HealthFault fault = HealthFault::None; ///< For which the worker is left out, or should be.
-    double score = 0; ///< From 0 (sound) to 1.
+    HealthFault fault = HealthFault::None; ///< Why the worker is, or should be, ejected.
+    double score = 0; ///< From 0 (healthy) to 1.
     WorkerEvidence evidence;
-    std::uint32_t failures = 0; ///< Of tasks since the last success.
+    std::uint32_t failures = 0; ///< Failed tasks since the last success.
     bool ejected = false;
-    bool probing = false; ///< It takes one task at a time, to show that it is sound again.
-    MonotonicInstant ejectedUntil; ///< Meaningful while ejected.
+    bool probing = false; ///< It gets one task at a time, to show that it is healthy again.
+    MonotonicInstant ejectedUntil; ///< Meaningful only while ejected.
 
     [[nodiscard]] bool operator==(const WorkerHealthScore&) const = default;
 };
 
-/// \brief The health of one incarnation of a worker.
+/// \brief Health of one incarnation of a worker.
 ///
-/// It only judges: whether the worker is left out is decided by `EjectionBound`, which knows the others.
+/// It only scores the worker. `EjectionBound`, which has the state of all workers, decides on the ejection.
 ///
 /// \code
 /// health.noteUnanswered(now);
@@ -72,56 +72,57 @@
 public:
     /// \name Evidence
     ///@{
-    /// \brief A task has succeeded.
+    /// \brief Records a task that succeeded.
     void noteSuccess(MonotonicInstant now);
 
-    /// \brief A task of `job` has failed.
+    /// \brief Records a failed task of `job`.
     void noteFailure(const std::string& job, MonotonicInstant now);
 
-    /// \brief A start was answered, whatever the answer.
+    /// \brief Records an answer to a start, accepted or refused.
     void noteStartAnswered(MonotonicInstant now);
 
-    /// \brief A stop was answered.
+    /// \brief Records an answer to a stop.
     void noteStopAnswered(MonotonicInstant now);
 
-    /// \brief The answer to a start or stop is overdue.
+    /// \brief Records that the answer to a start or stop is overdue.
     void noteUnanswered(MonotonicInstant now);
 
-    /// \brief An answer that was overdue has come.
+    /// \brief Records an answer that was overdue.
     void noteLateAnswer(MonotonicInstant now);
 
-    /// \brief A task has ended. \param late It took far longer than at the worker's peers.
+    /// \brief Records an ended task. \param late Its run time was far longer than at the worker's peers.
     void noteRunTime(bool late, MonotonicInstant now);
     ///@}
 
-    /// \returns What the worker should be left out for now; `None` also while it is.
+    /// \returns The fault for which the worker should be ejected now; `None` also while it is ejected.
     [[nodiscard]] HealthFault fault(MonotonicInstant now) const;
 
-    /// \returns How clearly the evidence speaks against the worker, from 0 to 1. Few samples have little weight.
+    /// \returns Strength of the evidence against the worker, from 0 to 1. Few samples have little weight.
     [[nodiscard]] double score(MonotonicInstant now) const;
 
-    /// \brief Leaves the worker out for a backoff, after which one task at a time probes it.
+    /// \brief Ejects the worker for a backoff, after which it is probed with one task at a time.
     void eject(HealthFault fault, const WorkerHealthOptions& options, MonotonicInstant now);
 
-    /// \brief The evidence goes on before a task has probed the worker: it is left out for another first backoff, without doubling.
+    /// \brief Extends the ejection by one first backoff, without doubling it, if more evidence comes before a task has probed the
+    /// worker.
     void postponeProbe(const WorkerHealthOptions& options, MonotonicInstant now);
 
-    /// \returns Whether the worker gets no work now.
+    /// \returns Whether the worker gets no task now.
     [[nodiscard]] bool isEjected(MonotonicInstant now) const noexcept { return now < m_backoff.until(); }
 
-    /// \returns Whether it gets one attempt at a time, to show that it is sound again.
+    /// \returns Whether it gets one attempt at a time, to show that it is healthy again.
     [[nodiscard]] bool isProbing(MonotonicInstant now) const noexcept { return isOut(now) && !isEjected(now); }
 
     /// \returns Whether it is ejected or probing.
     [[nodiscard]] bool isOut(MonotonicInstant now) const noexcept;
 
-    /// \returns When the last backoff is over; the epoch of the clock if there was none.
+    /// \returns End of the last backoff; the epoch of the clock if there was none.
     [[nodiscard]] MonotonicInstant ejectedUntil() const noexcept { return m_backoff.until(); }
 
-    /// \returns Whether it has shown that it is sound since the last ejection, or was never ejected.
+    /// \returns Whether it was found healthy since the last ejection, or was never ejected.
     [[nodiscard]] bool wasReadmitted() const noexcept { return m_ejectedFor == HealthFault::None; }
 
-    /// \returns The judgement with its evidence, for operators.
+    /// \returns The current score with its evidence, for operators.
     [[nodiscard]] WorkerHealthScore report(MonotonicInstant now) const;
 
 private:
@@ -143,9 +144,9 @@
     std::set<std::string> m_failedJobs; ///< Since the last success.
     std::uint32_t m_failures = 0; ///< Since the last success.
     HealthFault m_ejectedFor = HealthFault::None; ///< `None`: it was readmitted.
-    HealthFault m_strike = HealthFault::None; ///< The probing task failed by this.
+    HealthFault m_strike = HealthFault::None; ///< Fault that a probe has shown.
     EjectionBackoff<MonotonicInstant> m_backoff;
-    WorkerHealthScore m_verdict; ///< For which it was left out last.
+    WorkerHealthScore m_verdict; ///< Score at the last ejection.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// What a pool has for a class: sound instances with its label, and their processor time.
+/// Capacity of a pool for a class: healthy instances with its label, and their processor time.
 struct Supply {
     double milliCpu = 0;
     std::uint32_t instances = 0;
-    std::uint32_t present = 0; ///< Of the instances, those that take work now.
+    std::uint32_t present = 0; ///< Instances that accept tasks now.
 
     void add(const PoolInstance& instance)
     {
@@ -42,35 +42,35 @@
 
 } // namespace
 
-/// A requirement class of a pool while moves are being chosen.
+/// State of a requirement class of a pool during planning.
 struct CapacityPlan::ClassBalance {
     Requirement requirement;
     const RequirementLoad* load = nullptr;
-    CapacityNeed now; ///< For the demand now.
-    CapacityNeed ofLate; ///< For the highest demand of late.
-    CapacityNeed lasting; ///< For the demand that has lasted for a while.
-    CapacityNeed least; ///< For the demand now, with nothing to spare.
+    CapacityNeed now; ///< For the current demand.
+    CapacityNeed ofLate; ///< For the recent peak demand.
+    CapacityNeed lasting; ///< For the sustained demand.
+    CapacityNeed least; ///< For the current demand, without margin.
     Supply supply;
-    bool exhausted = false; ///< No instance that would help is to be had.
+    bool exhausted = false; ///< No remaining instance would help.
 
     [[nodiscard]] bool isAny() const { return requirement.label.empty(); }
     [[nodiscard]] bool isRequired() const { return !isAny() && !requirement.preferred; }
 };
 
-/// A pool while moves are being chosen.
+/// State of a pool during planning.
 struct CapacityPlan::Balance {
     using Need = CapacityNeed ClassBalance::*;
 
     const PoolLoad* load = nullptr;
     std::vector<ClassBalance> classes;
     std::vector<const PoolInstance*> idle; ///< Longest idle first.
-    std::vector<const PoolInstance*> drainable; ///< Those without long-running tasks first, then those that are empty soonest.
+    std::vector<const PoolInstance*> drainable; ///< Without long-running tasks first, then by the time at which they are empty.
     std::unordered_set<const PoolInstance*> sound;
-    mutable std::map<std::string, double> soundMilliCpu; ///< Of the sound instances, by label, of labels that were asked for.
-    mutable std::uint64_t inspected = 0; ///< Instances looked at, each time that one was.
+    mutable std::map<std::string, double> soundMilliCpu; ///< Of the healthy instances, by label; a cache.
+    mutable std::uint64_t inspected = 0; ///< Number of instance inspections.
 
-    /// \returns What the class needs. Tasks that run anywhere need room beside those that take up
-    /// instances with a label, as far as there are such: what lacks its label uses nothing.
+    /// \returns Need of the class. Tasks without a required label need room beside the tasks that occupy instances with a label,
+    /// up to the capacity of those instances: a class without instances uses nothing.
     [[nodiscard]] CapacityNeed needOf(const ClassBalance& each, Need which) const
     {
         CapacityNeed need = each.*which;
@@ -83,7 +83,7 @@
         return need;
     }
 
-    /// \returns What the class lacks, as a share of what it needs.
+    /// \returns Shortage of the class, as a share of its need.
     [[nodiscard]] double shortage(const ClassBalance& each) const
     {
         const CapacityNeed need = needOf(each, &ClassBalance::now);
@@ -94,7 +94,7 @@
 
     [[nodiscard]] bool isShort(const ClassBalance& each) const { return !each.exhausted && !each.supply.covers(needOf(each, &ClassBalance::now)); }
 
-    /// \returns Whether every class keeps what it needs without `instance`.
+    /// \returns Whether every class keeps enough without `instance`.
     [[nodiscard]] bool canSpare(const PoolInstance& instance, Need which) const
     {
         return std::all_of(classes.begin(), classes.end(), [&](const ClassBalance& each) { return !instance.has(each.requirement.label) || each.supply.coversWithout(needOf(each, which), instance); });
@@ -105,10 +105,10 @@
         return static_cast<std::uint32_t>(std::count_if(classes.begin(), classes.end(), [&](const ClassBalance& each) { return isShort(each) && instance.has(each.requirement.label); }));
     }
 
-    /// \returns Processor time of the sound instances with a label.
+    /// \returns Processor time of the healthy instances with a label.
     [[nodiscard]] double sizeOf(const std::string& label) const
     {
-        // Asked once for each instance that could be given: a sum each time made a plan cost the cube of the fleet.
+        // Cached: a sum for each candidate instance made the plan cubic in the fleet size.
         const auto [size, isNew] = soundMilliCpu.try_emplace(label);
         if (!isNew)
             return size->second;
@@ -128,26 +128,26 @@
         return std::any_of(classes.begin(), classes.end(), [&](const ClassBalance& each) { return each.isRequired() && each.requirement.label == label; });
     }
 
-    /// \returns Whether an idle instance may go to a class of another pool. One that has none of its
-    /// label comes before what this pool has to spare.
+    /// \returns Whether an idle instance may go to a class of another pool. A class without any instance of its label has
+    /// priority over this pool's spare capacity.
     [[nodiscard]] bool mayGive(const PoolInstance& instance, const ClassBalance& lacking) const
     {
         const bool hasNone = lacking.isRequired() && lacking.supply.instances == 0;
         return load->reserve || canSpare(instance, &ClassBalance::now) || (hasNone && canSpare(instance, &ClassBalance::least));
     }
 
-    /// \returns Whether a busy instance may be emptied for a class of another pool.
+    /// \returns Whether a busy instance may be drained for a class of another pool.
     [[nodiscard]] bool mayDrain(const PoolInstance& instance, const ClassBalance& lacking, double gap) const
     {
         if (lacking.isRequired() && mayGive(instance, lacking))
             return true;
         if (instance.longRunning > 0)
             return false;
-        // It works on what ends late whatever is done, and there on what may yet end in time.
+        // The instance works on jobs that end late in any case, while the other pool's jobs can still end in time.
         if (hasBacklog() && mayGive(instance, lacking))
             return true;
         const auto milliCpu = static_cast<double>(instance.capacity.milliCpu);
-        // Nobody here needs the label, and nobody there can do without.
+        // This pool has no use for the label, and the other one requires it.
         if (lacking.isRequired() && !needsLabel(lacking.requirement.label))
             return lacking.supply.instances == 0 && sizeOf({}) > milliCpu;
         return sizeOf(lacking.requirement.label) - lacking.supply.milliCpu >= gap * milliCpu;
@@ -206,15 +206,14 @@
     return refused == m_refusedKinds.end() || std::find(refused->second.begin(), refused->second.end(), kind) == refused->second.end();
 }
 
-/// \param present Instances of the class that take work now.
+/// \param present Instances of the class that accept tasks now.
 CapacityNeed CapacityPlan::needOf(const Requirement& requirement, const RequirementLoad& load, std::int64_t milliCpu, std::uint32_t present) const
 {
     const bool isAny = requirement.label.empty();
     CapacityNeed need { .milliCpu = static_cast<double>(milliCpu) * m_options.margin / m_options.packing };
-    // One more than what must be spread, so that one can fail or be maintained.
+    // One instance more than the spread requires, so that one can fail or be maintained.
     const std::uint32_t spread = load.leastInstances > 0 ? load.leastInstances + 1 : 0;
-    // What waits found no room on any instance, whatever the sum of what is free. One that comes
-    // may be enough.
+    // Waiting tasks found no room on any instance, whatever the sum of the free capacity. One more instance may be enough.
     const std::uint32_t more = load.hasWaiting ? present + 1 : 0;
     need.instances = std::max({ isAny ? m_options.leastInstances : 0, spread, more });
     return need;
@@ -294,16 +293,16 @@
     return now - *m_firstSeen >= m_options.mostIdleStart;
 }
 
-/// Idle instances of one pool that no class tells apart: any of them may stand for all.
+/// Idle instances of one pool that are equivalent for all classes.
 struct CapacityPlan::IdleGroup {
     Balance* pool = nullptr;
-    std::deque<std::pair<std::size_t, const PoolInstance*>> instances; ///< With their place in the pool's order.
+    std::deque<std::pair<std::size_t, const PoolInstance*>> instances; ///< With their index in the pool's order.
 
     [[nodiscard]] const PoolInstance& first() const { return *instances.front().second; }
 };
 
-/// A turn of load moves hundreds of instances; compared one by one for each move they made a plan cost the square of
-/// the fleet.
+/// A shift of load moves hundreds of instances. Comparing them one by one for each move made the plan quadratic in the fleet
+/// size.
 std::vector<CapacityPlan::IdleGroup> CapacityPlan::groupIdle(std::vector<Balance>& pools)
 {
     std::set<std::string> labels;
@@ -328,7 +327,7 @@
     return groups;
 }
 
-/// Pools with room to spare keep what their peaks take.
+/// Pools with ample room keep their peak capacity.
 void CapacityPlan::reservePeaks(std::vector<Balance>& pools, MonotonicInstant now)
 {
     std::vector<PoolNeed> needs;
@@ -341,14 +340,14 @@
                 needs.push_back({ .pool = pool.load->pool, .needed = pool.needOf(each, &ClassBalance::lasting).milliCpu, .size = each.supply.milliCpu });
         }
     }
-    // A fleet that stays without load has shown all that it asks for.
+    // A fleet that stays idle has shown its whole demand.
     const bool staysIdle = !m_firstArrival && mayPowerOff(now);
     m_peaks.update(needs, fleet, now, staysIdle ? now - m_options.peaks.memory : m_firstArrival);
     for (Balance& pool : pools) {
         for (ClassBalance& each : pool.classes) {
             if (!each.isAny() || each.supply.instances == 0)
                 continue;
-            // Whole instances are kept.
+            // Only whole instances are kept.
             const double ofInstance = each.supply.milliCpu / each.supply.instances;
             const double reserved = std::floor(m_peaks.reservedFor(pool.load->pool) / ofInstance) * ofInstance;
             each.ofLate.milliCpu = std::max(each.ofLate.milliCpu, reserved);
@@ -356,16 +355,16 @@
     }
 }
 
-/// Gives instances to the class that lacks most, until none lacks any that are to be had.
+/// Moves idle instances to the class with the largest shortage, until no shortage can be reduced.
 void CapacityPlan::relieve(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves) const
 {
     std::vector<IdleGroup> groups = groupIdle(pools);
     while (moves.size() < maxMoves) {
         Balance* needy = nullptr;
         ClassBalance* lacking = nullptr;
-        // What tasks can't do without comes before what only makes them faster.
+        // Required labels come before preferred ones, which only speed tasks up.
         std::pair<bool, double> worst;
-        std::map<std::string, std::uint32_t> shortPools; // That lack instances with a label, by label.
+        std::map<std::string, std::uint32_t> shortPools; // Pools that lack instances with a label, by label.
         for (Balance& pool : pools) {
             for (ClassBalance& each : pool.classes) {
                 if (!pool.isShort(each))
@@ -382,8 +381,8 @@
         }
         if (!lacking)
             return;
-        // The reserve first, since what is off costs nobody anything. Then what helps most of the
-        // pool's classes and is needed least elsewhere, and the largest.
+        // The reserve comes first, since instances that are off cost nothing. Then the instance that helps most classes of the
+        // pool and is needed least elsewhere, then the largest.
         using Rank = std::tuple<bool, std::int64_t, std::uint32_t, std::int64_t, const Balance*, std::size_t>;
         IdleGroup* giver = nullptr;
         Rank best;
@@ -396,7 +395,7 @@
             if (!helps || !takes(needy->load->pool, instance.kind) || !group.pool->mayGive(instance, *lacking))
                 continue;
             const auto wanted = [&](const std::string& label) { return shortPools.contains(label) ? shortPools[label] : 0; };
-            // Of equals the one of the first pool, and there the one that is idle longest.
+            // Ties go to the first pool, and there to the instance that is idle longest.
             const Rank rank { !group.pool->load->reserve, -std::int64_t { needy->shortClassesOf(instance) }, wanted(instance.kind) + wanted(instance.rack), -instance.capacity.milliCpu, group.pool, group.instances.front().first };
             if (giver && rank >= best)
                 continue;
@@ -415,9 +414,8 @@
     }
 }
 
-/// Lets pools ask for more, for jobs that end late whatever is done. Under a turn of load such jobs pile
-/// up to several times the fleet; counted like the others, they kept instances from pools whose jobs
-/// could still make it.
+/// Adds demand of jobs that end late in any case. After a shift of load such jobs pile up to several times the fleet; counted
+/// like the others, they withheld instances from pools whose jobs could still end in time.
 void CapacityPlan::addBacklog(std::vector<Balance>& pools) const
 {
     for (Balance& pool : pools) {
@@ -432,7 +430,7 @@
     }
 }
 
-/// Ends the drains for pools that are no longer short.
+/// Ends drains for pools that are not short any longer.
 void CapacityPlan::undrain(std::vector<Balance>& pools, std::vector<std::string>& undrains) const
 {
     for (Balance& pool : pools) {
@@ -445,8 +443,8 @@
     }
 }
 
-/// \param next Where to go on in the pool's order; moved on to the instance that is returned.
-/// \returns The first instance from there on that may be emptied for the class, or null.
+/// \param next Start index in the pool's order; advanced to the returned instance.
+/// \returns The first instance from there on that may be drained for the class, or null.
 const PoolInstance* CapacityPlan::nextDrainable(const Balance& pool, std::size_t& next, const Balance& needy, const ClassBalance& lacking) const
 {
     for (; next < pool.drainable.size(); ++next) {
@@ -458,17 +456,17 @@
     return nullptr;
 }
 
-/// Empties instances of pools that have more for pools that lack some and have less.
+/// Drains instances of pools with more capacity for short pools with less.
 void CapacityPlan::share(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const
 {
     for (Balance& needy : pools) {
         for (ClassBalance& lacking : needy.classes) {
             if (lacking.requirement.preferred)
                 continue;
-            // What a pool may not give to this class now it may not later either, since it only gets less: each
-            // instance is looked at once.
+            // An instance that the pool may not give to this class now cannot be given later either, since the pool only shrinks:
+            // each instance is inspected once.
             std::vector<std::size_t> next(pools.size(), 0);
-            // Exhausted classes are those that found no idle instance.
+            // Exhausted classes found no idle instance, so they take part.
             while (drains.size() < maxDrains && !lacking.supply.covers(needy.needOf(lacking, &ClassBalance::now))) {
                 Balance* giver = nullptr;
                 const PoolInstance* chosen = nullptr;
@@ -497,7 +495,7 @@
     }
 }
 
-/// Takes one instance of each pool in turn, so that none is emptied first.
+/// Takes one instance of each pool per round, so that no pool is emptied first.
 void CapacityPlan::powerOff(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves, MonotonicInstant now) const
 {
     const auto reserve = std::find_if(pools.begin(), pools.end(), [](const Balance& pool) { return pool.load->reserve; });
@@ -550,7 +548,7 @@
         share(balances, step.drains, maxActs - step.moves.size());
     const std::size_t maxMoves = maxActs - step.drains.size();
     addBacklog(balances);
-    // What was idle for a moment only may be wanted by its own pool in the next.
+    // A briefly idle instance may be needed by its own pool at once.
     for (Balance& pool : balances) {
         if (!pool.load->reserve)
             std::erase_if(pool.idle, [&](const PoolInstance* instance) { return now - *instance->idleSince < m_options.idleBeforeOff; });
--- a/src/jobs/policy/checkpoint_move.cpp
+++ b/src/jobs/policy/checkpoint_move.cpp
@@ -13,7 +13,7 @@
 Millis timeLeft(const CheckpointedAttempt& attempt) noexcept
 {
     const std::int64_t done = std::min<std::int64_t>(attempt.percent, whole);
-    // Declared times are wrong by half and more; what the attempt has shown is not.
+    // Declared times are off by half and more; the attempt's own progress is accurate.
     if (done > 0)
         return attempt.elapsed * (whole - done) / done;
     return std::max(attempt.declaredLeft, Millis(0));
--- a/src/jobs/policy/crash_attribution.cpp
+++ b/src/jobs/policy/crash_attribution.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Crashes and the restarts that follow them are correlated by the pace of the platform's list: a start may meet the next
-/// independent crash far more often than its probation alone suggests. One crash within this time is assumed.
+/// Crashes and the restarts after them are correlated, since both follow the updates of the platform's instance list: a start may
+/// meet the next independent crash far more often than its probation alone suggests. One crash within this time is assumed.
 constexpr double correlationSeconds = 1.0;
-/// Share of the starts on probation whose worker may crash independently meanwhile.
+/// Max share of starts on probation whose worker may crash independently meanwhile.
 constexpr double maxChanceOfLoss = 0.005;
-/// Share of the starts that may fail by chance while workers crash: a large fleet starts some 100,000 tasks a minute.
+/// Max share of starts that may fail by chance while workers crash: a large fleet starts some 100,000 tasks per minute.
 constexpr double maxChanceOfFailure = 1e-5;
 
 double secondsOf(Millis time)
@@ -26,13 +26,13 @@
     return !lost.isAdopted && lost.survived.has_value() == acknowledged && lost.survived.value_or(Millis(0)) < probation;
 }
 
-/// An adopted attempt may have begun just before its owner was lost.
+/// An adopted attempt may have started just before its previous owner was lost.
 bool isYoungAdopted(const LostAttempt& lost, Millis probation)
 {
     return lost.isAdopted && lost.survived && *lost.survived < probation;
 }
 
-/// An unacknowledged start mostly came when the worker was gone.
+/// Acknowledged starts take precedence: an unacknowledged start was usually sent after the worker had crashed.
 std::vector<LostAttempt> suspectsOf(const std::vector<LostAttempt>& lost, Millis probation)
 {
     std::vector<LostAttempt> suspects;
@@ -43,7 +43,7 @@
     return suspects;
 }
 
-/// \returns Whether no suspect that would not fail with it has as many crashes.
+/// \returns Whether all suspects with at least as many crashes would fail together with it.
 bool standsOut(const LostAttempt& suspect, const std::vector<LostAttempt>& suspects)
 {
     const std::string key = quarantineKey(suspect.attempt, suspect.isLongRunning);
@@ -125,7 +125,7 @@
     const bool isExplained = worst != verdict.suspects.end() && worst->before.total() > 0;
     if (!isExplained)
         m_unexplained.push_back(now);
-    // The first crash of this task is one of them.
+    // The first crash of this task is among the unexplained ones.
     const std::size_t others = m_unexplained.size() - (isExplained && !m_unexplained.empty() ? 1 : 0);
     verdict.crashesNeeded = crashesNeeded(crashesPerSecond(others, workers), now);
     if (!isExplained)
--- a/src/jobs/policy/ejection_bound.cpp
+++ b/src/jobs/policy/ejection_bound.cpp
@@ -15,7 +15,7 @@
     return std::max(1U, static_cast<std::uint32_t>(share * static_cast<double>(workers)));
 }
 
-/// \returns The data hall of a worker and its rack, if it tells one.
+/// \returns The data hall of a worker, and its rack if it is known.
 std::vector<std::pair<std::string, std::string>> domainsOf(const WorkerEntry& worker)
 {
     std::vector<std::pair<std::string, std::string>> domains { { worker.dataHall, {} } };
@@ -71,10 +71,10 @@
     const EjectionMember& member = candidate.member;
     const WorkerEntry& worker = *member.worker;
     const std::vector<Domain> domains = domainsOf(worker);
-    // Where its neighbours don't answer either, the path to them is at fault.
+    // If its neighbours do not answer either, the path to them is at fault.
     if (candidate.fault == HealthFault::Unanswered && std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) { return isAloneIn(domain, member); }))
         return false;
-    // It is counted as out already.
+    // It counts as out already.
     if (member.out)
         return true;
     const Group& pool = m_pools.at(worker.pool);
@@ -87,7 +87,7 @@
     return !isDomainFull && leavesEnough(member);
 }
 
-/// \returns Whether fewer than half of the others of a domain answer.
+/// \returns Whether fewer than half of the other workers of a domain answer.
 bool EjectionBound::isAloneIn(const Domain& domain, const EjectionMember& member) const
 {
     const Group& group = m_domains.at(domain);
--- a/src/jobs/policy/evacuation_moves.cpp
+++ b/src/jobs/policy/evacuation_moves.cpp
@@ -22,7 +22,7 @@
         }
         turns[each.instance] = turn;
     }
-    // Those under way are not listed as empty. If the move fails, they are tried again after the pause.
+    // Instances that are being moved are not listed as empty. A failed move is retried after the pause.
     for (const auto& [instance, turn] : m_turns) {
         if (turn.wasMoved && now < turn.moveAt)
             turns.try_emplace(instance, turn);
--- a/src/jobs/policy/expected_service.cpp
+++ b/src/jobs/policy/expected_service.cpp
@@ -14,13 +14,13 @@
 
 constexpr double milli = 1'000;
 constexpr double permille = 1'000;
-/// An organisation without weight in the pool, or a pool without instances, gets work done at this rate of cores: a bound for quotients.
+/// Min rate, in cores, for an organisation without weight or a pool without instances; avoids a division by zero.
 constexpr double leastCores = 0.1;
 
-/// What one organisation has in the pool.
+/// Load of one organisation in the pool.
 struct Standing {
     double weight = 0;
-    double demandCores = 0; ///< That its accepted work needs to end in time.
+    double demandCores = 0; ///< Rate at which its accepted work would end in time.
     double runningCores = 0;
     double workMillis = 0;
 };
@@ -43,7 +43,7 @@
     return { .milliCpu = std::llround(std::max(cores, 0.0) * milli) };
 }
 
-/// \returns The part of the pool that an organisation gets if it asks for all of it, while the others ask for what they need.
+/// \returns The part of the pool that an organisation gets if it asks for the whole pool and the others ask for their demand.
 double entitlementOf(const std::string& organisation, const std::map<std::string, Standing>& standings, double cores)
 {
     std::vector<OrganisationDemand> demands;
@@ -93,13 +93,14 @@
         const bool isBelow = standing.demandCores < cores;
         const double aim = std::max(allowed * aimAt, chain);
         const double limit = isBelow ? std::max(m_options.lateFactor * allowed, aim) : aim;
-        // Beyond its aim an organisation below its share gets one job at a time: a budget up to the limit would make all of them late.
+        // Beyond its aim an organisation below its share gets one job at a time: a budget up to the limit would make all its jobs
+        // late.
         const double oneJob = isBelow && expected < limit ? static_cast<double>(work.usual.workMillis) : std::numeric_limits<double>::lowest();
         const double part = before > 0 ? static_cast<double>(work.workMillis) / before : 1;
         budgets.push_back({ .queue = work.queue,
             .organisation = work.organisation,
             .workMillis = std::llround(std::max((aim - expected) * cores, oneJob)),
-            .milliCpu = expected > aim ? 0 : std::llround(part * cores * milli), // What was accepted beyond the aim is worked off first.
+            .milliCpu = expected > aim ? 0 : std::llround(part * cores * milli), // Accepted work beyond the aim is finished first.
             .jobMillis = std::max<std::int64_t>(work.usual.workMillis, 1),
             .expectedEnd = Millis(std::llround(expected)),
             .limit = Millis(std::llround(limit)),
--- a/src/jobs/policy/failure_domains.cpp
+++ b/src/jobs/policy/failure_domains.cpp
@@ -139,7 +139,7 @@
     return status;
 }
 
-/// Incarnations that have ended count for as long as the window.
+/// Drops ended incarnations once they are older than the window.
 void HallLossDetector::forgetEnded(Hall& hall, MonotonicInstant now) const
 {
     std::erase_if(hall.stopped, [&](const auto& entry) { return entry.second.hasEnded && now - entry.second.at > m_options.lossWindow; });
@@ -157,14 +157,14 @@
     return stops;
 }
 
-/// \returns Whether the stops are too many of those that answered before for single failures.
+/// \returns Whether so many workers stopped that independent failures cannot explain it.
 bool HallLossDetector::isMajority(const Hall& hall, const RecentStops& stops) const
 {
     const double workers = static_cast<double>(hall.answering) + stops.count;
     return stops.count >= m_options.leastStopped && static_cast<double>(stops.count) > m_options.lostShare * workers;
 }
 
-/// If nothing else answers either, this process has lost its own way to the workers.
+/// If no other data hall answers either, this process has lost its own connection to the workers.
 bool HallLossDetector::anotherAnswers(const std::string& dataHall, MonotonicInstant since, MonotonicInstant now) const
 {
     return std::any_of(m_halls.begin(), m_halls.end(), [&](const auto& entry) {
@@ -175,7 +175,7 @@
 
 void HallLossDetector::lose(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings)
 {
-    // Workers that answer now may be gone as well: they are missed within the window.
+    // Workers that seem to answer may be gone as well: their missing answers are noticed within the window.
     hall.loss = Loss { .since = now, .workers = hall.answering + stops.count, .waiting = {}, .nextStepAt = now + m_options.lossWindow, .lastAdmittedAt = {} };
     for (auto& [id, worker] : m_workers) {
         if (worker.dataHall != dataHall)
--- a/src/jobs/policy/load_forecast.cpp
+++ b/src/jobs/policy/load_forecast.cpp
@@ -11,24 +11,23 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Long enough to hold some arrivals at ten a second, short against a move's 1.5 s.
+/// Long enough for several arrivals at ten per second, short against the 1.5 s of a move.
 constexpr Seconds arrivalWindow { 0.7 };
-/// A queue's load rises from a twentieth to five times its mean within a second. With hundreds of arrivals
-/// a second, fewer of them tell the new rate sooner: as many as make it sure to a fifth, but no
-/// less time than jobs travel together in.
+/// A queue's load rises from a twentieth to five times its mean within a second. At hundreds of arrivals per second, a smaller
+/// sample shows the new rate sooner: this many estimate it to within a fifth. The window is never shorter than the time over
+/// which jobs arrive in batches.
 constexpr std::size_t sureArrivals = 24;
 constexpr Seconds shortestWindow { 0.2 };
-/// A rise goes on while instances are on their way, which takes 1.5 s and more: a rate that grew within
-/// the window, beyond what chance does, is taken to grow on as fast. The rise seen on the large deployment took
-/// 1.3 s from a twentieth to the peak; what was asked for too much is idle for a moment.
+/// A rise continues while instances are moving, which takes 1.5 s and more: a rate that grew within the window by more than
+/// chance explains is extrapolated at the same growth. On the large deployment a rise from a twentieth to the peak took 1.3 s;
+/// excess capacity is idle only briefly.
 constexpr double surelyMore = 2.0; // Standard deviations of the difference of two counts.
 constexpr double mostGrowth = 2.5;
-constexpr std::uint32_t mostRefusedOfReport = 64; // More in one report are summed: the rate is sure with `sureArrivals`.
+constexpr std::uint32_t mostRefusedOfReport = 64; // Further ones in one report are merged: the rate is accurate with `sureArrivals`.
 constexpr double newestWeight = 0.05; // Of one task in the running mean of ratios.
-constexpr double mostRatio = 10.0; // One task on a slow worker must not spoil the mean.
+constexpr double mostRatio = 10.0; // Limits the effect of one task on a slow worker.
 
-/// \returns By how much more a rate is likely to be soon, by the arrivals in the older and the newer
-/// half of the window.
+/// \returns Factor by which the rate is likely to grow soon, from the arrivals in the older and the newer half of the window.
 double growthOf(std::size_t older, std::size_t newer)
 {
     const auto before = static_cast<double>(older);
@@ -62,7 +61,7 @@
 {
     if (count == 0)
         return;
-    // A ms of one core is as much as a second of a thousandth.
+    // One core millisecond equals one second of a thousandth of a core.
     const double work = static_cast<double>(workMillis) / count;
     for (std::uint32_t i = 0; i < std::min(count, mostRefusedOfReport); ++i)
         add(queue, { now, { { Requirement {}, work * count / std::min(count, mostRefusedOfReport) } } });
--- a/src/jobs/policy/maintenance_plan.cpp
+++ b/src/jobs/policy/maintenance_plan.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Workers emptied ahead of those that may go down now, so that none of the slots stays idle.
+/// Workers evacuated beyond the current limit, so that no maintenance slot stays idle.
 constexpr std::uint32_t evacuateAhead = 2;
-/// Of a pool's workers, at most one in this many is emptied or down at once.
+/// At most one in this many of a pool's workers is evacuated or down at once.
 constexpr std::uint32_t poolShare = 4;
-/// A wave that is paced ends after this share of its time; the rest is for what goes wrong.
+/// A paced wave is planned to end after this share of its time; the rest is slack for faults.
 constexpr double pacedShare = 0.6;
-/// A worker with tasks that need its kind is emptied for so long at a time, since they may find no room
-/// elsewhere: another may be on its way, which takes 1.5 s, and tasks go one after the other.
+/// Max time to evacuate a worker whose tasks need its kind, since they may find no room elsewhere: another instance may be on its
+/// way, which takes 1.5 s, and tasks move one after the other.
 constexpr Millis patience { 8'000 };
-/// Then it has work again for so long.
+/// The worker gets tasks again for this long afterwards.
 constexpr Millis putOff { 4'000 };
-/// Of one instance's maintenance, with the time to empty it.
+/// Time for one instance's maintenance, including its evacuation.
 constexpr Millis timeOfOne { 5'000 };
 
 } // namespace
@@ -39,7 +39,7 @@
     return static_cast<std::uint32_t>(m_ordered.size()) + static_cast<std::uint32_t>(std::count_if(m_backBy.begin(), m_backBy.end(), isDown));
 }
 
-/// \returns Instances that must be under way at once so that the wave ends in time.
+/// \returns Number of instances that must be in progress at once for the wave to end in time.
 std::uint32_t MaintenancePlan::pace(MonotonicInstant now) const
 {
     const std::size_t left = m_wave.instances.size() - std::min(m_done.size(), m_wave.instances.size());
@@ -70,7 +70,7 @@
     const std::uint32_t downNow = down(now);
     const std::uint32_t most = hasShortage ? pace(now) : m_wave.mostAtOnce;
     std::uint32_t slots = most > downNow ? most - downNow : 0;
-    // While a pool is short, those being emptied and those that are down are paced together.
+    // While a pool is short, evacuations and instances that are down share one limit.
     std::uint32_t evacuations = hasShortage ? std::max(slots, 1U) : most + evacuateAhead;
     for (const MaintenanceCandidate* candidate : due) {
         const auto retry = m_retryAt.find(candidate->instance);
--- a/src/jobs/policy/organisation_share.cpp
+++ b/src/jobs/policy/organisation_share.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t resourceKinds = 3;
-constexpr double epsilon = 1e-9; ///< Parts of a pool that differ by less are the same.
+constexpr double epsilon = 1e-9; ///< Parts of a pool that differ by less are equal.
 
 using Parts = std::array<double, resourceKinds>;
 
@@ -28,7 +28,7 @@
     return *std::max_element(parts.begin(), parts.end());
 }
 
-/// \returns Weights, where those who have none get the mean of the others.
+/// \returns Weights, with the mean of the others for organisations without one.
 std::vector<double> weightsOf(const std::vector<OrganisationDemand>& demands)
 {
     double sum = 0;
@@ -45,7 +45,7 @@
     return weights;
 }
 
-/// Progressive filling: shares grow by weight until each is satisfied or stopped by a resource that is used up.
+/// Progressive filling: shares grow by weight until the demand is satisfied or a needed resource is exhausted.
 class Filling {
 public:
     Filling(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
@@ -81,7 +81,7 @@
     /// \returns The level at which the organisation's share covers what it asks for.
     [[nodiscard]] double levelOf(std::size_t i) const { return m_demands[i] / m_weights[i]; }
 
-    /// \returns What the organisation takes of a resource for each unit of level.
+    /// \returns Part of a resource that the organisation takes for each unit of level.
     [[nodiscard]] double rateOf(std::size_t i, std::size_t kind) const { return m_demands[i] > 0 ? m_weights[i] * m_asked[i][kind] / m_demands[i] : 0; }
 
     void addRate(std::size_t i, int sign)
@@ -97,7 +97,7 @@
         addRate(i, -1);
     }
 
-    /// Raises the level towards `target`. \returns Whether a resource was used up before.
+    /// Raises the level towards `target`. \returns Whether a resource was exhausted before.
     bool growTo(double target)
     {
         std::optional<std::size_t> exhausted;
@@ -127,11 +127,11 @@
 
     std::vector<double> m_weights;
     std::vector<Parts> m_asked;
-    std::vector<double> m_demands; ///< Of the resource of which each asks for the largest part.
+    std::vector<double> m_demands; ///< Part of the pool, of the dominant resource.
     std::vector<double> m_shares;
     std::vector<bool> m_growing;
-    std::vector<std::size_t> m_order; ///< Those satisfied first come first.
-    double m_level = 0; ///< Share by weight of those that still grow.
+    std::vector<std::size_t> m_order; ///< By the level at which their demand is satisfied.
+    double m_level = 0; ///< Share per weight of the organisations that still grow.
     Parts m_left { 1, 1, 1 };
     Parts m_rates {};
 };
@@ -200,7 +200,7 @@
         return;
     }
     MonotonicInstant& since = unserved.try_emplace(organisation, now).first->second;
-    // The claim was used in vain: the others go on before the next one.
+    // The claim ended without a start: the others go on before the next claim.
     if (now - since >= starvedAfter + m_memory)
         since = now + m_memory;
 }
--- a/src/jobs/policy/organisation_use.cpp
+++ b/src/jobs/policy/organisation_use.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \returns Whether one resource allows the start. \param limit 0: no limit.
+/// \returns Whether one resource permits the start. \param limit 0: no limit.
 bool fits(std::int64_t used, std::int64_t limit, std::int64_t each, std::int64_t tasks)
 {
     if (limit <= 0 || each <= 0 || used + each * tasks <= limit)
--- a/src/jobs/policy/peak_reservation.cpp
+++ b/src/jobs/policy/peak_reservation.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-/// \returns The part of the memory in which no load was observed yet.
+/// \returns The part of the window in which no load was observed yet.
 double PeakReservation::unobservedShare(MonotonicInstant now, std::optional<MonotonicInstant> loadSince) const
 {
     if (!loadSince)
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -17,7 +17,7 @@
     return !step.preferredRack.empty() && !hasLabel(*site.worker, step.preferredRack);
 }
 
-/// \param site One that takes work.
+/// \param site A site that accepts tasks.
 bool fits(const PlacementSite& site, const StepSpec& step, const Resources& needs)
 {
     return site.free.covers(needs)
@@ -30,21 +30,21 @@
     return (step.bestEffort && site.servingTasks > 0) || (step.latencyTarget.count() > 0 && site.bestEffortTasks > 0);
 }
 
-/// \returns Whether a site has a suspect to be told apart from the task, with at least so many crashes.
+/// \returns Whether a site has a suspect to be separated from the task, with at least this many crashes.
 bool hasSuspect(const PlacementSite& site, const PlacementQuery& query, std::uint32_t suspicion)
 {
     return std::any_of(site.suspects.begin(), site.suspects.end(), [&](const SiteSuspect& suspect) { return suspect.quarantineKey != query.quarantineKey && suspect.suspicion >= suspicion; });
 }
 
-/// \returns Whether a task must keep away from what is at the site, or what is there from it.
+/// \returns Whether the task must not share the site, because of its own suspicion or that of a task there.
 bool isIsolated(const PlacementSite& site, const PlacementQuery& query)
 {
     return !site.suspects.empty() && hasSuspect(site, query, query.suspicion >= crashesToIsolate ? 1 : crashesToIsolate);
 }
 
-/// What speaks against a site; smaller is better, the fields in the order in which they decide.
+/// Drawbacks of a site in the order of their priority; smaller is better.
 using Drawbacks = std::tuple<bool, bool, bool, bool, bool, bool, bool, std::uint32_t>;
-/// Then the fullest site, and of equals the first.
+/// By drawbacks, then the fullest site, then the lowest index.
 using Rank = std::tuple<Drawbacks, std::int64_t, std::size_t>;
 
 Drawbacks drawbacksOf(const PlacementSite& site, const StepSpec& step, const PlacementQuery& query)
@@ -52,7 +52,7 @@
     const bool avoided = !query.avoidWorker.empty() && site.worker->id == query.avoidWorker;
     const bool besideSuspect = !site.suspects.empty() && hasSuspect(site, query, 1);
     const bool besideYoung = query.suspicion >= crashesToIsolate && site.hasYoungAttempts;
-    // A suspect that crashes the worker would say nothing of its health.
+    // A crash caused by a suspect says nothing about the worker's health.
     const bool probedBySuspect = query.suspicion > 0 && site.probing;
     return { avoided, probedBySuspect, besideSuspect, besideYoung, !site.preferred, isFar(site, step), wouldMix(site, step), step.requiredLabel.empty() ? site.wanted : 0 };
 }
@@ -61,11 +61,11 @@
 {
     if (query.suspicion > 0)
         return -site.free.milliCpu;
-    // Best-effort tasks take no processor time of their own: fewest of them on a site first.
+    // Best-effort tasks take no processor time, so the site with the fewest of them comes first.
     return step.bestEffort ? std::int64_t { site.bestEffortTasks } : site.free.milliCpu;
 }
 
-/// \returns Whether the label and the needs alone decide which sites may be taken.
+/// \returns Whether only the label and the needs decide which sites are allowed.
 bool asksOnlyRoom(const StepSpec& step, const PlacementQuery& query)
 {
     const bool isNear = query.nearOnly && !step.preferredRack.empty();
@@ -119,17 +119,17 @@
     return std::any_of(m_noRoom.begin(), m_noRoom.end(), [&](const NoRoom& full) { return full.label == step.requiredLabel && needs.covers(full.needs); });
 }
 
-/// The best of some sites.
+/// Best site of a range.
 struct Placer::Choice {
     std::optional<Rank> best;
-    bool isKeptApart = false; ///< From a site that may have room.
+    bool isKeptApart = false; ///< A site that may have room was skipped because of a suspect.
 
     [[nodiscard]] bool hasNoDrawbacks() const { return best && std::get<Drawbacks>(*best) == Drawbacks {}; }
 
     void merge(const Choice& other)
     {
         isKeptApart = isKeptApart || other.isKeptApart;
-        // Of equal drawbacks the first data hall's: the fuller site of another one is no better.
+        // On equal drawbacks the first data hall wins: a fuller site in another one is no better.
         if (other.best && (!best || std::get<Drawbacks>(*other.best) < std::get<Drawbacks>(*best)))
             best = other.best;
     }
@@ -175,14 +175,14 @@
         const Rank rank { drawbacksOf(site, step, query), fullnessOf(site, step, query), index };
         if (!choice.best || rank < *choice.best)
             choice.best = rank;
-        // None of those that are emptier can be better.
+        // No emptier site can be better.
         if (!step.bestEffort && query.suspicion == 0 && choice.hasNoDrawbacks())
             break;
     }
     return choice;
 }
 
-/// A data hall whose best site has no drawbacks ends the search, so that most choices look at one data hall.
+/// Stops at the first data hall whose best site has no drawbacks, so that most choices inspect one data hall.
 Placer::Choice Placer::chooseSpread(const StepSpec& step, const PlacementQuery& query) const
 {
     sortByHall();
@@ -211,7 +211,7 @@
         m_byHall[m_sites[place.second].worker->dataHall].push_back(place);
 }
 
-/// Puts a site in its place after what it has free has changed.
+/// Moves a site to its new position after its free capacity has changed.
 void Placer::move(std::size_t index, const Resources& before)
 {
     const Place was { before.milliCpu, index };
--- a/src/jobs/policy/reachability.cpp
+++ b/src/jobs/policy/reachability.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A worker that did not answer over more paths than this has probably crashed. In a cut between two of three data halls the
-/// third path at the latest answers.
+/// A worker that did not answer over more paths than this has probably crashed: in a partition between two of three data halls at
+/// least the third path answers.
 constexpr std::size_t mostPathsOfEvidence = 3;
 constexpr std::uint32_t mostDoublings = 4; // Of the pause between retries.
 
@@ -165,7 +165,7 @@
         m_halls[hall].cuts.erase(cut);
 }
 
-/// A path that is back shows that the data halls reach each other again: the others from there need not be retried one by one.
+/// A restored path shows that the data halls reach each other again: the other paths from there need no retries one by one.
 void ReachabilityTable::doubtSiblings(std::size_t from, std::size_t hall, MonotonicInstant now)
 {
     for (auto& [name, path] : m_paths) {
--- a/src/jobs/policy/run_time_ranks.cpp
+++ b/src/jobs/policy/run_time_ranks.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t fewestSamples = 16;
-/// The median is found anew after so many samples: finding it takes as long as some ten samples, and there are thousands a second.
+/// Samples between two updates of the median: one update costs as much as some ten samples, of which thousands come per second.
 constexpr std::uint64_t refreshEach = 8;
 
 } // namespace
--- a/src/jobs/policy/start_answers.cpp
+++ b/src/jobs/policy/start_answers.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t mostOpenAtDistrusted = 2;
 constexpr std::ptrdiff_t overdueToClose = 2;
-/// A worker that got no start for so long is trusted again.
+/// A worker without an overdue start in this time is trusted again.
 constexpr Millis distrustTime { 10'000 };
 
 } // namespace
--- a/src/jobs/policy/throttle.cpp
+++ b/src/jobs/policy/throttle.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr double nearTarget = 0.85; // Cut above this share of the target.
-constexpr double farFromTarget = 0.6; // Give back below it; between the two nothing changes.
-constexpr std::uint32_t leastPercent = 20; // Less than this is none.
-constexpr std::uint32_t stepBack = 20; // Given back at once, in percent.
-/// The figure that workers report covers half a second, so a cut shows only after that.
+constexpr double nearTarget = 0.85; // Share of the target above which the speed is cut.
+constexpr double farFromTarget = 0.6; // Share of the target below which it is restored; no change in between.
+constexpr std::uint32_t leastPercent = 20; // Lower values are rounded down to 0.
+constexpr std::uint32_t stepBack = 20; // Percent restored at once.
+/// Workers report a latency over half a second, so the effect of a cut shows only after this.
 constexpr Millis reportSpan { 600 };
-/// Before a step is given back: well above a report's span, so that it is not taken again at once.
+/// Calm period before a step is restored: well above the reported span, so that the step is not cut again at once.
 constexpr Millis calmSpan { 2'000 };
 
 } // namespace
--- a/src/jobs/policy/worker_health.cpp
+++ b/src/jobs/policy/worker_health.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-/// A sound worker fails some 0.2% of batch and 3% of long-running attempts in a row only by
-/// rare luck: three failures of two jobs, with no success between, speak against the worker.
+/// A healthy worker fails some 0.2% of batch and 3% of long-running attempts, and several in a row only by rare chance: three
+/// failures of two jobs without a success in between count against the worker.
 constexpr std::uint32_t failuresToEject = 3;
 constexpr std::size_t jobsToEject = 2;
 
-/// With fewer samples there is no score; with `fullWeightAt` and more the share alone counts.
+/// There is no score with fewer samples; from `fullWeightAt` samples on, the share alone counts.
 constexpr std::int32_t fewestSamples = 4;
 constexpr std::int32_t fullWeightAt = 8;
 
-/// Three of four calls, or three of eight. Answers that the network loses are some hundredths of all.
+/// Three of four calls, or three of eight. The network loses a few percent of all answers.
 constexpr double unansweredToEject = 0.3;
-/// Four of four ends, or four of eight. Run times vary by themselves, so this takes more than lost answers do.
+/// Four of four attempts, or four of eight. Run times vary by nature, so the threshold is higher than for lost answers.
 constexpr double lateToEject = 0.5;
 
-/// After so long in service the next ejection is as short as the first one. It is longer than most backoffs, so that a worker which
-/// fails with their period is left out ever longer.
+/// After this time in service the next ejection is as short as the first one. Longer than most backoffs, so that a worker that
+/// fails with their period gets longer and longer ejections.
 constexpr Millis calmTime { 20'000 };
-/// A worker that got no task to probe it by then, or whose probing task runs on, is back in service: the evidence is old.
+/// A worker without a probing task by then, or whose probing task still runs, is back in service: its evidence is too old.
 constexpr Millis longestProbing { 10'000 };
 
 double scoreOf(std::int32_t bad, std::int32_t all)
@@ -115,8 +115,8 @@
         m_strike = HealthFault::None;
 }
 
-/// A worker that has become slow reports few ends, beside the many of the seconds before, and run times vary by themselves: each end
-/// halves the weight of earlier ones of the other kind.
+/// A worker that has become slow reports few ends compared with the seconds before, and run times vary by nature: each end halves
+/// the weight of earlier ends of the other kind.
 void WorkerHealth::noteRunTime(bool late, MonotonicInstant now)
 {
     for (Slot& slot : m_window) {
@@ -130,7 +130,7 @@
         strike(HealthFault::Slow, now);
 }
 
-/// The probing task has failed: one failure is enough then.
+/// Records a failed probe: one failure is enough while probing.
 void WorkerHealth::strike(HealthFault fault, MonotonicInstant now)
 {
     if (isProbing(now))
--- a/tests/jobs/checkpoint_move_test.cpp
+++ b/tests/jobs/checkpoint_move_test.cpp
@@ -1,6 +1,6 @@
 /// Batch tasks with a checkpoint in an evacuated data hall.
 ///
-/// Seen: a data hall was empty only when its longest batch task had ended, however long that took.
+/// Guards against a data hall that stays occupied until its longest batch task has ended.
 
 #include "lanemoor/jobs/policy/checkpoint_move.h"
 #include "support.h"
@@ -17,7 +17,7 @@
     CHECK(isWorthMoving({ .elapsed = Millis(1'000), .percent = 25 }, cost));
     CHECK_FALSE(isWorthMoving({ .elapsed = Millis(1'000), .percent = 30 }, cost));
     CHECK_FALSE(isWorthMoving({ .elapsed = Millis(1'000), .percent = 100 }, cost));
-    // What the attempt has shown counts more than what was declared.
+    // The attempt's own progress takes precedence over its declared time.
     CHECK_FALSE(isWorthMoving({ .elapsed = Millis(1'000), .percent = 90, .declaredLeft = Millis(60'000) }, cost));
     CHECK(isWorthMoving({ .elapsed = Millis(100), .percent = 0, .declaredLeft = Millis(2'601) }, cost));
     CHECK_FALSE(isWorthMoving({ .elapsed = Millis(9'000), .percent = 0, .declaredLeft = Millis(-500) }, cost));
@@ -60,7 +60,7 @@
     LongBatch cluster(true);
     REQUIRE(cluster.runningOn("m-0") == 2);
     CHECK(cluster.waitFor(Millis(3'000), [&] { return cluster.runningOn("m-0") == 0 && cluster.runningOn("m-1") == 2; }));
-    // From the beginning they would take 20 s.
+    // Restarted from the beginning, they would take 20 s.
     CHECK(cluster.waitFor(Millis(16'000), [&] { return cluster.status(0, LongBatch::id) == JobStatus::Succeeded; }));
     CHECK(cluster.witness.breaches().empty());
 }
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -1,4 +1,4 @@
-/// Crash accounting of poison tasks, from a review: orders of events that crash_accounting_test.cpp does not force.
+/// Crash accounting of poison tasks: orders of events that crash_accounting_test.cpp does not force.
 
 #include "lanemoor/jobs/model/job_state.h"
 #include "lanemoor/jobs/policy/crash_attribution.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint32_t maxCrashesAllowed = 5; // By the platform's rule, whatever the product's own limits are.
+constexpr std::uint32_t maxCrashesAllowed = 5; // The platform's rule, independent of the product's own limits.
 constexpr Millis beforeAnswer { 0 };
 constexpr Millis afterAnswer { 10 };
 constexpr Millis soonAfterStart { 4 }; // After the answer has arrived.
@@ -60,7 +60,7 @@
 
 } // namespace
 
-// Guards against a liveness check that is out of date once the start is stored, so that no crash before the answer is confirmed.
+// Guards against a liveness check that is outdated once the start is stored, so that no crash before the answer is confirmed.
 TEST_CASE("A poison task that crashes workers before the answer fails in time though the store answers slowly")
 {
     for (const Millis answerTime : { Millis(20), Millis(45), Millis(60), Millis(120) }) {
@@ -73,7 +73,7 @@
     }
 }
 
-// Guards against a lapsed lease of an old attempt that clears the crashes which the previous owner recorded.
+// Guards against an expired lease of an old attempt that clears the crashes recorded by the previous owner.
 TEST_CASE("The end of an attempt that is older than the recorded crashes does not clear them after a change of owner")
 {
     PoisonCluster cluster;
@@ -89,7 +89,7 @@
     const Millis pause = GENERATE(Millis(100), Millis(1'000), Millis(1'700));
     CAPTURE(recorded, pause.count());
     REQUIRE(cluster.waitFor(Millis(40'000), [&] { return cluster.crashes() >= recorded; }));
-    // Its crash is attributed and stored.
+    // The crash is attributed and stored by now.
     cluster.clock.runFor(pause);
     cluster.replaceOwner();
     cluster.clock.runFor(Millis(100));
@@ -98,12 +98,12 @@
     cluster.checkPromise();
 }
 
-// Guards against starts that a new owner finds within their probation, unrecorded, and takes for survived.
+// Guards against a new owner that treats unrecorded starts within their probation as survived.
 TEST_CASE("A poison task fails in time though several owners are lost between a start and its crash")
 {
     for (const std::set<std::uint32_t>& lost : { std::set<std::uint32_t> { 1, 2 }, std::set<std::uint32_t> { 1, 2, 3 }, std::set<std::uint32_t> { 1, 3 } }) {
         CAPTURE(lost.size(), *lost.rbegin());
-        // Large enough for a crash to leave the probation at its maximum.
+        // Large enough to keep the probation at its maximum despite a crash.
         PoisonCluster cluster(step(1), 48);
         cluster.crashesAfter = [] { return Millis(700); };
         cluster.onStarted = [&cluster, &lost] {
@@ -149,7 +149,7 @@
     }
 }
 
-// Guards against a live worker that is declared over since one list left its instance out.
+// Guards against declaring a live worker ended because one instance list omitted its instance.
 TEST_CASE("A worker that is cut off while a list leaves its instance out runs its task alone until its lease ends")
 {
     SmallCluster cluster;
@@ -185,17 +185,17 @@
             return false;
         };
         REQUIRE(cluster.waitFor(Millis(20'000), [&] { return cluster.crashes() == 2; }));
-        // The crash is attributed and stored.
+        // The crash is attributed and stored by now.
         cluster.clock.runFor(Millis(1'000));
         if (inherited)
             cluster.replaceOwner();
-        // A task that has nothing running for three seconds while there is room counts as lost.
+        // The platform counts a task as lost if it has no running attempt for three seconds while there is room.
         CHECK(cluster.waitFor(Millis(10'000), [&] { return survivedAt != MonotonicInstant {}; }));
         CHECK(cluster.witness.breaches().empty());
     }
 }
 
-// Guards against an old attempt's end that clears crashes of later ones since the record does not tell which attempts crashed.
+// Guards against an old attempt's end that clears later crashes, since the record does not show which attempts crashed.
 TEST_CASE("A record of crashes tells a new owner that an older attempt's end says nothing of them")
 {
     const std::string id = jobId(1);
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr std::uint32_t maxCrashesAllowed = 5; // By the platform's rule, whatever the product's own limits are.
+constexpr std::uint32_t maxCrashesAllowed = 5; // The platform's rule, independent of the product's own limits.
 constexpr Millis beforeAnswer { 0 };
 constexpr Millis afterAnswer { 10 };
 constexpr Millis soonAfterStart { 4 }; // After the answer has arrived.
 constexpr std::size_t fewInstances = 3;
-constexpr Millis quickJobInterval { 100 }; // With `quickTasks` each: enough for every one of a few workers to have a young start.
+constexpr Millis quickJobInterval { 100 }; // With `quickTasks` each: enough for a recent start at each of a few workers.
 constexpr std::uint32_t quickTasks = 4;
 constexpr Millis busyTime { 2'000 };
 
-/// A cluster with one poison task. Entries are linked, so a killed owner is succeeded within 300 ms.
+/// A cluster with one poison task. Its entries are linked, so that a killed owner is replaced within 300 ms.
 struct PoisonCluster : SmallCluster {
     explicit PoisonCluster(std::uint64_t seed = 1, std::size_t instances = 8, StepSpec poisonStep = step(1), Millis busyBefore = Millis(0))
         : SmallCluster(seed, 3, instances, 2, 1)
@@ -41,7 +41,7 @@
         submit(owner().value(), "work", poison, job({ std::move(poisonStep) }));
     }
 
-    /// Kills the owner now and starts its entry again a second later.
+    /// Kills the owner now and restarts its entry a second later.
     void replaceOwner()
     {
         const std::optional<std::size_t> index = owner();
@@ -51,7 +51,7 @@
         clock.after(Millis(1'000), [this, index = *index] { start(index); });
     }
 
-    /// Plays, and submits a job of quick tasks at each interval.
+    /// Runs the cluster and submits a job of quick tasks at each interval.
     void playWithQuickJobs(Millis time, Millis interval, std::uint32_t tasks)
     {
         const MonotonicInstant until = clock.now() + time;
@@ -64,11 +64,11 @@
 
     [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
 
-    /// \returns Whether the poison task's worker runs another task that it acknowledges within the longest probation.
+    /// \returns Whether the poison task's worker runs another task that it acknowledges within the maximum probation.
     [[nodiscard]] bool isBesideYoung()
     {
         for (const auto& [attempt, run] : workers.find(worker)->running) {
-            // The answer to an earlier start is out already.
+            // The answer to an earlier start has been sent already.
             if (attempt.job != poison && clock.now() - run.startedAt < maxProbation - Millis(100))
                 return true;
         }
@@ -103,7 +103,7 @@
 
 } // namespace
 
-// Guards against a crash before the answer that is attributed to an innocent acknowledged start, and not counted.
+// Guards against attributing a crash before the answer to an innocent acknowledged start, so that it is not counted.
 TEST_CASE("A poison task that crashes workers before the answer beside young starts fails in time")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -121,7 +121,7 @@
     }
 }
 
-// Guards against the same loss of a crash once the task is suspect.
+// The same for a task that is already suspect.
 TEST_CASE("A suspect that crashes workers before the answer beside young starts fails in time")
 {
     for (const std::uint32_t confirmed : { 1U, 2U }) {
@@ -141,7 +141,7 @@
     }
 }
 
-// Guards against crashes before the answer beside young starts, the first ones, that use up the allowance.
+// Guards against first crashes before the answer, beside recent starts, that use up the allowed number of crashes.
 TEST_CASE("A poison task whose first crashes come before the answer beside young starts fails in time")
 {
     for (const std::uint32_t unseen : { 1U, 2U, 3U }) {
@@ -160,7 +160,7 @@
     }
 }
 
-// Guards against uncounted crashes where not all others are confirmed: the limit of five counts only those that are attributed.
+// Guards against uncounted crashes where not all others are confirmed: the limit of five covers only attributed crashes.
 TEST_CASE("A poison task that crashes workers before the answer both beside young starts and apart from them fails in time")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -184,7 +184,7 @@
     }
 }
 
-// Guards against a task that never has a confirmed crash and so is started without end.
+// Guards against a task without any confirmed crash that is restarted without limit.
 TEST_CASE("A poison task that crashes every worker before the answer fails in time")
 {
     PoisonCluster cluster;
@@ -193,7 +193,7 @@
     cluster.checkPromise();
 }
 
-// Guards against a limit that asks for two confirmed crashes among five.
+// Guards against a limit that requires two confirmed crashes among five.
 TEST_CASE("A poison task that crashes all but one worker before the answer fails in time")
 {
     for (std::uint32_t acknowledged = 1; acknowledged <= 5; ++acknowledged) {
@@ -205,7 +205,7 @@
     }
 }
 
-// Guards against unconfirmed crashes that are not counted towards the limit.
+// Guards against unconfirmed crashes that do not count towards the limit.
 TEST_CASE("A poison task that crashes all but two workers before the answer fails in time")
 {
     for (std::uint32_t first = 1; first <= 4; ++first) {
@@ -217,11 +217,11 @@
     }
 }
 
-// Guards against a lapsed lease of an old attempt that clears the crashes of newer ones.
+// Guards against an expired lease of an old attempt that clears the crashes of newer ones.
 TEST_CASE("The end of an older attempt does not clear the crashes of newer ones")
 {
     PoisonCluster cluster;
-    // The first two starts survive on workers that are cut off, and end there with their leases.
+    // The first two starts survive on workers that are then partitioned, and end there with their leases.
     std::vector<std::string> cutOff;
     cluster.onStarted = [&cluster, &cutOff] {
         if (cluster.starts > 2)
@@ -241,7 +241,7 @@
     cluster.checkPromise();
 }
 
-// Guards against a lapsed lease of an old attempt that starts a long-running task again after it has failed permanently.
+// Guards against an expired lease of an old attempt that restarts a long-running task after it has failed permanently.
 TEST_CASE("The end of an older attempt does not restart a long-running task that has failed permanently")
 {
     PoisonCluster cluster(1, 8, longStep(1));
@@ -261,10 +261,10 @@
     cluster.checkPromise();
 }
 
-// Guards against a new owner that takes a start within its probation for one that the worker has survived.
+// Guards against a new owner that treats a start within its probation as survived.
 TEST_CASE("A change of owner between a start and its crash does not clear the task")
 {
-    // 0: no owner is lost. The fleet is large enough for a crash to leave the probation at its maximum.
+    // 0: no owner is lost. The fleet is large enough to keep the probation at its maximum despite a crash.
     for (std::uint32_t lostAt = 0; lostAt <= 4; ++lostAt) {
         CAPTURE(lostAt);
         PoisonCluster cluster(1, 48);
@@ -296,7 +296,7 @@
     }
 }
 
-// Guards against a crash that is lost where the next incarnation has the same id.
+// Guards against a crash that is not counted if the next incarnation has the same id.
 TEST_CASE("Crashes count where workers restart under their ids")
 {
     for (const Millis delay : { beforeAnswer, afterAnswer }) {
@@ -321,7 +321,7 @@
     }
 }
 
-// Guards against a confirmed crash that the next incarnation clears, if its clock runs on from that of the previous one.
+// Guards against the next incarnation clearing a confirmed crash, if its clock continues that of the previous one.
 TEST_CASE("Crashes count where workers restart under their ids with a clock that runs on")
 {
     PoisonCluster cluster;
@@ -338,7 +338,7 @@
     cluster.checkPromise();
 }
 
-// Guards against a crash that is not recorded when the owner is lost at any moment between the crash and its record.
+// Guards against a crash that stays unrecorded if the owner is lost at any time between the crash and its record.
 TEST_CASE("A poison task fails in time though the owner is lost once at any moment after a crash")
 {
     for (std::uint32_t crash = 1; crash <= 4; ++crash) {
@@ -353,7 +353,7 @@
     }
 }
 
-// Guards against the same where every other crash comes before the answer to the start.
+// The same where every other crash comes before the answer to the start.
 TEST_CASE("A poison task with unconfirmed crashes fails in time though the owner is lost once")
 {
     for (std::uint32_t crash = 1; crash <= 4; ++crash) {
@@ -368,7 +368,7 @@
     }
 }
 
-// Guards against first crashes without a record: the allowance for inherited jobs covers one.
+// Guards against unrecorded first crashes: the allowance for inherited jobs covers one of them.
 TEST_CASE("A poison task fails in time though several owners in a row are lost before they record its first crash")
 {
     for (const std::set<std::uint32_t>& lost : { std::set<std::uint32_t> { 1, 2 }, std::set<std::uint32_t> { 1, 2, 3 } }) {
@@ -395,7 +395,7 @@
     }
 }
 
-// Guards against crashes that stay unconfirmed since no owner lives to see the worker fall silent.
+// Guards against crashes that stay unconfirmed because each owner is lost before the worker becomes unresponsive.
 TEST_CASE("A poison task fails in time though an owner is lost with each of its workers")
 {
     for (const std::uint32_t first : { 1U, 2U, 3U }) {
@@ -407,14 +407,14 @@
     }
 }
 
-// Guards against a crash that is lost when the worker's lease expires before its incarnation is proved to be over.
+// Guards against an uncounted crash if the worker's lease expires before the end of its incarnation is proved.
 TEST_CASE("Crashes count where leases expire before the workers are proved to be over")
 {
     for (const Millis proof : { Millis(6'000), Millis(8'000), Millis(12'000) }) {
         CAPTURE(proof.count());
         PoisonCluster cluster(1, 10);
         cluster.onStarted = [&cluster, proof] {
-            // Silent at once; the platform shows the instance as up until the proof.
+            // Unresponsive at once; the platform shows the instance as up until the proof.
             cluster.clock.after(afterAnswer, [&cluster, proof, worker = cluster.worker, attempt = cluster.current] {
                 cluster.witness.onWorkerEnded(worker, attempt);
                 cluster.workers.find(worker)->trouble.dark = true;
@@ -427,7 +427,7 @@
     }
 }
 
-// Guards against crashes that are lost where the worker has just begun.
+// Guards against uncounted crashes of workers that have just started.
 TEST_CASE("Crashes count where each start goes to a worker that has just begun")
 {
     for (const std::size_t instances : { 1U, 2U, 3U }) {
@@ -438,11 +438,12 @@
     }
 }
 
-// Guards against crashes that stay unconfirmed since no list of instances has shown the worker: its entry and its lease go first.
+// Guards against crashes that stay unconfirmed because no instance list has shown the worker: its entry and its lease expire
+// first.
 TEST_CASE("Crashes count on workers that crash before a list of instances shows them")
 {
     PoisonCluster cluster(1, 1);
-    // Lists show a life as late as they may lag.
+    // Lists show an incarnation with the max lag.
     const auto onEntry = cluster.workers.onEntry;
     cluster.workers.onEntry = [&cluster, onEntry](const model::WorkerModel& worker) {
         cluster.workers.unlisted.insert(worker.entry.id);
@@ -453,7 +454,7 @@
     cluster.checkPromise();
 }
 
-// Guards against a start of a suspect that goes out before its crashes and its probation are stored.
+// Guards against sending a start of a suspect before its crashes and its probation are stored.
 TEST_CASE("Crashes count though their owner loses the store before it has stored them")
 {
     for (Millis offset(0); offset <= Millis(1'800); offset += Millis(100)) {
@@ -499,7 +500,7 @@
     }
 }
 
-// Guards against a probation that independent crashes shorten below the time in which the task crashes its workers.
+// Guards against a probation that independent crashes shorten below the time after which the task crashes its workers.
 TEST_CASE("A poison task that crashes workers within the longest probation fails in time while others crash independently")
 {
     PoisonCluster cluster(1, 12);
@@ -517,14 +518,14 @@
     cluster.checkPromise();
 }
 
-// Guards against failing a task over starts that went to workers which were already dead.
+// Guards against failing a task for starts that were sent to workers that had already crashed.
 TEST_CASE("An innocent task whose starts go to dead workers does not fail permanently")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         SmallCluster cluster(seed, 3, 6, 2);
         const std::string innocent = jobId(1);
-        // Workers take no starts, and crash soon after one was sent.
+        // Workers lose each start and crash soon after one was sent.
         bool isDead = true;
         const auto onEntry = cluster.workers.onEntry;
         cluster.workers.onEntry = [&](const model::WorkerModel& worker) {
@@ -555,7 +556,7 @@
     }
 }
 
-// Guards against failing the acknowledged young starts beside a poison task in its place.
+// Guards against failing the acknowledged recent starts beside a poison task instead of the poison task.
 TEST_CASE("Innocent jobs beside a poison task that crashes workers before the answer do not fail permanently")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
--- a/tests/jobs/crash_attribution_test.cpp
+++ b/tests/jobs/crash_attribution_test.cpp
@@ -1,4 +1,4 @@
-/// Attribution of worker crashes: the pure policy, without store or network.
+/// Attribution of worker crashes, without store or network.
 
 #include "lanemoor/jobs/model/job_state.h"
 #include "lanemoor/jobs/policy/crash_attribution.h"
@@ -15,7 +15,7 @@
 
 constexpr std::size_t fleet = 48;
 constexpr MonotonicInstant begin { std::chrono::seconds(1'000) };
-constexpr MonotonicInstant later { std::chrono::seconds(1'060) }; // When the attributor knows the rate of independent crashes.
+constexpr MonotonicInstant later { std::chrono::seconds(1'060) }; // The attributor has the rate of independent crashes by then.
 
 LostAttempt lostAttempt(std::uint64_t number, std::optional<Millis> survived, std::uint32_t confirmedBefore = 0)
 {
@@ -106,13 +106,13 @@
     placer.book(1, step(1));
     placer.book(1, step(1));
     placer.book(1, step(1));
-    // The one with the suspect has room: it is not for others, and not for good.
+    // The site with the suspect has room, but other tasks must not use it.
     CHECK_FALSE(placer.choose(step(1), usual));
     usual.quarantineKey = suspect;
     CHECK(placer.choose(step(1), usual) == 2U);
 }
 
-// Guards against a crash before the answer to a start that is attributed to an innocent start beside it, and not counted.
+// Guards against attributing a crash before the answer to a start to an innocent start beside it, so that it is not counted.
 TEST_CASE("A task to be isolated prefers a fuller worker without young attempts")
 {
     std::vector<WorkerEntry> workers(2);
@@ -159,7 +159,7 @@
     state.begin(task, 1, "w1", begin);
     state.noteCrash(attempt(1), true);
     state.drop(attempt(1), begin);
-    // The second start is on probation: if the owner is lost with its worker, the next one knows.
+    // The second start is on probation: if the owner is lost with its worker, the next owner knows of it.
     state.begin(task, 2, "w2", begin);
     REQUIRE(state.beginProbation(attempt(2), 1'700'000'000'000));
     CHECK_FALSE(state.beginProbation(attempt(2), 1'700'000'000'000));
@@ -175,14 +175,14 @@
     CHECK(next.find(task)->suspicion() == 2);
     CHECK(next.noteSurvived(task));
     CHECK(next.progress().tasks.empty());
-    // A start that the worker refused is no crash.
+    // A start that the worker refused is not a crash.
     state.drop(attempt(2), begin);
     CHECK(state.find(task)->suspicion() == 1);
     CHECK(state.giveUp(task));
     CHECK(state.status() == JobStatus::Failed);
 }
 
-/// Guards against failing a task over starts that never reached a worker.
+/// Guards against failing a task for starts that never reached a worker.
 TEST_CASE("Unacknowledged starts make a task suspect but never fail it alone")
 {
     CrashAttributor attributor({}, begin);
--- a/tests/jobs/evacuation_moves_test.cpp
+++ b/tests/jobs/evacuation_moves_test.cpp
@@ -1,6 +1,6 @@
 /// Empty instances of evacuated data halls.
 ///
-/// Seen: they stood in their pools, up and without work, until the request was withdrawn.
+/// Guards against idle instances that stay up in their pools until the request is withdrawn.
 
 #include "lanemoor/jobs/policy/evacuation_moves.h"
 
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -1,7 +1,7 @@
-/// Data halls that are lost and come back.
+/// Loss and return of data halls.
 ///
-/// Seen: a data hall without power for 5 s cost a third of the day. Its workers were missed one by one, pools asked for others one by
-/// one, and on its return the empty data hall got all work at once.
+/// Guards against slow handling of a data hall without power, which cost a third of the day's result at 5 s without power: its
+/// workers were noticed one by one, pools requested replacements one by one, and the empty data hall got all tasks on its return.
 
 #include "lanemoor/jobs/policy/failure_domains.h"
 #include "support.h"
@@ -16,7 +16,7 @@
 
 constexpr MonotonicInstant start { Millis(1'000'000) };
 
-/// A detector that heard of two data halls with eight workers each, `a-0` to `b-7`.
+/// A detector with answers from two data halls of eight workers each, `a-0` to `b-7`.
 struct HeardHalls {
     explicit HeardHalls(const FailureDomainOptions& options = {})
         : detector(options)
@@ -89,7 +89,7 @@
     CHECK(small.update(start + Millis(30)).changes.empty());
 }
 
-/// Guards against an owner that was frozen or cut off itself and takes all data halls for lost.
+/// Guards against an owner that was frozen or partitioned itself and declares all data halls lost.
 TEST_CASE("No data hall is lost while no other one answers")
 {
     HeardHalls halls;
@@ -121,7 +121,7 @@
     CHECK(halls.detector.noteAnswer("a", "one-more", now + Millis(800)));
 }
 
-/// Guards against a data hall whose instances that are off stay barred since nothing else of it returns.
+/// Guards against a data hall that stays lost because its only remaining instances are off and none returns.
 TEST_CASE("A data hall of which nothing returns is judged by its workers again after a while")
 {
     HeardHalls halls;
@@ -134,7 +134,7 @@
     CHECK(halls.detector.noteAnswer("a", "new", start + Millis(40'000)));
 }
 
-/// Guards against workers that have not been missed yet when their data hall is found lost.
+/// Guards against workers whose missing answers are not noticed yet when their data hall is declared lost.
 TEST_CASE("Workers of a lost data hall that seem to answer are taken back only after all others have been missed")
 {
     HeardHalls halls;
@@ -144,7 +144,7 @@
     CHECK(halls.detector.update(start + Millis(1'000)).admitted.empty());
     halls.stop("a", 5, 7, start + Millis(1'000));
     CHECK(halls.detector.update(start + Millis(1'200)).admitted == std::vector<std::string> { "a-7" });
-    // Most of the data hall is still gone; it counts as back if no more come.
+    // Most of the data hall is still gone; it counts as back if no more workers return.
     CHECK(halls.detector.update(start + Millis(1'500)).changes.empty());
     CHECK(halls.detector.update(start + Millis(6'300)).changes.size() == 1);
 }
@@ -205,7 +205,7 @@
         play(Millis(3'000));
     }
 
-    /// Plays on and submits a job each 50 ms.
+    /// Runs the cluster and submits a job every 50 ms.
     void play(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
@@ -224,7 +224,7 @@
         return running;
     }
 
-    /// \returns Whether all jobs but the first have ended well.
+    /// \returns Whether all jobs but the first have succeeded.
     bool allSucceeded()
     {
         for (std::uint64_t i = 0; i < submitted; ++i) {
@@ -246,7 +246,7 @@
         ThreeHalls cluster(seed);
         const std::size_t owner = *cluster.owner();
         cluster.workers.losePower("hall-a", Millis(seed % 2 == 0 ? 5'000 : 1'500));
-        // The owner may stand in the same data hall.
+        // The owner may be in the same data hall.
         if (seed > 2)
             cluster.kill(owner, true);
         cluster.play(Millis(8'000));
@@ -258,14 +258,14 @@
     }
 }
 
-/// Guards against a data hall that, empty as it is on its return, attracts all work and loses it again.
+/// Guards against an empty data hall that attracts all tasks on its return and loses them again.
 TEST_CASE("A data hall whose power comes and goes gets a part of the work at a time")
 {
     ThreeHalls cluster(1);
     cluster.workers.losePower("hall-a", Millis(5'000));
     cluster.play(Millis(4'900));
     REQUIRE(cluster.runningIn("hall-a") == 0);
-    // More than the other data halls have room for.
+    // More work than the other data halls have room for.
     cluster.workers.runTimes = [](const Attempt&) { return Millis(2'000); };
     for (std::uint64_t i = 0; i < 5; ++i)
         cluster.submit(0, "work", jobId(10 + i), job({ step(50) }));
@@ -283,7 +283,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-/// Guards against a long-running step whose tasks all stand in one data hall.
+/// Guards against a long-running step with all its tasks in one data hall.
 TEST_CASE("Tasks of a long-running step are spread over data halls where the loss of one must be survived")
 {
     ThreeHalls cluster(1, true);
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -1,13 +1,13 @@
-/// A fleet of 1,100 instances was served too little on ordinary days: of quick jobs less than half came in
-/// time, while hundreds of instances stood open with room and work waited.
+/// Cost of decisions on a large fleet. On a fleet of 1,100 instances fewer than half of the quick jobs ended in time, while
+/// hundreds of instances had room and tasks waited.
 ///
-/// How it came about: a turn of load makes pools short by hundreds of instances at once. The owner's one
-/// thread worked out a plan for the pools for up to seconds, and in that time it started nothing and read no
-/// ends; passes over a queue that had grown meanwhile then took their time too.
+/// A shift of load makes pools short by hundreds of instances at once. The owner's single thread spent up to several seconds on
+/// one capacity plan, in which it started no task and read no reports; the passes over the queue that had grown meanwhile were
+/// slow as well.
 ///
-/// Cause: the work of one decision grew with the square or the cube of the fleet, or with all that waits, and not
-/// with what had changed. What proved it: the owner's time by kind of work, second by second, on machines with
-/// less processor time, and the counts below, which depend on no machine.
+/// The cost of one decision grew with the square or the cube of the fleet, or with all waiting work, instead of with the changes.
+/// The tests count inspections, which do not depend on the machine; profiles of the owner by kind of work, second by second on
+/// slower machines, showed the same.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "support.h"
@@ -44,7 +44,7 @@
     return pool;
 }
 
-/// What a plan did for a turn of load, and how often it looked at an instance.
+/// Result of a plan for a shift of load, and its number of instance inspections.
 struct TurnPlan {
     CapacityStep step;
     std::uint64_t inspected = 0;
@@ -66,7 +66,7 @@
     return turn;
 }
 
-/// A plan looks at each instance some times for each pool that could get it; a tenth of a second has room for 100,000 looks.
+/// A plan inspects each instance a few times for each pool that could get it; 100,000 inspections fit into a tenth of a second.
 constexpr std::uint64_t mostLooksAnInstance = 20;
 
 } // namespace
@@ -100,14 +100,15 @@
     const SchedulerCounts after = cluster.entry(0).schedulerCounts();
     REQUIRE(after.passes > before.passes);
     CHECK(after.ejections == 0);
-    // Each worker once for the pass, and now and then for the line that tells why a step waits.
+    // One inspection of each worker for the pass, and occasional ones for the log line that explains why a step waits.
     CHECK((after.sitesInspected - before.sitesInspected) / (after.passes - before.passes) <= 2 * instances);
 }
 
-/// At a planned stop of the owner of 1,100 workers nothing started for 2.9 s. Its successor had claimed within 30 ms and said that its
-/// copy was 125 ms old; it was 2.8 s behind. One answer of a watch brings about 500 changes, and with half a second between
-/// two watches a copy falls behind for good once there are more than 1,000 a second, in every instance that does not own:
-/// what proved it are answers of 500 to 510 changes whose last one was where the watch was to go on.
+/// Guards against a watch cache that lags permanently. At a planned stop of the owner of 1,100 workers no task started for 2.9 s.
+/// Its successor claimed ownership within 30 ms and reported a cache age of 125 ms; the cache was 2.8 s behind. One watch
+/// response carries about 500 changes: with half a second between two requests, the cache of every instance that is not the owner
+/// falls behind at more than 1,000 changes per second. The responses had 500 to 510 changes, and the last change of each was at
+/// the revision where the next watch was to resume.
 TEST_CASE("A copy of the store keeps up with changes that come faster than one answer of a watch brings them")
 {
     SmallCluster cluster(1, 3, 40, 0);
@@ -124,7 +125,7 @@
         }
     }
     CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= keptBefore);
-    // What the copy lacks, a successor has to read before it may begin.
+    // A successor has to read the missing changes before it may start tasks.
     const std::uint64_t starts = cluster.witness.starts();
     cluster.entry(*cluster.owner()).stop([] {});
     for (int i = 0; i < 30; ++i) {
--- a/tests/jobs/organisation_share_test.cpp
+++ b/tests/jobs/organisation_share_test.cpp
@@ -1,4 +1,4 @@
-/// Shares of organisations. They guard against one organisation's burst that takes a whole pool while others wait.
+/// Shares of organisations. Guards against a burst of one organisation that takes a whole pool while others wait.
 
 #include "lanemoor/jobs/policy/organisation_share.h"
 
--- a/tests/jobs/placement_test.cpp
+++ b/tests/jobs/placement_test.cpp
@@ -1,4 +1,4 @@
-/// The order in which sites are kept, and what is remembered of those without room, change no choice.
+/// The sort order of sites and the cache of requests without room do not change any choice.
 
 #include "lanemoor/jobs/policy/placement.h"
 #include "support.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t unit = 400; // Of processor time and memory that tasks ask and sites have.
+constexpr std::int64_t unit = 400; // Granularity of processor time and memory, for tasks and sites.
 
 int anyOf(int below)
 {
@@ -25,7 +25,7 @@
     return prefix + std::to_string(number);
 }
 
-/// Some workers of one pool and what they have left.
+/// Workers of one pool and their free capacity.
 struct Pool {
     std::vector<WorkerEntry> workers;
     std::vector<PlacementSite> sites;
@@ -72,7 +72,7 @@
     return query;
 }
 
-/// \returns The site that a look at each of them finds.
+/// \returns The site that an exhaustive search finds.
 std::optional<std::size_t> bestOfAll(const std::vector<PlacementSite>& sites, const StepSpec& step, const PlacementQuery& query)
 {
     using Rank = std::tuple<bool, bool, bool, bool, bool, std::uint32_t, std::pair<std::uint32_t, std::string>, std::int64_t, std::size_t>;
@@ -128,7 +128,7 @@
     }));
 }
 
-/// Guards against empty sites of workers that don't answer costing a look for each task that is placed elsewhere.
+/// Guards against inspecting the empty sites of workers that do not answer for each task that is placed elsewhere.
 TEST_CASE("Distrusted sites come last, cost no look while others have room, and take as many tasks as they may")
 {
     constexpr std::size_t count = 100;
@@ -171,7 +171,7 @@
 
 namespace {
 
-/// A pool of `instances`, of three data halls in turn.
+/// A pool of `instances` workers, assigned to three data halls in turn.
 struct HallPool {
     explicit HallPool(std::size_t instances)
     {
@@ -205,7 +205,7 @@
     CHECK(byHall == std::map<std::string, std::uint32_t> { { "h0", 3 }, { "h1", 3 }, { "h2", 3 } });
     StepSpec whole = step(1);
     whole.needs = { .milliCpu = 4'000, .memoryMb = 100 };
-    // Where the others have no room left, one data hall takes them all.
+    // If the other data halls have no room left, one takes all tasks.
     for (std::size_t i = 0; i < pool.sites.size(); ++i) {
         while (pool.workers[i].dataHall != "h1" && placer.sites()[i].free.milliCpu >= 1'000)
             placer.book(i, step(1));
@@ -215,7 +215,7 @@
     CHECK(byHall.at("h1") == 9);
 }
 
-/// Guards against a spread that costs a look at each worker.
+/// Guards against a spread that inspects each worker.
 TEST_CASE("The spread of a step over data halls costs as many looks on a large fleet as on a small one")
 {
     const auto looksFor = [](std::size_t instances) {
--- a/tests/jobs/plan_test.cpp
+++ b/tests/jobs/plan_test.cpp
@@ -1,4 +1,4 @@
-/// Pure decisions: placement, capacity, maintenance, throttling, forecast, health.
+/// Placement, capacity, maintenance, throttling and forecast as pure functions.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
@@ -32,7 +32,7 @@
     return { .instance = id, .kind = kind, .rack = rack, .capacity = { .milliCpu = 10'000, .memoryMb = 1'000 }, .idleSince = std::nullopt };
 }
 
-/// Moves away first come those that are idle, which are the first of the pool.
+/// The first `idle` instances of the pool are idle, so they move away first.
 PoolLoad pool(const std::string& name, std::uint32_t instances, std::int64_t demandCores, std::size_t idle)
 {
     PoolLoad load { .pool = name, .requirements = { { Requirement {}, { .demandMilliCpu = demandCores * 1'000 } } }, .instances = {} };
@@ -129,13 +129,13 @@
 
 TEST_CASE("A pool without instances has a target, and one that was watched too short keeps its own")
 {
-    // Found on prc-montevideo quiet-1: a pool that was emptied never got an instance again.
+    // Guards against a pool that was emptied and never gets an instance again (seen on prc-montevideo quiet-1).
     CapacityPlan plan(exact());
     CHECK(movesTo(plan.next({ pool("a", 0, 30, 0), reserve(9) }, start).moves, "a") == 3);
     CapacityPlan young(CapacityOptions {});
     PoolLoad quiet = pool("a", 8, 0, 8);
     CHECK(young.next({ quiet, reserve(0) }, start).moves.empty());
-    // Found on tellelag-drift-grown quiet-1: pools were switched off before the first job came.
+    // Guards against pools that are powered off before the first job arrives (seen on tellelag-drift-grown quiet-1).
     CHECK(young.next({ quiet, reserve(0) }, start + Millis(14'000)).moves.empty());
     PoolLoad busy = quiet;
     busy.hasArrivals = true;
@@ -182,8 +182,8 @@
 
 TEST_CASE("A worker that can't be emptied because of its kind has work again for a while")
 {
-    // Found on a changed deployment: an instance stood half empty to the end of the day, since the other one
-    // of its kind was full, while tasks waited for that kind.
+    // Guards against an instance that stays half empty to the end of the day because the other one of its kind is full, while
+    // tasks wait for that kind (seen on a changed deployment).
     MaintenancePlan plan({ .number = 1, .instances = { "a" }, .duration = Millis(60'000), .mostAtOnce = 2 }, {}, start);
     MaintenanceCandidate candidate { .instance = "a", .pool = "main", .worker = "wa", .attempts = 2, .pinned = true };
     CHECK(plan.next({ candidate }, false, start).evacuate == std::vector<std::string> { "wa" });
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -1,5 +1,5 @@
-/// Turns of load: a queue asks five times its mean for some seconds, more than its pool has, and a
-/// twentieth in between. What answers that load is decided without a network.
+/// Alternating load: a queue asks for five times its mean for some seconds, more than its pool has, and for a twentieth in
+/// between. The decisions for that load, tested mostly without a network.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
@@ -18,7 +18,7 @@
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
 constexpr std::int64_t instanceMilliCpu = 10'000;
 
-/// A pool of instances with work, but for `idle` ones that were idle since `idleSince`.
+/// A pool of busy instances, except for `idle` ones that have been idle since `idleSince`.
 PoolLoad busyPool(const std::string& name, std::size_t instances, RequirementLoad load, std::size_t idle = 0, MonotonicInstant idleSince = start - Millis(5'000))
 {
     PoolLoad pool { .pool = name, .requirements = { { Requirement {}, load } }, .instances = {} };
@@ -40,7 +40,7 @@
     return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0) };
 }
 
-/// Lets jobs of four tasks of a core and half a second arrive evenly.
+/// Jobs of four tasks, each of one core and half a second, arrive evenly.
 void arrive(LoadForecast& forecast, std::size_t jobs, MonotonicInstant from, Millis over)
 {
     for (std::size_t i = 0; i < jobs; ++i)
@@ -52,8 +52,8 @@
 TEST_CASE("A rise of many arrivals is seen within a fifth of a second")
 {
     LoadForecast forecast;
-    arrive(forecast, 10, start, Millis(500)); // 20 a second,
-    arrive(forecast, 40, start + Millis(500), Millis(200)); // then 200 a second: 400 cores.
+    arrive(forecast, 10, start, Millis(500)); // 20 per second,
+    arrive(forecast, 40, start + Millis(500), Millis(200)); // then 200 per second: 400 cores.
     CHECK(forecast.milliCpu("work", start + Millis(700)) >= 400'000);
 }
 
@@ -62,7 +62,7 @@
     LoadForecast forecast;
     arrive(forecast, 20, start, Millis(350));
     arrive(forecast, 40, start + Millis(350), Millis(350));
-    const std::int64_t rate = 40 * 2'000 * 1'000 / 350; // Cores' thousandths that the newest arrivals keep busy.
+    const std::int64_t rate = 40 * 2'000 * 1'000 / 350; // Thousandths of a core that the newest arrivals keep busy.
     CHECK(forecast.milliCpu("work", start + Millis(700)) > 3 * rate / 2);
     CHECK(forecast.milliCpu("work", start + Millis(700)) < 3 * rate);
 }
@@ -71,7 +71,7 @@
 {
     LoadForecast even;
     arrive(even, 140, start, Millis(700));
-    CHECK(even.milliCpu("work", start + Millis(699)) < 500'000); // 200 a second: 400 cores.
+    CHECK(even.milliCpu("work", start + Millis(699)) < 500'000); // 200 per second: 400 cores.
     LoadForecast few;
     arrive(few, 2, start, Millis(350));
     arrive(few, 6, start + Millis(350), Millis(350));
@@ -84,11 +84,11 @@
     const RequirementLoad late { .demandMilliCpu = 20'000, .backlogMilliCpu = 900'000, .backlogWaits = true };
     const RequirementLoad timely { .demandMilliCpu = 60'000, .hasWaiting = true };
     const CapacityStep step = plan.next({ busyPool("late", 10, late), busyPool("timely", 4, timely) }, start);
-    // Two more are needed by processor time, and one since tasks wait.
+    // Two more are needed for processor time, and one because tasks wait.
     CHECK(step.drains.size() == 2);
     REQUIRE_FALSE(step.drains.empty());
     CHECK(step.drains.front().to == "timely");
-    // The one that is empty soonest goes first.
+    // The instance that is empty soonest goes first.
     CHECK(step.drains.front().instance == "late0");
 }
 
@@ -124,7 +124,7 @@
     MaintenancePlan plan(wave, {}, start);
     for (int i = 0; i < 20; ++i)
         plan.noteBegun("m" + std::to_string(i), start + Millis(2'150));
-    // 52 left in 15.6 s at 5 s each: 17 under way at once, and 20 are down.
+    // 52 left in 15.6 s at 5 s each: 17 at once, and 20 are down.
     CHECK(plan.next(fleet, true, start).evacuate.size() == 1);
 }
 
--- a/tests/jobs/whole_fleet_test.cpp
+++ b/tests/jobs/whole_fleet_test.cpp
@@ -1,4 +1,4 @@
-/// What holds only while a fleet is small: plans, calls to the platform and links at thousands of instances.
+/// Plans, calls to the platform and links at thousands of instances, where assumptions about a small fleet fail.
 
 #include "lanemoor/jobs/policy/call_budget.h"
 #include "lanemoor/jobs/policy/capacity_plan.h"
@@ -24,7 +24,7 @@
     return load;
 }
 
-/// Two pools of a thousand idle instances that have their peaks in turn, beside a reserve.
+/// Two pools of a thousand idle instances with alternating peaks, and a reserve.
 std::vector<PoolLoad> ampleFleet(std::int64_t firstCores, std::int64_t secondCores)
 {
     std::vector<PoolLoad> pools { idlePool("first", 1'000, firstCores), idlePool("second", 1'000, secondCores), idlePool("off", 1'000, 0) };
@@ -39,7 +39,7 @@
 
 } // namespace
 
-// Guards against a plan that empties thousands of idle instances in one round, seconds before their pool has its turn.
+// Guards against a plan that powers off thousands of idle instances at once, seconds before the peak of their pool.
 TEST_CASE("A pool of an ample fleet keeps room for a peak that only another pool has had")
 {
     CapacityPlan plan;
@@ -51,7 +51,7 @@
     CHECK(1'000 - movesFrom(step, "second") >= kept);
 }
 
-// Guards against hundreds of moves for a burst of some dozen arrivals, while 940 instances of the pool are idle.
+// Guards against hundreds of moves for a burst of a few dozen arrivals, while 940 instances of the pool are idle.
 TEST_CASE("A forecast of one instant moves no instances to a pool with idle room")
 {
     CapacityPlan plan;
@@ -61,7 +61,7 @@
     std::vector<CapacityMove> moves;
     for (int i = 3; i < 12; ++i)
         moves = plan.next(ampleFleet(29'000, 100), begin + i * Millis(100)).moves;
-    // With its margin the pool needs more than it has.
+    // With the margin the pool needs more than it has.
     CHECK(moves.size() > 100);
 }
 
@@ -75,7 +75,7 @@
     CHECK(peaks.reservedFor("a") == Approx(10));
 }
 
-// Guards against a pool that is emptied before its first turn of load, which the others have had.
+// Guards against a pool that is emptied before its first peak, after the peaks of the others.
 TEST_CASE("Pools whose instances are still starting do not make room scarce")
 {
     PeakReservation peaks({ .memory = Millis(30'000), .maxFleetShare = 0.5 });
@@ -117,7 +117,7 @@
     CHECK(plan.next(idleFleet(), begin + Millis(59'000)).moves.empty());
     CHECK(plan.next(idleFleet(), begin + Millis(61'000)).moves.size() > 1'900);
 }
-// Guards against calls that the platform refuses by the thousand, each after its instance was emptied.
+// Guards against thousands of calls that the platform refuses, each after its instance was emptied.
 TEST_CASE("A plan makes no more acts than the platform takes, those for short pools first")
 {
     CapacityPlan plan;
