--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -1,4 +1,4 @@
-/// Judging workers by evidence, and the bound on how many are left out.
+/// Health scores of workers, and the limit on ejections.
 
 #include "lanemoor/jobs/model/service_configuration.h"
 #include "lanemoor/jobs/policy/ejection_bound.h"
@@ -16,7 +16,7 @@
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
 const WorkerHealthOptions options;
 
-/// Leaves a worker out if the evidence asks for it.
+/// Ejects a worker if the evidence requires it.
 bool ejectIfIll(WorkerHealth& health, MonotonicInstant now)
 {
     const HealthFault fault = health.fault(now);
@@ -76,7 +76,7 @@
     CHECK(health.fault(start) == HealthFault::Unanswered);
     REQUIRE(ejectIfIll(health, start));
     CHECK(health.report(start).evidence == WorkerEvidence { .calls = 4, .unanswered = 4 });
-    health.noteStartAnswered(start + Millis(1'000)); // Of a start that was sent before.
+    health.noteStartAnswered(start + Millis(1'000)); // Answer to an earlier start.
     CHECK(health.isEjected(start + Millis(1'000)));
     health.noteStartAnswered(start + Millis(2'100));
     CHECK_FALSE(health.isOut(start + Millis(2'100)));
@@ -95,7 +95,7 @@
         health.noteLateAnswer(start + Millis(1'200));
     }
     CHECK(health.fault(start + Millis(1'200)) == HealthFault::None);
-    // Evidence older than the window counts for nothing.
+    // Evidence older than the window does not count.
     for (int i = 0; i < 3; ++i)
         health.noteUnanswered(start + Millis(12'000));
     CHECK(health.fault(start + Millis(12'000)) == HealthFault::None);
@@ -121,7 +121,7 @@
     CHECK(peer.fault(start) == HealthFault::None);
 }
 
-/// Guards against judging a worker that has become slow by the many ends of the seconds before.
+/// Guards against scoring a worker that has become slow by its many ends of the seconds before.
 TEST_CASE("A worker that has become slow is left out after some late ends in a row")
 {
     WorkerHealth health;
@@ -233,7 +233,7 @@
     for (std::size_t i = 1; i < 60; i += 6)
         pool.members[i].out = true;
     CHECK(pool.choose(third).size() == 2);
-    // One that is out already may be left out again.
+    // A worker that is out already may be ejected again.
     CHECK(pool.choose({ pool.candidate(1, HealthFault::Failures) }).size() == 1);
 }
 
@@ -304,7 +304,7 @@
     CHECK(answers.startsLeft(start) == StartAnswers::unlimited);
 }
 
-/// Guards against starting a task elsewhere whose open start may still be carried out.
+/// Guards against starting a task elsewhere while its unacknowledged start may still be carried out.
 TEST_CASE("A start can't begin any more once its lease is over and no connection delivers it")
 {
     const Attempt attempt { "a", {}, 1 };
