--- a/include/lanemoor/jobs/owner/worker_book.h
+++ b/include/lanemoor/jobs/owner/worker_book.h
@@ -4,10 +4,10 @@
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/owner/worker_session.h"
-#include "lanemoor/jobs/policy/bookings.h"
 #include "lanemoor/jobs/policy/placement.h"
-#include "lanemoor/jobs/policy/start_answers.h"
+#include "lanemoor/jobs/policy/reservations.h"
 #include "lanemoor/jobs/policy/throttle.h"
+#include "lanemoor/jobs/policy/unacknowledged_starts.h"
 #include "lanemoor/jobs/policy/worker_health.h"
 
 #include <map>
@@ -26,11 +26,11 @@
     bool listed = true; ///< False: its entry is gone from the store, though it may live on.
     std::optional<MonotonicInstant> unlistedSince; ///< When the first complete list of instances that does not name the life was requested.
     std::shared_ptr<WorkerSession> session;
-    Bookings bookings; ///< Attempts that are not over.
+    Reservations bookings; ///< Attempts that are not over.
     std::map<Attempt, MonotonicInstant> strayStops; ///< Unwanted attempts, and when to stop them again.
     WorkerHealth health;
     std::optional<Attempt> probingAttempt; ///< The latest attempt that began while the worker was probing.
-    StartAnswers starts;
+    UnacknowledgedStarts starts;
     Throttle throttle;
     bool met = false; ///< Its first report was taken in.
     bool endOrdered = false; ///< Its life ends by an order of this owner.
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -54,7 +54,7 @@
     Millis demandMemory { 2'000 }; ///< An instance is powered off against the highest demand within this time.
     /// Min observation of load before any instance is powered off; longer than `demandMemory`.
     Millis observation { 3'000 };
-    Millis mostIdleStart { 60'000 }; ///< Without any load, pools keep their initial instances for this time.
+    Millis maxIdleStart { 60'000 }; ///< Without any load, pools keep their initial instances for this time.
     /// A rise of demand counts as sustained after this. Until then a pool of a fleet with ample room serves it from idle
     /// instances: a momentary forecast may be several times the mean.
     Millis sustainTime { 500 };
@@ -91,10 +91,10 @@
 public:
     explicit CapacityPlan(CapacityOptions options = {});
 
-    /// \param maxActs Max sum of moves and drains. Pools that are short come first. Power-offs use at most half of the remainder,
+    /// \param maxActions Max sum of moves and drains. Pools that are short come first. Power-offs use at most half of the remainder,
     /// so that a rise of load does not meet an exhausted budget.
     /// \returns Actions to take now.
-    [[nodiscard]] CapacityStep next(const std::vector<PoolLoad>& pools, MonotonicInstant now, std::size_t maxActs = std::numeric_limits<std::size_t>::max());
+    [[nodiscard]] CapacityStep next(const std::vector<PoolLoad>& pools, MonotonicInstant now, std::size_t maxActions = std::numeric_limits<std::size_t>::max());
 
     /// \returns Instances that `pool` needs for its current demand, plus its unhealthy ones.
     [[nodiscard]] std::uint32_t target(const PoolLoad& pool) const;
@@ -107,7 +107,7 @@
 
     /// \brief Restarts the observation of load: no instance is powered off before load was observed again. Called at the end of
     /// an outage in which no job could arrive.
-    void observeAnew(MonotonicInstant now);
+    void restartObservation(MonotonicInstant now);
 
     /// \brief Records that `pool` does not accept instances of `kind`.
     void noteRefused(const std::string& kind, const std::string& pool);
@@ -128,11 +128,11 @@
     [[nodiscard]] CapacityNeed needOf(const Requirement& requirement, const RequirementLoad& load, std::int64_t milliCpu, std::uint32_t present) const;
     void undrain(std::vector<Balance>& pools, std::vector<std::string>& undrains) const;
     [[nodiscard]] static std::vector<IdleGroup> groupIdle(std::vector<Balance>& pools);
-    [[nodiscard]] const PoolInstance* nextDrainable(const Balance& pool, std::size_t& next, const Balance& needy, const ClassBalance& lacking) const;
+    [[nodiscard]] const PoolInstance* nextDrainable(const Balance& pool, std::size_t& next, const Balance& receiver, const ClassBalance& lacking) const;
     void reservePeaks(std::vector<Balance>& pools, MonotonicInstant now);
-    void relieve(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves) const;
+    void fillShortages(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves) const;
     void addBacklog(std::vector<Balance>& pools) const;
-    void share(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const;
+    void planDrains(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const;
     void powerOff(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves, MonotonicInstant now) const;
     [[nodiscard]] bool mayPowerOff(MonotonicInstant now) const;
     [[nodiscard]] bool takes(const std::string& pool, const std::string& kind) const;
--- a/include/lanemoor/jobs/policy/crash_attribution.h
+++ b/include/lanemoor/jobs/policy/crash_attribution.h
@@ -71,13 +71,13 @@
 [[nodiscard]] CrashCount crashesAfter(const LostAttempt& lost) noexcept;
 
 /// Result of attributing one crash.
-struct CrashVerdict {
+struct CrashAttribution {
     std::vector<LostAttempt> suspects; ///< The crash counts against their tasks.
     std::vector<LostAttempt> possibleSuspects; ///< Unacknowledged starts beside acknowledged ones, and adopted attempts: unconfirmed crashes of their tasks.
     std::optional<Attempt> failed; ///< A suspect whose task fails permanently.
     std::uint32_t crashesNeeded = 0; ///< Consecutive confirmed crashes with which a task would fail.
 
-    [[nodiscard]] bool operator==(const CrashVerdict&) const = default;
+    [[nodiscard]] bool operator==(const CrashAttribution&) const = default;
 };
 
 /// \brief Attributes worker crashes one by one.
@@ -91,14 +91,14 @@
     /// \param since Start of this owner's term. Earlier crashes are unknown.
     CrashAttributor(const CrashOptions& options, MonotonicInstant since)
         : m_options(options)
-        , m_knowsRateAt(since + crashWindow)
+        , m_rateKnownFrom(since + crashWindow)
     {
     }
 
     /// \brief Attributes the crash of a worker that was neither stopped by command nor announced its end.
     /// \param lost Attempts at the worker; empty: the worker was idle.
     /// \param workers Number of workers that are up.
-    CrashVerdict attribute(const std::vector<LostAttempt>& lost, std::size_t workers, MonotonicInstant now);
+    CrashAttribution attribute(const std::vector<LostAttempt>& lost, std::size_t workers, MonotonicInstant now);
 
     /// \returns How long a worker must answer after a start to count as having survived it: short enough that an independent
     /// crash in that time is rare at the current rate.
@@ -111,7 +111,7 @@
     void forgetOld(MonotonicInstant now);
 
     CrashOptions m_options;
-    MonotonicInstant m_knowsRateAt;
+    MonotonicInstant m_rateKnownFrom;
     std::deque<MonotonicInstant> m_unexplained; ///< Recent crashes without a suspect that had crashed a worker before.
 };
 
--- a/include/lanemoor/jobs/policy/ejection_bound.h
+++ b/include/lanemoor/jobs/policy/ejection_bound.h
@@ -29,7 +29,7 @@
 };
 
 /// Min instances that long-running steps need, by pool and label; an empty label means any instance of the pool.
-using LeastInstances = std::map<std::pair<std::string, std::string>, std::uint32_t>;
+using MinInstances = std::map<std::pair<std::string, std::string>, std::uint32_t>;
 
 /// \brief Limits ejections per pool, rack and data hall, regardless of how many workers look faulty.
 ///
@@ -44,7 +44,7 @@
 class EjectionBound {
 public:
     /// \param members All listed workers.
-    EjectionBound(const WorkerHealthOptions& options, const std::vector<EjectionMember>& members, LeastInstances least);
+    EjectionBound(const WorkerHealthOptions& options, const std::vector<EjectionMember>& members, MinInstances minInstances);
 
     /// \returns The candidates that may be ejected, the worst ones first.
     [[nodiscard]] std::vector<EjectionCandidate> choose(std::vector<EjectionCandidate> candidates);
@@ -59,13 +59,13 @@
     using Domain = std::pair<std::string, std::string>; ///< Data hall and rack; an empty rack means the whole data hall.
 
     [[nodiscard]] bool admits(const EjectionCandidate& candidate) const;
-    [[nodiscard]] bool leavesEnough(const EjectionMember& member) const;
-    [[nodiscard]] bool isAloneIn(const Domain& domain, const EjectionMember& member) const;
+    [[nodiscard]] bool leavesMinInstances(const EjectionMember& member) const;
+    [[nodiscard]] bool isDomainUnresponsive(const Domain& domain, const EjectionMember& member) const;
     void count(const EjectionMember& member);
     void take(const EjectionMember& member);
 
     WorkerHealthOptions m_options;
-    LeastInstances m_least;
+    MinInstances m_minInstances;
     std::map<std::string, Group> m_pools;
     std::map<Domain, Group> m_domains;
     std::map<std::pair<std::string, std::string>, std::uint32_t> m_serving; ///< Workers in service, by pool and label.
--- a/include/lanemoor/jobs/policy/evacuation_moves.h
+++ b/include/lanemoor/jobs/policy/evacuation_moves.h
@@ -24,7 +24,7 @@
 struct EvacuationMovesOptions {
     /// Min empty time before a move: a request that is withdrawn at once should cost no moves. An idle instance costs about as
     /// much as a move in this time.
-    Millis emptyBefore { 1'200 };
+    Millis minEmptyTime { 1'200 };
     Millis retryPause { 5'000 }; ///< Between a failed move and the next one of the same instance.
 
     [[nodiscard]] bool operator==(const EvacuationMovesOptions&) const = default;
@@ -37,17 +37,17 @@
 
     /// \param emptied All instances that are empty and not being moved now.
     /// \param reserve The pool of instances that are off.
-    /// \param mostMoves Moves that the platform accepts beside those of the instances that replace these.
-    [[nodiscard]] std::vector<CapacityMove> next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t mostMoves, MonotonicInstant now);
+    /// \param maxMoves Moves that the platform accepts beside those of the instances that replace these.
+    [[nodiscard]] std::vector<CapacityMove> next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t maxMoves, MonotonicInstant now);
 
 private:
-    struct Turn {
+    struct MoveSchedule {
         MonotonicInstant moveAt; ///< Earliest time of the move.
         bool wasMoved = false;
     };
 
     EvacuationMovesOptions m_options;
-    std::map<std::string, Turn> m_turns; ///< By instance.
+    std::map<std::string, MoveSchedule> m_schedules; ///< By instance.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/expected_service.h
+++ b/include/lanemoor/jobs/policy/expected_service.h
@@ -30,7 +30,7 @@
     std::int64_t runningMilliCpu = 0; ///< Running in the pool.
     UsualJob usual;
     double correction = 1.0; ///< Observed run times as a multiple of declared ones.
-    bool wasPressed = false; ///< It was under pressure recently: its callers retry.
+    bool wasUnderPressure = false; ///< It was under pressure recently: its callers retry.
 
     [[nodiscard]] bool operator==(const AcceptedWork&) const = default;
 };
@@ -50,12 +50,12 @@
     [[nodiscard]] std::vector<AdmissionBudget> budgets(const std::vector<AcceptedWork>& accepted) const;
 
     /// Share of the pool's processor time in demand below which there is no pressure.
-    static constexpr double pressureFrom = 0.5;
+    static constexpr double pressureThreshold = 0.5;
     /// Share of the allowed time: an organisation whose work takes less of it at its share gets no budget entry. A burst needs a
     /// budget before the first grant that counts it: at twenty times the usual rate, jobs are late within a quarter of a second.
-    static constexpr double namedFrom = 0.25;
+    static constexpr double budgetThreshold = 0.25;
     /// Share of the allowed time to aim at: a job that is expected to end at the last moment is late half of the time.
-    static constexpr double aimAt = 0.8;
+    static constexpr double aimShare = 0.8;
     /// Share of a pool's processor time that tasks of several cores can be packed into; the same as in the capacity plan.
     static constexpr double packing = 0.85;
 
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -25,9 +25,9 @@
     Millis returnStep { 250 }; ///< Interval between two batches of readmitted workers.
     double returnShare = 0.25; ///< Share of the data hall's workers in one batch.
     /// A data hall of which only a smaller share returns counts as back if no other worker came for this time.
-    Millis returnSettles { 5'000 };
+    Millis returnSettleTime { 5'000 };
     /// A data hall of which no worker returns counts as back after this: its only remaining instances may be off.
-    Millis longestLoss { 30'000 };
+    Millis maxLossTime { 30'000 };
 
     [[nodiscard]] bool operator==(const FailureDomainOptions&) const = default;
 };
@@ -48,7 +48,7 @@
     FailureDomainState state = FailureDomainState::Serving;
     MonotonicInstant since; ///< Start of the state; meaningful unless it serves.
     std::uint32_t workers = 0; ///< Workers that answer or have stopped answering.
-    std::uint32_t silent = 0; ///< Workers that have stopped answering.
+    std::uint32_t unresponsive = 0; ///< Workers that have stopped answering.
 
     [[nodiscard]] bool operator==(const FailureDomain&) const = default;
 };
@@ -163,9 +163,9 @@
     void forgetEnded(Hall& hall, MonotonicInstant now) const;
     [[nodiscard]] RecentStops recentStops(const Hall& hall, MonotonicInstant now) const;
     [[nodiscard]] bool isMajority(const Hall& hall, const RecentStops& stops) const;
-    [[nodiscard]] bool anotherAnswers(const std::string& dataHall, MonotonicInstant since, MonotonicInstant now) const;
-    void lose(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings);
-    void takeBack(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings);
+    [[nodiscard]] bool anotherHallAnswers(const std::string& dataHall, MonotonicInstant since, MonotonicInstant now) const;
+    void declareLost(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings);
+    void readmitHall(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings);
     void admitPart(Loss& loss, MonotonicInstant now, HallFindings& findings);
     [[nodiscard]] bool isBack(const Loss& loss, MonotonicInstant now) const;
 
--- a/include/lanemoor/jobs/policy/maintenance_plan.h
+++ b/include/lanemoor/jobs/policy/maintenance_plan.h
@@ -50,11 +50,11 @@
     [[nodiscard]] MaintenanceStep next(const std::vector<MaintenanceCandidate>& fleet, bool hasShortage, MonotonicInstant now);
 
     /// \brief Records that a maintenance request was sent; the instance counts as down until it is answered.
-    void noteOrdered(const std::string& instance);
+    void noteRequested(const std::string& instance);
 
     /// \brief Records that the platform accepted the request.
     /// \param backBy Latest time at which the instance is back.
-    void noteBegun(const std::string& instance, MonotonicInstant backBy);
+    void noteAccepted(const std::string& instance, MonotonicInstant backBy);
 
     /// \brief Records that an instance may be down: a previous owner requested its maintenance recently, or a request was not
     /// answered.
@@ -74,13 +74,13 @@
     [[nodiscard]] const std::set<std::string>& done() const noexcept { return m_done; }
 
 private:
-    [[nodiscard]] std::uint32_t pace(MonotonicInstant now) const;
+    [[nodiscard]] std::uint32_t requiredConcurrency(MonotonicInstant now) const;
     [[nodiscard]] std::uint32_t down(MonotonicInstant now) const;
 
     WaveRequest m_wave;
-    MonotonicInstant m_paceBy; ///< Planned end of the wave while it is paced.
+    MonotonicInstant m_paceDeadline; ///< Planned end of the wave while it is paced.
     std::set<std::string> m_done;
-    std::set<std::string> m_ordered; ///< Requested and not answered yet.
+    std::set<std::string> m_requested; ///< Requested and not answered yet.
     std::map<std::string, MonotonicInstant> m_backBy;
     std::map<std::string, MonotonicInstant> m_retryAt;
 };
--- a/include/lanemoor/jobs/policy/organisation_share.h
+++ b/include/lanemoor/jobs/policy/organisation_share.h
@@ -49,7 +49,7 @@
 ///
 /// \code
 /// PoolShares shares(demands, capacity);
-/// if (!shares.isBeyond("north"))
+/// if (!shares.hasReachedShare("north"))
 ///     shares.noteStarted("north", needs);
 /// \endcode
 class PoolShares {
@@ -57,7 +57,7 @@
     PoolShares(const std::vector<OrganisationDemand>& demands, const Resources& capacity);
 
     /// \returns Whether the organisation has reached its share, so that others come first. False for unknown organisations.
-    [[nodiscard]] bool isBeyond(std::string_view organisation) const;
+    [[nodiscard]] bool hasReachedShare(std::string_view organisation) const;
 
     /// \brief Records a started task.
     void noteStarted(std::string_view organisation, const Resources& needs);
@@ -95,7 +95,7 @@
     void note(const std::string& pool, const std::string& organisation, bool isUnserved, MonotonicInstant now);
 
     /// \returns Whether an organisation has a claim on the pool now.
-    [[nodiscard]] bool holdsOthersBack(const std::string& pool, MonotonicInstant now) const;
+    [[nodiscard]] bool blocksOthers(const std::string& pool, MonotonicInstant now) const;
 
     /// Large tasks wait this long beside others before a claim begins: most room is freed within this time.
     static constexpr Millis starvedAfter { 500 };
--- a/include/lanemoor/jobs/policy/placement.h
+++ b/include/lanemoor/jobs/policy/placement.h
@@ -31,12 +31,12 @@
     bool open = true; ///< False: it accepts no new task now.
     bool preferred = true; ///< False: only used if no preferred site has room.
     std::string keptFor; ///< Only tasks that require this label are placed here; empty: all tasks.
-    std::uint32_t wanted = 0; ///< Demand of tasks that require its labels, relative to the capacity of the sites with them; see `wantedLevel`.
+    std::uint32_t labelDemand = 0; ///< Demand of tasks that require its labels, relative to the capacity of the sites with them; see `labelDemandLevel`.
     std::vector<SiteSuspect> suspects;
     bool distrusted = false; ///< It has not answered its latest starts: only used if no other site has room.
     bool probing = false; ///< The result of its next task shows whether the worker is healthy again.
     std::uint32_t startsLeft = std::numeric_limits<std::uint32_t>::max(); ///< Number of tasks that may still be started there.
-    bool hasYoungAttempts = false; ///< An attempt started there less than one probation ago.
+    bool hasRecentStarts = false; ///< An attempt started there less than one probation ago.
 };
 
 /// Conditions on the site beside the step's own needs.
@@ -123,7 +123,7 @@
 
 /// \returns Demand for sites with a label relative to their capacity, in eighths and at most 16: tasks without a required label
 /// avoid the sites with the highest demand.
-[[nodiscard]] std::uint32_t wantedLevel(std::int64_t demandMilliCpu, std::int64_t supplyMilliCpu) noexcept;
+[[nodiscard]] std::uint32_t labelDemandLevel(std::int64_t demandMilliCpu, std::int64_t supplyMilliCpu) noexcept;
 
 /// \returns `used` as processor time: its largest share of `capacity`, in thousandths of a core. A task that needs half of the
 /// memory uses half of the instance.
--- a/include/lanemoor/jobs/policy/reachability.h
+++ b/include/lanemoor/jobs/policy/reachability.h
@@ -43,10 +43,10 @@
 
 /// Suitability of a path for calls to a data hall, best first.
 enum class PathRank {
-    Reaches,
+    Reachable,
     MayReach, ///< There is no evidence against it.
-    LikelyCut, ///< Its own state is unknown, and another path from the same data hall is unreachable.
-    Cut,
+    LikelyUnreachable, ///< Its own state is unknown, and another path from the same data hall is unreachable.
+    Unreachable,
 };
 
 /// One path to one data hall.
@@ -127,7 +127,7 @@
     std::optional<PathChange> noteUnanswered(const std::string& path, std::size_t hall, const std::string& worker, MonotonicInstant expectedAt, MonotonicInstant now);
 
     /// \returns Whether some path is unreachable for the data hall.
-    [[nodiscard]] bool hasCut(std::size_t hall) const { return hall < m_halls.size() && m_halls[hall].unreachable > 0; }
+    [[nodiscard]] bool hasUnreachablePath(std::size_t hall) const { return hall < m_halls.size() && m_halls[hall].unreachable > 0; }
 
     /// \returns Suitability of the path for the data hall.
     [[nodiscard]] PathRank rank(const std::string& path, std::size_t hall, MonotonicInstant now) const;
@@ -158,7 +158,7 @@
     };
 
     /// Paths that start in one data hall and are unreachable for another.
-    struct Cut {
+    struct Unreachable {
         std::size_t paths = 0;
         MonotonicInstant retryAt;
         std::uint32_t retries = 0;
@@ -167,15 +167,15 @@
     struct Hall {
         std::string name;
         std::size_t unreachable = 0; ///< Number of paths.
-        std::map<std::size_t, Cut> cuts; ///< By the data hall in which the paths start.
+        std::map<std::size_t, Unreachable> unreachableFrom; ///< By the data hall in which the paths start.
     };
 
     [[nodiscard]] Cell* cellOf(const std::string& path, std::size_t hall);
     [[nodiscard]] PathState stateOf(const Cell& cell, MonotonicInstant now) const;
     [[nodiscard]] bool isEvidence(const std::string& worker, const std::string& path);
-    void addCut(std::size_t from, std::size_t hall, MonotonicInstant now);
-    void removeCut(std::size_t from, std::size_t hall);
-    void doubtSiblings(std::size_t from, std::size_t hall, MonotonicInstant now);
+    void addUnreachable(std::size_t from, std::size_t hall, MonotonicInstant now);
+    void removeUnreachable(std::size_t from, std::size_t hall);
+    void resetSiblings(std::size_t from, std::size_t hall, MonotonicInstant now);
 
     ReachabilityOptions m_options;
     std::vector<Hall> m_halls { Hall {} };
--- a/include/lanemoor/jobs/policy/bookings.h
+++ b/include/lanemoor/jobs/policy/reservations.h
@@ -16,11 +16,11 @@
 struct OrganisationAccount;
 
 /// Resources that an attempt reserves at its worker until it ends.
-struct Booking {
+struct Reservation {
     std::shared_ptr<const StepSpec> step;
     OrganisationAccount* account = nullptr; ///< Account charged with the step's full needs; null: none.
     std::uint32_t throttledTo = 100; ///< Percent last sent to the worker.
-    MonotonicInstant endsBy; ///< Expected end, from the declared time corrected by observed run times.
+    MonotonicInstant expectedEnd; ///< Expected end, from the declared time corrected by observed run times.
     std::uint32_t suspicion = 0; ///< Crashes that its task may have caused; 0 once the worker has survived the start.
 };
 
@@ -30,12 +30,12 @@
 /// reservations.put(attempt, { .step = step });
 /// const Resources free = capacity - reservations.used();
 /// \endcode
-class Bookings {
+class Reservations {
 public:
-    using Map = std::map<Attempt, Booking>;
+    using Map = std::map<Attempt, Reservation>;
 
     /// \brief Adds a reservation or replaces the attempt's existing one.
-    void put(const Attempt& attempt, Booking booking);
+    void put(const Attempt& attempt, Reservation reservation);
 
     /// \brief Removes an attempt's reservation, if it has one.
     void erase(const Attempt& attempt);
@@ -55,13 +55,13 @@
 
     /// \name Reservations
     ///@{
-    [[nodiscard]] Map::const_iterator begin() const noexcept { return m_bookings.begin(); }
-    [[nodiscard]] Map::const_iterator end() const noexcept { return m_bookings.end(); }
-    [[nodiscard]] Map::const_iterator find(const Attempt& attempt) const { return m_bookings.find(attempt); }
-    [[nodiscard]] const Booking& at(const Attempt& attempt) const { return m_bookings.at(attempt); }
-    [[nodiscard]] bool contains(const Attempt& attempt) const { return m_bookings.contains(attempt); }
-    [[nodiscard]] bool empty() const noexcept { return m_bookings.empty(); }
-    [[nodiscard]] std::size_t size() const noexcept { return m_bookings.size(); }
+    [[nodiscard]] Map::const_iterator begin() const noexcept { return m_reservations.begin(); }
+    [[nodiscard]] Map::const_iterator end() const noexcept { return m_reservations.end(); }
+    [[nodiscard]] Map::const_iterator find(const Attempt& attempt) const { return m_reservations.find(attempt); }
+    [[nodiscard]] const Reservation& at(const Attempt& attempt) const { return m_reservations.at(attempt); }
+    [[nodiscard]] bool contains(const Attempt& attempt) const { return m_reservations.contains(attempt); }
+    [[nodiscard]] bool empty() const noexcept { return m_reservations.empty(); }
+    [[nodiscard]] std::size_t size() const noexcept { return m_reservations.size(); }
     ///@}
 
     /// \name Sums
@@ -82,10 +82,10 @@
     ///@}
 
 private:
-    void count(const Booking& booking, int sign);
-    void countAccount(const Booking& booking, int sign);
+    void count(const Reservation& reservation, int sign);
+    void countAccount(const Reservation& reservation, int sign);
 
-    Map m_bookings;
+    Map m_reservations;
     Resources m_used;
     std::map<const OrganisationAccount*, Resources> m_usedByAccount;
     std::uint32_t m_servingTasks = 0;
--- a/include/lanemoor/jobs/policy/retry_advice.h
+++ b/include/lanemoor/jobs/policy/retry_advice.h
@@ -19,15 +19,15 @@
     [[nodiscard]] bool operator==(const RefusalSituation&) const = default;
 };
 
-constexpr Millis leastRetryAfter { 1'000 };
-constexpr Millis mostRetryAfter { 3'000 };
+constexpr Millis minRetryAfter { 1'000 };
+constexpr Millis maxRetryAfter { 3'000 };
 
 /// \returns The time in which the waiting callers return at the rate at which they came: the pools serve about that rate, so a
 /// faster return finds no room.
 [[nodiscard]] Millis expectedDrain(const RefusalSituation& situation) noexcept;
 
-/// \returns Whole seconds from `leastRetryAfter` to `mostRetryAfter`, spread at random over the expected drain so that callers do
-/// not return together. Within the time for which the caller has use for its job, but at least `leastRetryAfter`.
+/// \returns Whole seconds from `minRetryAfter` to `maxRetryAfter`, spread at random over the expected drain so that callers do
+/// not return together. Within the time for which the caller has use for its job, but at least `minRetryAfter`.
 [[nodiscard]] Millis adviseRetry(const RefusalSituation& situation, std::minstd_rand& random);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/policy/run_time_ranks.h
+++ b/include/lanemoor/jobs/policy/run_time_ranks.h
@@ -24,10 +24,10 @@
     bool note(const std::string& pool, const std::string& queue, double ratio, double lateFactor);
 
 private:
-    static constexpr std::size_t mostSamples = 64;
+    static constexpr std::size_t maxSamples = 64;
 
     struct Samples {
-        std::array<float, mostSamples> ratios {};
+        std::array<float, maxSamples> ratios {};
         std::uint64_t taken = 0;
         float median = 0;
     };
--- a/include/lanemoor/jobs/policy/start_answers.h
+++ b/include/lanemoor/jobs/policy/unacknowledged_starts.h
@@ -16,13 +16,13 @@
 /// A worker with an overdue start and no answer to any start since is distrusted: placement uses it last, with at most two
 /// unacknowledged starts, since its empty room would attract the tasks of other workers. A worker that does not answer a probe is
 /// distrusted until it answers any call; with two overdue starts it gets no further ones meanwhile.
-class StartAnswers {
+class UnacknowledgedStarts {
 public:
     /// No limit on further starts.
     static constexpr std::uint32_t unlimited = std::numeric_limits<std::uint32_t>::max();
 
     /// \brief Records a sent start. \param leaseUntil Lease end in the start, in ms on the worker's clock.
-    void noteSent(const Attempt& attempt, std::int64_t leaseUntil, MonotonicInstant now) { m_open.insert_or_assign(attempt, OpenStart { .leaseUntil = leaseUntil, .deliveredBy = now + latestDelivery }); }
+    void noteSent(const Attempt& attempt, std::int64_t leaseUntil, MonotonicInstant now) { m_unacknowledged.insert_or_assign(attempt, SentStart { .leaseUntil = leaseUntil, .deliveredBy = now + latestDelivery }); }
 
     /// \brief Records that the answer to a start is overdue. \returns False if it was recorded before, or the start is settled.
     bool noteOverdue(const Attempt& attempt, MonotonicInstant now);
@@ -31,7 +31,7 @@
     bool noteAnswered(const Attempt& attempt);
 
     /// \brief Settles a start whose outcome a report of the worker shows, or whose attempt has ended.
-    void noteSettled(const Attempt& attempt) { m_open.erase(attempt); }
+    void noteSettled(const Attempt& attempt) { m_unacknowledged.erase(attempt); }
 
     /// \brief Records that a probe timed out and no other answer came since it was sent.
     void noteProbeOverdue() noexcept { m_probeOverdue = true; }
@@ -57,20 +57,20 @@
     template <typename Predicate>
     void dropSettled(Predicate isOver)
     {
-        std::erase_if(m_open, [&](const auto& open) { return isOver(open.first); });
+        std::erase_if(m_unacknowledged, [&](const auto& pending) { return isOver(pending.first); });
     }
 
 private:
     /// An unacknowledged command may be carried out some 6 s after it was sent.
     static constexpr Millis latestDelivery { 7'000 };
 
-    struct OpenStart {
+    struct SentStart {
         std::int64_t leaseUntil = 0; ///< On the worker's clock, ms.
         MonotonicInstant deliveredBy; ///< Latest possible delivery.
         bool overdue = false;
     };
 
-    std::map<Attempt, OpenStart> m_open;
+    std::map<Attempt, SentStart> m_unacknowledged;
     MonotonicInstant m_distrustedUntil;
     bool m_probeOverdue = false;
 };
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -135,7 +135,7 @@
     };
 
     void add(const WorkerEvidence& evidence, MonotonicInstant now);
-    void strike(HealthFault fault, MonotonicInstant now);
+    void noteProbeFault(HealthFault fault, MonotonicInstant now);
     void readmit();
     [[nodiscard]] WorkerEvidence evidence(MonotonicInstant now) const;
     [[nodiscard]] bool isFailing() const noexcept;
@@ -144,9 +144,9 @@
     std::set<std::string> m_failedJobs; ///< Since the last success.
     std::uint32_t m_failures = 0; ///< Since the last success.
     HealthFault m_ejectedFor = HealthFault::None; ///< `None`: it was readmitted.
-    HealthFault m_strike = HealthFault::None; ///< Fault that a probe has shown.
+    HealthFault m_probeFault = HealthFault::None; ///< Fault that a probe has shown.
     EjectionBackoff<MonotonicInstant> m_backoff;
-    WorkerHealthScore m_verdict; ///< Score at the last ejection.
+    WorkerHealthScore m_ejectionScore; ///< Score at the last ejection.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -141,7 +141,7 @@
     void release(const Place& place);
     [[nodiscard]] Place& placeOf(const std::string& worker, const std::string& dataHall);
     [[nodiscard]] bool needsChoice(const Place& place) const;
-    [[nodiscard]] bool mayReach(const std::string& path, std::size_t hall) const { return m_reachability.rank(path, hall, m_now) < PathRank::LikelyCut; }
+    [[nodiscard]] bool mayReach(const std::string& path, std::size_t hall) const { return m_reachability.rank(path, hall, m_now) < PathRank::LikelyUnreachable; }
     [[nodiscard]] bool isOverloaded(const std::string& relay) const;
     [[nodiscard]] bool hasDirectRoom() const;
     [[nodiscard]] double capacityOf(double cores) const;
--- a/src/jobs/owner/admission_desk.cpp
+++ b/src/jobs/owner/admission_desk.cpp
@@ -131,7 +131,7 @@
         work.workMillis += static_cast<std::int64_t>(static_cast<double>(group.sums(false).work + group.sums(true).work) / milli * work.correction);
     }
     for (const auto& [name, until] : m_pressedUntil)
-        entryOf(accepted, name, {}).wasPressed = true;
+        entryOf(accepted, name, {}).wasUnderPressure = true;
     return accepted;
 }
 
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -262,7 +262,7 @@
     // Of a worker that this owner never met, only what a previous owner left speaks.
     if (lost.empty() && !worker.session->isMet())
         return std::nullopt;
-    const CrashVerdict verdict = m_attributor.attribute(lost, livingWorkers(), m_state.now());
+    const CrashAttribution verdict = m_attributor.attribute(lost, livingWorkers(), m_state.now());
     if (!lost.empty())
         logLoss(worker, lost, verdict);
     for (const LostAttempt& suspect : verdict.suspects)
@@ -327,7 +327,7 @@
 
 /// One line on what was at a worker that is over: for each attempt, the youngest first, how long the worker answered after it had
 /// acknowledged the start.
-void CrashTracker::logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& verdict) const
+void CrashTracker::logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashAttribution& verdict) const
 {
     std::string text;
     for (std::size_t i = 0; i < std::min(lost.size(), maxAttemptsLogged); ++i) {
--- a/src/jobs/owner/crash_tracker.h
+++ b/src/jobs/owner/crash_tracker.h
@@ -77,7 +77,7 @@
     [[nodiscard]] static bool isInferred(const OpenStart& start, const WorkerBook& worker);
     void withdraw(const OpenStart& start, std::string_view reason);
     void attributeCrash(const Attempt& attempt, const std::string& worker, bool isConfirmed);
-    void logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& verdict) const;
+    void logLoss(const WorkerBook& worker, const std::vector<LostAttempt>& lost, const CrashAttribution& verdict) const;
     [[nodiscard]] std::size_t livingWorkers();
 
     OwnerState& m_state;
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -63,7 +63,7 @@
             stopping.push_back(attempt);
     }
     for (const Attempt& attempt : stopping) {
-        const Booking& booking = worker.bookings.at(attempt);
+        const Reservation& booking = worker.bookings.at(attempt);
         // Checked again one by one: each stop takes a task of its step away.
         if (!mayStop(attempt, booking, worker))
             continue;
@@ -73,7 +73,7 @@
     }
 }
 
-bool Evacuation::mayStop(const Attempt& attempt, const Booking& booking, const WorkerBook& worker)
+bool Evacuation::mayStop(const Attempt& attempt, const Reservation& booking, const WorkerBook& worker)
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
@@ -88,13 +88,13 @@
 }
 
 /// Members of a gang are left alone: all of them would have to move at once.
-bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker)
+bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Reservation& booking, const WorkerBook& worker)
 {
     const TaskState& task = *job.find(attempt.task);
     if (!m_state.options.failureDomains.enabled || !worker.hallEvacuated || booking.step->gang || task.checkpoint.empty())
         return false;
     const auto passed = [&](MonotonicInstant::duration time) { return std::chrono::duration_cast<Millis>(time); };
-    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(booking.endsBy - m_state.now()) };
+    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(booking.expectedEnd - m_state.now()) };
     if (!isWorthMoving(progress, m_state.options.checkpointMove))
         return false;
     const std::pair<std::string, std::string> kind { worker.entry.pool, booking.step->requiredLabel };
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -24,8 +24,8 @@
 
 private:
     void empty(WorkerBook& worker);
-    [[nodiscard]] bool mayStop(const Attempt& attempt, const Booking& booking, const WorkerBook& worker);
-    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& booking, const WorkerBook& worker);
+    [[nodiscard]] bool mayStop(const Attempt& attempt, const Reservation& booking, const WorkerBook& worker);
+    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Reservation& booking, const WorkerBook& worker);
 
     OwnerState& m_state;
     OrderDesk& m_orders;
--- a/src/jobs/owner/fair_placement.cpp
+++ b/src/jobs/owner/fair_placement.cpp
@@ -116,7 +116,7 @@
     placeAll(std::move(sources));
     std::vector<Source> deferred = std::exchange(m_deferred, {});
     m_sharesBind = false;
-    if (!m_state.deficits.holdsOthersBack(m_pool, m_now)) {
+    if (!m_state.deficits.blocksOthers(m_pool, m_now)) {
         placeAll(std::move(deferred));
         return;
     }
@@ -196,7 +196,7 @@
 bool FairPlacement::mayGoOn(const PlacementCandidate& candidate) const
 {
     const std::string& organisation = organisationOf(candidate);
-    return !m_sharesBind || organisation.empty() || !m_shares->isBeyond(organisation);
+    return !m_sharesBind || organisation.empty() || !m_shares->hasReachedShare(organisation);
 }
 
 void FairPlacement::noteStarted(const PlacementCandidate& candidate, const Resources& needs)
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_keeper.cpp
@@ -54,7 +54,7 @@
         if (!m_active)
             return;
         m_options.log->decision("load-observed-anew", { { "idle_instances", static_cast<std::int64_t>(m_idleSince.size()) } });
-        m_capacity.observeAnew(m_options.loop->now());
+        m_capacity.restartObservation(m_options.loop->now());
         m_idleSince.clear();
     }
 
@@ -783,7 +783,7 @@
 
     void maintain(MaintenancePlan& plan, const std::string& instance)
     {
-        plan.noteOrdered(instance);
+        plan.noteRequested(instance);
         m_actBudget.take(1);
         const std::uint64_t number = plan.wave().number;
         const std::string worker = m_list[instance].worker;
@@ -814,7 +814,7 @@
         switch (outcome) {
         case FleetOutcome::Done:
             ++counts.maintained;
-            plan.noteBegun(instance, backAfter(now));
+            plan.noteAccepted(instance, backAfter(now));
             noteActed(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
             m_options.scheduler->noteLifeOver(worker, true);
             writeRecord(plan);
--- a/src/jobs/owner/hall_inventory.cpp
+++ b/src/jobs/owner/hall_inventory.cpp
@@ -34,7 +34,7 @@
         HallPoolReport& pool = pools.try_emplace(worker.entry.pool, HallPoolReport { .pool = worker.entry.pool }).first->second;
         count(worker, pool);
         for (const auto& [attempt, booking] : worker.bookings)
-            emptyBy = booking.step->longRunning ? emptyBy : std::max(emptyBy, booking.endsBy);
+            emptyBy = booking.step->longRunning ? emptyBy : std::max(emptyBy, booking.expectedEnd);
     }
     bool endsByItself = true;
     for (auto& [name, pool] : pools) {
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -150,9 +150,9 @@
     return members;
 }
 
-LeastInstances HealthMonitor::leastInstances() const
+MinInstances HealthMonitor::leastInstances() const
 {
-    LeastInstances least;
+    MinInstances least;
     for (const auto& [pool, demand] : m_state.demands) {
         for (const auto& [requirement, asked] : demand) {
             if (asked.leastInstances > 0 && !requirement.preferred)
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -63,7 +63,7 @@
     void eject(WorkerBook& worker, HealthFault fault);
     void findReadmitted();
     [[nodiscard]] std::vector<EjectionMember> members() const;
-    [[nodiscard]] LeastInstances leastInstances() const;
+    [[nodiscard]] MinInstances leastInstances() const;
     [[nodiscard]] bool isOn() const { return m_state.options.health.enabled; }
 
     OwnerState& m_state;
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -308,7 +308,7 @@
             for (const auto& [attempt, booking] : book.bookings) {
                 use.longRunning += booking.step->longRunning ? 1 : 0;
                 if (!booking.step->longRunning)
-                    use.emptyBy = std::max(use.emptyBy, booking.endsBy);
+                    use.emptyBy = std::max(use.emptyBy, booking.expectedEnd);
                 use.pinned += booking.step->longRunning && !booking.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = book.session->isMet() || now >= book.session->leaseOverBy();
@@ -496,7 +496,7 @@
                 std::int64_t supply = 0;
                 for (const auto& [id, book] : state.workers)
                     supply += book.entry.pool == pool && book.listed && hasLabel(book.entry, requirement.label) ? book.entry.capacity.milliCpu : 0;
-                state.wanted[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
+                state.wanted[{ pool, requirement.label }] = labelDemandLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
             }
         }
     }
--- a/src/jobs/owner/order_desk.cpp
+++ b/src/jobs/owner/order_desk.cpp
@@ -44,7 +44,7 @@
     const std::uint32_t assumed = isBesideSuspect || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.bookings.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.bookings.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspicion = suspicion });
     worker.youngUntil = m_state.now() + maxProbation;
     m_health.noteStartBooked(worker, attempt);
     if (first)
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -212,7 +212,7 @@
     for (const WorkerBook* book : sites.books) {
         list.push_back(book->site(m_now));
         sites.livenessChecks += m_now < book->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.wantedLevelOf(book->entry);
+        list.back().labelDemand = m_state.wantedLevelOf(book->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
--- a/src/jobs/owner/report_reader.cpp
+++ b/src/jobs/owner/report_reader.cpp
@@ -114,7 +114,7 @@
     }
     if (task && job->state.adopt(report.attempt, worker.entry.id, m_state.now())) {
         m_state.endWait(*job);
-        worker.bookings.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
+        worker.bookings.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .expectedEnd = m_state.expectedEnd(*job, report.attempt.task) });
         job->state.noteReport(report, m_state.now());
         m_state.options.log->decision("task-adopted", { { "attempt", nameOf(report.attempt) }, { "worker", worker.entry.id } });
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
@@ -364,7 +364,7 @@
         failed = m_crashes.noteOver(worker);
     else
         m_crashes.noteLeaseExpired(worker);
-    Bookings::Map bookings = worker.bookings.takeAll();
+    Reservations::Map bookings = worker.bookings.takeAll();
     for (auto& [attempt, booking] : bookings) {
         if (!open.contains(attempt)) {
             m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
--- a/src/jobs/owner/worker_book.cpp
+++ b/src/jobs/owner/worker_book.cpp
@@ -93,7 +93,7 @@
     PlacementSite site { .worker = &entry, .free = free(), .open = isOpen(now) };
     if (now < keptUntil)
         site.keptFor = keptFor;
-    site.hasYoungAttempts = now < youngUntil;
+    site.hasRecentStarts = now < youngUntil;
     site.distrusted = starts.isDistrusted(now);
     site.probing = health.isProbing(now);
     site.startsLeft = startsLeft(now);
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -47,9 +47,9 @@
     Requirement requirement;
     const RequirementLoad* load = nullptr;
     CapacityNeed now; ///< For the current demand.
-    CapacityNeed ofLate; ///< For the recent peak demand.
+    CapacityNeed recentPeak; ///< For the recent peak demand.
     CapacityNeed lasting; ///< For the sustained demand.
-    CapacityNeed least; ///< For the current demand, without margin.
+    CapacityNeed withoutMargin; ///< For the current demand, without margin.
     Supply supply;
     bool exhausted = false; ///< No remaining instance would help.
 
@@ -66,7 +66,7 @@
     std::vector<const PoolInstance*> idle; ///< Longest idle first.
     std::vector<const PoolInstance*> drainable; ///< Without long-running tasks first, then by the time at which they are empty.
     std::unordered_set<const PoolInstance*> sound;
-    mutable std::map<std::string, double> soundMilliCpu; ///< Of the healthy instances, by label; a cache.
+    mutable std::map<std::string, double> healthyMilliCpu; ///< Of the healthy instances, by label; a cache.
     mutable std::uint64_t inspected = 0; ///< Number of instance inspections.
 
     /// \returns Need of the class. Tasks without a required label need room beside the tasks that occupy instances with a label,
@@ -109,7 +109,7 @@
     [[nodiscard]] double sizeOf(const std::string& label) const
     {
         // Cached: a sum for each candidate instance made the plan cubic in the fleet size.
-        const auto [size, isNew] = soundMilliCpu.try_emplace(label);
+        const auto [size, isNew] = healthyMilliCpu.try_emplace(label);
         if (!isNew)
             return size->second;
         inspected += sound.size();
@@ -133,7 +133,7 @@
     [[nodiscard]] bool mayGive(const PoolInstance& instance, const ClassBalance& lacking) const
     {
         const bool hasNone = lacking.isRequired() && lacking.supply.instances == 0;
-        return load->reserve || canSpare(instance, &ClassBalance::now) || (hasNone && canSpare(instance, &ClassBalance::least));
+        return load->reserve || canSpare(instance, &ClassBalance::now) || (hasNone && canSpare(instance, &ClassBalance::withoutMargin));
     }
 
     /// \returns Whether a busy instance may be drained for a class of another pool.
@@ -155,11 +155,11 @@
 
     void resize(const PoolInstance& instance, double sign)
     {
-        for (auto& [label, milliCpu] : soundMilliCpu)
+        for (auto& [label, milliCpu] : healthyMilliCpu)
             milliCpu += instance.has(label) ? sign * static_cast<double>(instance.capacity.milliCpu) : 0;
     }
 
-    void take(const PoolInstance& instance)
+    void addInstance(const PoolInstance& instance)
     {
         sound.insert(&instance);
         resize(instance, 1);
@@ -169,7 +169,7 @@
         }
     }
 
-    void give(const PoolInstance& instance)
+    void removeInstance(const PoolInstance& instance)
     {
         std::erase(idle, &instance);
         std::erase(drainable, &instance);
@@ -189,7 +189,7 @@
 {
 }
 
-void CapacityPlan::observeAnew(MonotonicInstant now)
+void CapacityPlan::restartObservation(MonotonicInstant now)
 {
     m_firstSeen = now;
     m_firstArrival.reset();
@@ -258,7 +258,7 @@
     for (const auto& [requirement, load] : pool.requirements) {
         if (pool.reserve)
             break;
-        ClassBalance each { .requirement = requirement, .load = &load, .now = {}, .ofLate = {}, .lasting = {}, .least = {}, .supply = {} };
+        ClassBalance each { .requirement = requirement, .load = &load, .now = {}, .recentPeak = {}, .lasting = {}, .withoutMargin = {}, .supply = {} };
         for (const PoolInstance& instance : pool.instances) {
             if (instance.sound && instance.has(requirement.label))
                 each.supply.add(instance);
@@ -267,10 +267,10 @@
         const std::int64_t lasting = history.lowest.note(load.demandMilliCpu, now, m_options.sustainTime);
         const std::int64_t demand = hasRoom && !load.hasWaiting ? lasting : load.demandMilliCpu;
         each.now = needOf(requirement, load, demand, each.supply.present);
-        each.ofLate = needOf(requirement, load, history.highest.note(demand, now, m_options.demandMemory), each.supply.present);
+        each.recentPeak = needOf(requirement, load, history.highest.note(demand, now, m_options.demandMemory), each.supply.present);
         each.lasting = needOf(requirement, load, lasting, each.supply.present);
         if (!requirement.preferred)
-            each.least = { .milliCpu = static_cast<double>(load.demandMilliCpu) / m_options.packing, .instances = load.leastInstances };
+            each.withoutMargin = { .milliCpu = static_cast<double>(load.demandMilliCpu) / m_options.packing, .instances = load.leastInstances };
         balance.classes.push_back(std::move(each));
     }
     for (const PoolInstance& instance : pool.instances) {
@@ -290,7 +290,7 @@
 {
     if (m_firstArrival)
         return now - *m_firstArrival >= m_options.observation;
-    return now - *m_firstSeen >= m_options.mostIdleStart;
+    return now - *m_firstSeen >= m_options.maxIdleStart;
 }
 
 /// Idle instances of one pool that are equivalent for all classes.
@@ -350,17 +350,17 @@
             // Only whole instances are kept.
             const double ofInstance = each.supply.milliCpu / each.supply.instances;
             const double reserved = std::floor(m_peaks.reservedFor(pool.load->pool) / ofInstance) * ofInstance;
-            each.ofLate.milliCpu = std::max(each.ofLate.milliCpu, reserved);
+            each.recentPeak.milliCpu = std::max(each.recentPeak.milliCpu, reserved);
         }
     }
 }
 
 /// Moves idle instances to the class with the largest shortage, until no shortage can be reduced.
-void CapacityPlan::relieve(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves) const
+void CapacityPlan::fillShortages(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves) const
 {
     std::vector<IdleGroup> groups = groupIdle(pools);
     while (moves.size() < maxMoves) {
-        Balance* needy = nullptr;
+        Balance* receiver = nullptr;
         ClassBalance* lacking = nullptr;
         // Required labels come before preferred ones, which only speed tasks up.
         std::pair<bool, double> worst;
@@ -375,7 +375,7 @@
                 if (lacking && lack >= worst)
                     continue;
                 worst = lack;
-                needy = &pool;
+                receiver = &pool;
                 lacking = &each;
             }
         }
@@ -384,33 +384,33 @@
         // The reserve comes first, since instances that are off cost nothing. Then the instance that helps most classes of the
         // pool and is needed least elsewhere, then the largest.
         using Rank = std::tuple<bool, std::int64_t, std::uint32_t, std::int64_t, const Balance*, std::size_t>;
-        IdleGroup* giver = nullptr;
+        IdleGroup* donor = nullptr;
         Rank best;
         for (IdleGroup& group : groups) {
-            if (group.instances.empty() || group.pool == needy)
+            if (group.instances.empty() || group.pool == receiver)
                 continue;
             ++group.pool->inspected;
             const PoolInstance& instance = group.first();
             const bool helps = instance.has(lacking->requirement.label) && (!lacking->load->hasWaiting || instance.capacity.covers(lacking->load->largestWaiting));
-            if (!helps || !takes(needy->load->pool, instance.kind) || !group.pool->mayGive(instance, *lacking))
+            if (!helps || !takes(receiver->load->pool, instance.kind) || !group.pool->mayGive(instance, *lacking))
                 continue;
             const auto wanted = [&](const std::string& label) { return shortPools.contains(label) ? shortPools[label] : 0; };
             // Ties go to the first pool, and there to the instance that is idle longest.
-            const Rank rank { !group.pool->load->reserve, -std::int64_t { needy->shortClassesOf(instance) }, wanted(instance.kind) + wanted(instance.rack), -instance.capacity.milliCpu, group.pool, group.instances.front().first };
-            if (giver && rank >= best)
+            const Rank rank { !group.pool->load->reserve, -std::int64_t { receiver->shortClassesOf(instance) }, wanted(instance.kind) + wanted(instance.rack), -instance.capacity.milliCpu, group.pool, group.instances.front().first };
+            if (donor && rank >= best)
                 continue;
             best = rank;
-            giver = &group;
+            donor = &group;
         }
-        if (!giver) {
+        if (!donor) {
             lacking->exhausted = true;
             continue;
         }
-        const PoolInstance& chosen = giver->first();
-        giver->instances.pop_front();
-        moves.push_back({ chosen.instance, giver->pool->load->pool, needy->load->pool });
-        giver->pool->give(chosen);
-        needy->take(chosen);
+        const PoolInstance& chosen = donor->first();
+        donor->instances.pop_front();
+        moves.push_back({ chosen.instance, donor->pool->load->pool, receiver->load->pool });
+        donor->pool->removeInstance(chosen);
+        receiver->addInstance(chosen);
     }
 }
 
@@ -435,61 +435,61 @@
 {
     for (Balance& pool : pools) {
         for (const PoolInstance& instance : pool.load->instances) {
-            if (instance.drainingFrom.empty() || !pool.canSpare(instance, &ClassBalance::ofLate) || !pool.canSpare(instance, &ClassBalance::now))
+            if (instance.drainingFrom.empty() || !pool.canSpare(instance, &ClassBalance::recentPeak) || !pool.canSpare(instance, &ClassBalance::now))
                 continue;
             undrains.push_back(instance.instance);
-            pool.give(instance);
+            pool.removeInstance(instance);
         }
     }
 }
 
 /// \param next Start index in the pool's order; advanced to the returned instance.
 /// \returns The first instance from there on that may be drained for the class, or null.
-const PoolInstance* CapacityPlan::nextDrainable(const Balance& pool, std::size_t& next, const Balance& needy, const ClassBalance& lacking) const
+const PoolInstance* CapacityPlan::nextDrainable(const Balance& pool, std::size_t& next, const Balance& receiver, const ClassBalance& lacking) const
 {
     for (; next < pool.drainable.size(); ++next) {
         const PoolInstance& instance = *pool.drainable[next];
         ++pool.inspected;
-        if (instance.has(lacking.requirement.label) && takes(needy.load->pool, instance.kind) && pool.mayDrain(instance, lacking, m_options.fairnessGap))
+        if (instance.has(lacking.requirement.label) && takes(receiver.load->pool, instance.kind) && pool.mayDrain(instance, lacking, m_options.fairnessGap))
             return &instance;
     }
     return nullptr;
 }
 
 /// Drains instances of pools with more capacity for short pools with less.
-void CapacityPlan::share(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const
+void CapacityPlan::planDrains(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const
 {
-    for (Balance& needy : pools) {
-        for (ClassBalance& lacking : needy.classes) {
+    for (Balance& receiver : pools) {
+        for (ClassBalance& lacking : receiver.classes) {
             if (lacking.requirement.preferred)
                 continue;
             // An instance that the pool may not give to this class now cannot be given later either, since the pool only shrinks:
             // each instance is inspected once.
             std::vector<std::size_t> next(pools.size(), 0);
             // Exhausted classes found no idle instance, so they take part.
-            while (drains.size() < maxDrains && !lacking.supply.covers(needy.needOf(lacking, &ClassBalance::now))) {
-                Balance* giver = nullptr;
+            while (drains.size() < maxDrains && !lacking.supply.covers(receiver.needOf(lacking, &ClassBalance::now))) {
+                Balance* donor = nullptr;
                 const PoolInstance* chosen = nullptr;
                 std::tuple<bool, double, MonotonicInstant> best;
                 for (std::size_t i = 0; i < pools.size(); ++i) {
                     Balance& pool = pools[i];
-                    if (&pool == &needy || pool.load->reserve)
+                    if (&pool == &receiver || pool.load->reserve)
                         continue;
-                    const PoolInstance* instance = nextDrainable(pool, next[i], needy, lacking);
+                    const PoolInstance* instance = nextDrainable(pool, next[i], receiver, lacking);
                     if (!instance)
                         continue;
                     const std::tuple<bool, double, MonotonicInstant> rank { instance->longRunning > 0, -pool.sizeOf({}), instance->emptyBy };
                     if (chosen && rank >= best)
                         continue;
                     best = rank;
-                    giver = &pool;
+                    donor = &pool;
                     chosen = instance;
                 }
                 if (!chosen)
                     break;
-                drains.push_back({ chosen->instance, chosen->drainable, giver->load->pool, needy.load->pool });
-                giver->give(*chosen);
-                needy.take(*chosen);
+                drains.push_back({ chosen->instance, chosen->drainable, donor->load->pool, receiver.load->pool });
+                donor->removeInstance(*chosen);
+                receiver.addInstance(*chosen);
             }
         }
     }
@@ -502,7 +502,7 @@
     if (reserve == pools.end() || !mayPowerOff(now))
         return;
     const auto isSpare = [&](const Balance& pool, const PoolInstance& instance) {
-        return now - *instance.idleSince >= m_options.idleBeforeOff && takes(reserve->load->pool, instance.kind) && pool.canSpare(instance, &ClassBalance::ofLate) && pool.canSpare(instance, &ClassBalance::now);
+        return now - *instance.idleSince >= m_options.idleBeforeOff && takes(reserve->load->pool, instance.kind) && pool.canSpare(instance, &ClassBalance::recentPeak) && pool.canSpare(instance, &ClassBalance::now);
     };
     std::vector<std::pair<Balance*, std::deque<const PoolInstance*>>> idle;
     for (Balance& pool : pools) {
@@ -510,8 +510,8 @@
             idle.emplace_back(&pool, std::deque<const PoolInstance*>(pool.idle.begin(), pool.idle.end()));
     }
     std::size_t moved = 0;
-    for (bool isOver = false; !isOver;) {
-        isOver = true;
+    for (bool isDone = false; !isDone;) {
+        isDone = true;
         for (auto& [pool, instances] : idle) {
             while (!instances.empty() && !isSpare(*pool, *instances.front()))
                 instances.pop_front();
@@ -520,14 +520,14 @@
             const PoolInstance& instance = *instances.front();
             instances.pop_front();
             moves.push_back({ instance.instance, pool->load->pool, reserve->load->pool });
-            pool->give(instance);
+            pool->removeInstance(instance);
             ++moved;
-            isOver = false;
+            isDone = false;
         }
     }
 }
 
-CapacityStep CapacityPlan::next(const std::vector<PoolLoad>& pools, MonotonicInstant now, std::size_t maxActs)
+CapacityStep CapacityPlan::next(const std::vector<PoolLoad>& pools, MonotonicInstant now, std::size_t maxActions)
 {
     if (!m_firstSeen)
         m_firstSeen = now;
@@ -543,17 +543,17 @@
     reservePeaks(balances, now);
     CapacityStep step;
     undrain(balances, step.undrains);
-    relieve(balances, step.moves, maxActs);
+    fillShortages(balances, step.moves, maxActions);
     if (m_options.sharesFairly)
-        share(balances, step.drains, maxActs - step.moves.size());
-    const std::size_t maxMoves = maxActs - step.drains.size();
+        planDrains(balances, step.drains, maxActions - step.moves.size());
+    const std::size_t maxMoves = maxActions - step.drains.size();
     addBacklog(balances);
     // A briefly idle instance may be needed by its own pool at once.
     for (Balance& pool : balances) {
         if (!pool.load->reserve)
             std::erase_if(pool.idle, [&](const PoolInstance* instance) { return now - *instance->idleSince < m_options.idleBeforeOff; });
     }
-    relieve(balances, step.moves, maxMoves);
+    fillShortages(balances, step.moves, maxMoves);
     powerOff(balances, step.moves, (maxMoves - step.moves.size()) / 2, now);
     m_inspected = 0;
     for (const Balance& pool : balances)
--- a/src/jobs/policy/crash_attribution.cpp
+++ b/src/jobs/policy/crash_attribution.cpp
@@ -27,7 +27,7 @@
 }
 
 /// An adopted attempt may have started just before its previous owner was lost.
-bool isYoungAdopted(const LostAttempt& lost, Millis probation)
+bool isRecentlyAdopted(const LostAttempt& lost, Millis probation)
 {
     return lost.isAdopted && lost.survived && *lost.survived < probation;
 }
@@ -44,7 +44,7 @@
 }
 
 /// \returns Whether all suspects with at least as many crashes would fail together with it.
-bool standsOut(const LostAttempt& suspect, const std::vector<LostAttempt>& suspects)
+bool hasMostCrashes(const LostAttempt& suspect, const std::vector<LostAttempt>& suspects)
 {
     const std::string key = quarantineKey(suspect.attempt, suspect.isLongRunning);
     return std::none_of(suspects.begin(), suspects.end(), [&](const LostAttempt& other) {
@@ -92,8 +92,8 @@
 
 Millis CrashAttributor::probationAt(double crashesPerSecond) const
 {
-    const double most = secondsOf(maxProbation);
-    const double seconds = crashesPerSecond * most <= maxChanceOfLoss ? most : maxChanceOfLoss / crashesPerSecond;
+    const double maxSeconds = secondsOf(maxProbation);
+    const double seconds = crashesPerSecond * maxSeconds <= maxChanceOfLoss ? maxSeconds : maxChanceOfLoss / crashesPerSecond;
     return std::max(minProbation, std::chrono::duration_cast<Millis>(std::chrono::duration<double>(seconds)));
 }
 
@@ -106,35 +106,35 @@
 std::uint32_t CrashAttributor::crashesNeeded(double crashesPerSecond, MonotonicInstant now) const
 {
     const double chance = crashesPerSecond * correlationSeconds;
-    std::uint32_t crashes = now < m_knowsRateAt ? std::max(m_options.crashesToFail, maxCrashes - 1) : m_options.crashesToFail;
+    std::uint32_t crashes = now < m_rateKnownFrom ? std::max(m_options.crashesToFail, maxCrashes - 1) : m_options.crashesToFail;
     while (crashes < maxCrashes && std::pow(chance, crashes) > maxChanceOfFailure)
         ++crashes;
     return crashes;
 }
 
-CrashVerdict CrashAttributor::attribute(const std::vector<LostAttempt>& lost, std::size_t workers, MonotonicInstant now)
+CrashAttribution CrashAttributor::attribute(const std::vector<LostAttempt>& lost, std::size_t workers, MonotonicInstant now)
 {
     const Millis shortened = probation(workers, now);
-    CrashVerdict verdict { .suspects = suspectsOf(lost, shortened), .possibleSuspects = {}, .failed = std::nullopt };
-    if (!verdict.suspects.empty() && verdict.suspects.front().survived)
-        std::copy_if(lost.begin(), lost.end(), std::back_inserter(verdict.possibleSuspects), [](const LostAttempt& each) { return isSuspect(each, false, maxProbation); });
-    const bool isByOthers = std::any_of(verdict.suspects.begin(), verdict.suspects.end(), [](const LostAttempt& each) { return each.before.total() > 0; });
-    if (!isByOthers)
-        std::copy_if(lost.begin(), lost.end(), std::back_inserter(verdict.possibleSuspects), [shortened](const LostAttempt& each) { return isYoungAdopted(each, shortened); });
-    const auto worst = std::max_element(verdict.suspects.begin(), verdict.suspects.end(), hasFewerCrashes);
-    const bool isExplained = worst != verdict.suspects.end() && worst->before.total() > 0;
+    CrashAttribution attribution { .suspects = suspectsOf(lost, shortened), .possibleSuspects = {}, .failed = std::nullopt };
+    if (!attribution.suspects.empty() && attribution.suspects.front().survived)
+        std::copy_if(lost.begin(), lost.end(), std::back_inserter(attribution.possibleSuspects), [](const LostAttempt& each) { return isSuspect(each, false, maxProbation); });
+    const bool hasPriorSuspect = std::any_of(attribution.suspects.begin(), attribution.suspects.end(), [](const LostAttempt& each) { return each.before.total() > 0; });
+    if (!hasPriorSuspect)
+        std::copy_if(lost.begin(), lost.end(), std::back_inserter(attribution.possibleSuspects), [shortened](const LostAttempt& each) { return isRecentlyAdopted(each, shortened); });
+    const auto worst = std::max_element(attribution.suspects.begin(), attribution.suspects.end(), hasFewerCrashes);
+    const bool isExplained = worst != attribution.suspects.end() && worst->before.total() > 0;
     if (!isExplained)
         m_unexplained.push_back(now);
     // The first crash of this task is among the unexplained ones.
     const std::size_t others = m_unexplained.size() - (isExplained && !m_unexplained.empty() ? 1 : 0);
-    verdict.crashesNeeded = crashesNeeded(crashesPerSecond(others, workers), now);
+    attribution.crashesNeeded = crashesNeeded(crashesPerSecond(others, workers), now);
     if (!isExplained)
-        return verdict;
+        return attribution;
     const CrashCount crashes = crashesAfter(*worst);
-    const bool isProved = crashes.confirmed >= std::max(verdict.crashesNeeded, minConfirmedCrashes) && standsOut(*worst, verdict.suspects);
+    const bool isProved = crashes.confirmed >= std::max(attribution.crashesNeeded, minConfirmedCrashes) && hasMostCrashes(*worst, attribution.suspects);
     if (isProved || isExhausted(crashes, 0, worst->isInherited))
-        verdict.failed = worst->attempt;
-    return verdict;
+        attribution.failed = worst->attempt;
+    return attribution;
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/policy/ejection_bound.cpp
+++ b/src/jobs/policy/ejection_bound.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::uint32_t mostOut(std::uint32_t workers, double share)
+std::uint32_t maxOut(std::uint32_t workers, double share)
 {
     return std::max(1U, static_cast<std::uint32_t>(share * static_cast<double>(workers)));
 }
@@ -26,9 +26,9 @@
 
 } // namespace
 
-EjectionBound::EjectionBound(const WorkerHealthOptions& options, const std::vector<EjectionMember>& members, LeastInstances least)
+EjectionBound::EjectionBound(const WorkerHealthOptions& options, const std::vector<EjectionMember>& members, MinInstances minInstances)
     : m_options(options)
-    , m_least(std::move(least))
+    , m_minInstances(std::move(minInstances))
 {
     for (const EjectionMember& member : members)
         count(member);
@@ -47,7 +47,7 @@
     }
     if (member.out)
         return;
-    for (const auto& [need, least] : m_least) {
+    for (const auto& [need, minInstances] : m_minInstances) {
         if (need.first == worker.pool && (need.second.empty() || hasLabel(worker, need.second)))
             ++m_serving[need];
     }
@@ -72,23 +72,23 @@
     const WorkerEntry& worker = *member.worker;
     const std::vector<Domain> domains = domainsOf(worker);
     // If its neighbours do not answer either, the path to them is at fault.
-    if (candidate.fault == HealthFault::Unanswered && std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) { return isAloneIn(domain, member); }))
+    if (candidate.fault == HealthFault::Unanswered && std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) { return isDomainUnresponsive(domain, member); }))
         return false;
     // It counts as out already.
     if (member.out)
         return true;
     const Group& pool = m_pools.at(worker.pool);
-    if (pool.out >= mostOut(pool.workers, m_options.mostOfPool) || pool.out + 1 >= pool.workers)
+    if (pool.out >= maxOut(pool.workers, m_options.mostOfPool) || pool.out + 1 >= pool.workers)
         return false;
     const bool isDomainFull = std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) {
         const Group& group = m_domains.at(domain);
-        return group.out >= mostOut(group.workers, m_options.mostOfDomain);
+        return group.out >= maxOut(group.workers, m_options.mostOfDomain);
     });
-    return !isDomainFull && leavesEnough(member);
+    return !isDomainFull && leavesMinInstances(member);
 }
 
 /// \returns Whether fewer than half of the other workers of a domain answer.
-bool EjectionBound::isAloneIn(const Domain& domain, const EjectionMember& member) const
+bool EjectionBound::isDomainUnresponsive(const Domain& domain, const EjectionMember& member) const
 {
     const Group& group = m_domains.at(domain);
     const std::uint32_t others = group.workers - 1;
@@ -96,10 +96,10 @@
     return 2 * answering < others;
 }
 
-bool EjectionBound::leavesEnough(const EjectionMember& member) const
+bool EjectionBound::leavesMinInstances(const EjectionMember& member) const
 {
     const WorkerEntry& worker = *member.worker;
-    return std::all_of(m_least.begin(), m_least.end(), [&](const auto& need) {
+    return std::all_of(m_minInstances.begin(), m_minInstances.end(), [&](const auto& need) {
         const auto& [pool, label] = need.first;
         if (pool != worker.pool || (!label.empty() && !hasLabel(worker, label)))
             return true;
--- a/src/jobs/policy/evacuation_moves.cpp
+++ b/src/jobs/policy/evacuation_moves.cpp
@@ -9,25 +9,25 @@
 {
 }
 
-std::vector<CapacityMove> EvacuationMoves::next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t mostMoves, MonotonicInstant now)
+std::vector<CapacityMove> EvacuationMoves::next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t maxMoves, MonotonicInstant now)
 {
     std::vector<CapacityMove> moves;
-    std::map<std::string, Turn> turns;
+    std::map<std::string, MoveSchedule> schedules;
     for (const EmptiedInstance& each : emptied) {
-        const auto known = m_turns.find(each.instance);
-        Turn turn = known == m_turns.end() ? Turn { .moveAt = now + m_options.emptyBefore } : known->second;
-        if (now >= turn.moveAt && moves.size() < mostMoves) {
+        const auto known = m_schedules.find(each.instance);
+        MoveSchedule schedule = known == m_schedules.end() ? MoveSchedule { .moveAt = now + m_options.minEmptyTime } : known->second;
+        if (now >= schedule.moveAt && moves.size() < maxMoves) {
             moves.push_back({ .instance = each.instance, .from = each.pool, .to = reserve });
-            turn = { .moveAt = now + m_options.retryPause, .wasMoved = true };
+            schedule = { .moveAt = now + m_options.retryPause, .wasMoved = true };
         }
-        turns[each.instance] = turn;
+        schedules[each.instance] = schedule;
     }
     // Instances that are being moved are not listed as empty. A failed move is retried after the pause.
-    for (const auto& [instance, turn] : m_turns) {
-        if (turn.wasMoved && now < turn.moveAt)
-            turns.try_emplace(instance, turn);
+    for (const auto& [instance, schedule] : m_schedules) {
+        if (schedule.wasMoved && now < schedule.moveAt)
+            schedules.try_emplace(instance, schedule);
     }
-    m_turns = std::move(turns);
+    m_schedules = std::move(schedules);
     return moves;
 }
 
--- a/src/jobs/policy/expected_service.cpp
+++ b/src/jobs/policy/expected_service.cpp
@@ -15,27 +15,27 @@
 constexpr double milli = 1'000;
 constexpr double permille = 1'000;
 /// Min rate, in cores, for an organisation without weight or a pool without instances; avoids a division by zero.
-constexpr double leastCores = 0.1;
+constexpr double minCores = 0.1;
 
 /// Load of one organisation in the pool.
-struct Standing {
+struct OrganisationLoad {
     double weight = 0;
     double demandCores = 0; ///< Rate at which its accepted work would end in time.
     double runningCores = 0;
     double workMillis = 0;
 };
 
-std::map<std::string, Standing> standingsOf(const std::vector<AcceptedWork>& accepted)
+std::map<std::string, OrganisationLoad> loadsOf(const std::vector<AcceptedWork>& accepted)
 {
-    std::map<std::string, Standing> standings;
+    std::map<std::string, OrganisationLoad> loads;
     for (const AcceptedWork& work : accepted) {
-        Standing& standing = standings[work.organisation];
-        standing.weight = std::max(standing.weight, work.weight);
-        standing.runningCores += static_cast<double>(work.runningMilliCpu) / milli;
-        standing.workMillis += static_cast<double>(work.workMillis);
-        standing.demandCores += static_cast<double>(work.workMillis) / static_cast<double>(std::max<std::int64_t>(work.usual.allowed.count(), 1));
+        OrganisationLoad& load = loads[work.organisation];
+        load.weight = std::max(load.weight, work.weight);
+        load.runningCores += static_cast<double>(work.runningMilliCpu) / milli;
+        load.workMillis += static_cast<double>(work.workMillis);
+        load.demandCores += static_cast<double>(work.workMillis) / static_cast<double>(std::max<std::int64_t>(work.usual.allowed.count(), 1));
     }
-    return standings;
+    return loads;
 }
 
 Resources asResources(double cores)
@@ -44,15 +44,15 @@
 }
 
 /// \returns The part of the pool that an organisation gets if it asks for the whole pool and the others ask for their demand.
-double entitlementOf(const std::string& organisation, const std::map<std::string, Standing>& standings, double cores)
+double entitlementOf(const std::string& organisation, const std::map<std::string, OrganisationLoad>& loads, double cores)
 {
     std::vector<OrganisationDemand> demands;
     std::size_t index = 0;
-    for (const auto& [name, standing] : standings) {
+    for (const auto& [name, load] : loads) {
         if (name == organisation)
             index = demands.size();
-        const double asked = name == organisation ? cores : standing.demandCores;
-        demands.push_back({ .organisation = name, .weight = standing.weight, .used = {}, .waiting = asResources(asked) });
+        const double asked = name == organisation ? cores : load.demandCores;
+        demands.push_back({ .organisation = name, .weight = load.weight, .used = {}, .waiting = asResources(asked) });
     }
     return sharesOf(demands, asResources(cores))[index].share;
 }
@@ -68,30 +68,30 @@
 std::vector<AdmissionBudget> ExpectedService::budgets(const std::vector<AcceptedWork>& accepted) const
 {
     std::vector<AdmissionBudget> budgets;
-    const std::map<std::string, Standing> standings = standingsOf(accepted);
+    const std::map<std::string, OrganisationLoad> loads = loadsOf(accepted);
     double demand = 0;
-    for (const auto& [name, standing] : standings)
-        demand += standing.demandCores;
-    const bool wasPressed = std::any_of(accepted.begin(), accepted.end(), [](const AcceptedWork& work) { return work.wasPressed; });
-    if (demand <= m_cores * pressureFrom && !wasPressed)
+    for (const auto& [name, load] : loads)
+        demand += load.demandCores;
+    const bool wasUnderPressure = std::any_of(accepted.begin(), accepted.end(), [](const AcceptedWork& work) { return work.wasUnderPressure; });
+    if (demand <= m_cores * pressureThreshold && !wasUnderPressure)
         return budgets;
     std::map<std::string, double> entitlements;
-    for (const auto& [name, standing] : standings)
-        entitlements[name] = entitlementOf(name, standings, m_cores);
+    for (const auto& [name, load] : loads)
+        entitlements[name] = entitlementOf(name, loads, m_cores);
     for (const AcceptedWork& work : accepted) {
-        const Standing& standing = standings.at(work.organisation);
+        const OrganisationLoad& load = loads.at(work.organisation);
         double before = 0; // Work of the organisation that starts before a new job of the queue.
         for (const AcceptedWork& other : accepted)
             before += other.organisation == work.organisation && other.priority <= work.priority ? static_cast<double>(other.workMillis) : 0;
         const double share = entitlements.at(work.organisation);
-        const double cores = std::max(share * m_cores, leastCores);
+        const double cores = std::max(share * m_cores, minCores);
         const double chain = static_cast<double>(work.usual.chain.count());
         const auto allowed = static_cast<double>(work.usual.allowed.count());
         const double expected = before / cores + chain;
-        if (!work.wasPressed && before < cores * allowed * namedFrom)
+        if (!work.wasUnderPressure && before < cores * allowed * budgetThreshold)
             continue;
-        const bool isBelow = standing.demandCores < cores;
-        const double aim = std::max(allowed * aimAt, chain);
+        const bool isBelow = load.demandCores < cores;
+        const double aim = std::max(allowed * aimShare, chain);
         const double limit = isBelow ? std::max(m_options.lateFactor * allowed, aim) : aim;
         // Beyond its aim an organisation below its share gets one job at a time: a budget up to the limit would make all its jobs
         // late.
@@ -105,7 +105,7 @@
             .expectedEnd = Millis(std::llround(expected)),
             .limit = Millis(std::llround(limit)),
             .sharePermille = static_cast<std::uint32_t>(std::lround(share * permille)),
-            .usePermille = static_cast<std::uint32_t>(std::lround(m_cores > 0 ? standing.runningCores / m_cores * permille : 0)),
+            .usePermille = static_cast<std::uint32_t>(std::lround(m_cores > 0 ? load.runningCores / m_cores * permille : 0)),
             .correction = work.correction });
     }
     std::sort(budgets.begin(), budgets.end(), [](const AdmissionBudget& a, const AdmissionBudget& b) { return std::tie(a.queue, a.organisation) < std::tie(b.queue, b.organisation); });
--- a/src/jobs/policy/failure_domains.cpp
+++ b/src/jobs/policy/failure_domains.cpp
@@ -38,7 +38,7 @@
         if (place == status.halls.end() || place->dataHall != dataHall)
             status.halls.insert(place, { .dataHall = dataHall, .state = FailureDomainState::Evacuating, .since = since });
         else if (place->state == FailureDomainState::Serving)
-            *place = { .dataHall = dataHall, .state = FailureDomainState::Evacuating, .since = since, .workers = place->workers, .silent = place->silent };
+            *place = { .dataHall = dataHall, .state = FailureDomainState::Evacuating, .since = since, .workers = place->workers, .unresponsive = place->unresponsive };
     }
 }
 
@@ -108,11 +108,11 @@
     HallFindings findings;
     for (auto& [name, hall] : m_halls) {
         if (hall.loss) {
-            takeBack(name, hall, now, findings);
+            readmitHall(name, hall, now, findings);
         } else if (std::exchange(hall.hasNewStops, false)) {
             const RecentStops stops = recentStops(hall, now);
-            if (isMajority(hall, stops) && anotherAnswers(name, stops.first, now))
-                lose(name, hall, stops, now, findings);
+            if (isMajority(hall, stops) && anotherHallAnswers(name, stops.first, now))
+                declareLost(name, hall, stops, now, findings);
         }
         forgetEnded(hall, now);
     }
@@ -129,8 +129,8 @@
 {
     FailureDomainStatus status { .asOf = now, .halls = {} };
     for (const auto& [name, hall] : m_halls) {
-        const auto silent = static_cast<std::uint32_t>(hall.stopped.size());
-        FailureDomain& domain = status.halls.emplace_back(FailureDomain { .dataHall = name, .workers = hall.answering + silent, .silent = silent });
+        const auto unresponsive = static_cast<std::uint32_t>(hall.stopped.size());
+        FailureDomain& domain = status.halls.emplace_back(FailureDomain { .dataHall = name, .workers = hall.answering + unresponsive, .unresponsive = unresponsive });
         if (!hall.loss)
             continue;
         domain.state = FailureDomainState::Lost;
@@ -165,7 +165,7 @@
 }
 
 /// If no other data hall answers either, this process has lost its own connection to the workers.
-bool HallLossDetector::anotherAnswers(const std::string& dataHall, MonotonicInstant since, MonotonicInstant now) const
+bool HallLossDetector::anotherHallAnswers(const std::string& dataHall, MonotonicInstant since, MonotonicInstant now) const
 {
     return std::any_of(m_halls.begin(), m_halls.end(), [&](const auto& entry) {
         const auto& [name, hall] = entry;
@@ -173,7 +173,7 @@
     });
 }
 
-void HallLossDetector::lose(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings)
+void HallLossDetector::declareLost(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings)
 {
     // Workers that seem to answer may be gone as well: their missing answers are noticed within the window.
     hall.loss = Loss { .since = now, .workers = hall.answering + stops.count, .waiting = {}, .nextStepAt = now + m_options.lossWindow, .lastAdmittedAt = {} };
@@ -188,7 +188,7 @@
     findings.changes.push_back({ .dataHall = dataHall, .isLost = true, .workers = hall.loss->workers, .stopped = stops.count });
 }
 
-void HallLossDetector::takeBack(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings)
+void HallLossDetector::readmitHall(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings)
 {
     Loss& loss = *hall.loss;
     if (now < loss.nextStepAt)
@@ -223,8 +223,8 @@
     if (!loss.waiting.empty())
         return false;
     if (loss.admitted == 0)
-        return now - loss.since >= m_options.longestLoss;
-    return static_cast<double>(loss.admitted) > m_options.lostShare * loss.workers || now - loss.lastAdmittedAt >= m_options.returnSettles;
+        return now - loss.since >= m_options.maxLossTime;
+    return static_cast<double>(loss.admitted) > m_options.lostShare * loss.workers || now - loss.lastAdmittedAt >= m_options.returnSettleTime;
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/policy/load_forecast.cpp
+++ b/src/jobs/policy/load_forecast.cpp
@@ -16,25 +16,25 @@
 /// A queue's load rises from a twentieth to five times its mean within a second. At hundreds of arrivals per second, a smaller
 /// sample shows the new rate sooner: this many estimate it to within a fifth. The window is never shorter than the time over
 /// which jobs arrive in batches.
-constexpr std::size_t sureArrivals = 24;
-constexpr Seconds shortestWindow { 0.2 };
+constexpr std::size_t sufficientArrivals = 24;
+constexpr Seconds minWindow { 0.2 };
 /// A rise continues while instances are moving, which takes 1.5 s and more: a rate that grew within the window by more than
 /// chance explains is extrapolated at the same growth. On the large deployment a rise from a twentieth to the peak took 1.3 s;
 /// excess capacity is idle only briefly.
-constexpr double surelyMore = 2.0; // Standard deviations of the difference of two counts.
-constexpr double mostGrowth = 2.5;
-constexpr std::uint32_t mostRefusedOfReport = 64; // Further ones in one report are merged: the rate is accurate with `sureArrivals`.
+constexpr double significantDeviations = 2.0; // Standard deviations of the difference of two counts.
+constexpr double maxGrowth = 2.5;
+constexpr std::uint32_t maxRefusedPerReport = 64; // Further ones in one report are merged: the rate is accurate with `sufficientArrivals`.
 constexpr double newestWeight = 0.05; // Of one task in the running mean of ratios.
-constexpr double mostRatio = 10.0; // Limits the effect of one task on a slow worker.
+constexpr double maxRatio = 10.0; // Limits the effect of one task on a slow worker.
 
 /// \returns Factor by which the rate is likely to grow soon, from the arrivals in the older and the newer half of the window.
 double growthOf(std::size_t older, std::size_t newer)
 {
     const auto before = static_cast<double>(older);
     const auto now = static_cast<double>(newer);
-    if (newer < sureArrivals || now - before <= surelyMore * std::sqrt(now + before))
+    if (newer < sufficientArrivals || now - before <= significantDeviations * std::sqrt(now + before))
         return 1;
-    return std::min(now / std::max(before, 1.0), mostGrowth);
+    return std::min(now / std::max(before, 1.0), maxGrowth);
 }
 
 std::map<Requirement, double> workOf(const JobSpec& job, double share)
@@ -63,8 +63,8 @@
         return;
     // One core millisecond equals one second of a thousandth of a core.
     const double work = static_cast<double>(workMillis) / count;
-    for (std::uint32_t i = 0; i < std::min(count, mostRefusedOfReport); ++i)
-        add(queue, { now, { { Requirement {}, work * count / std::min(count, mostRefusedOfReport) } } });
+    for (std::uint32_t i = 0; i < std::min(count, maxRefusedPerReport); ++i)
+        add(queue, { now, { { Requirement {}, work * count / std::min(count, maxRefusedPerReport) } } });
 }
 
 void LoadForecast::add(const std::string& queue, Arrival arrival)
@@ -79,7 +79,7 @@
 {
     if (declared.count() <= 0)
         return;
-    const double ratio = std::min(static_cast<double>(observed.count()) / static_cast<double>(declared.count()), mostRatio);
+    const double ratio = std::min(static_cast<double>(observed.count()) / static_cast<double>(declared.count()), maxRatio);
     double& mean = m_queues[queue].ratio;
     mean += newestWeight * (ratio - mean);
 }
@@ -111,8 +111,8 @@
     for (auto arrival = arrivals.rbegin(); arrival != arrivals.rend() && now - arrival->at <= arrivalWindow; ++arrival) {
         for (const auto& [requirement, work] : arrival->work)
             sums[requirement] += work;
-        if (++count == sureArrivals && m_seesRises)
-            note(sums, std::max(Seconds(now - arrival->at), shortestWindow));
+        if (++count == sufficientArrivals && m_seesRises)
+            note(sums, std::max(Seconds(now - arrival->at), minWindow));
     }
     note(sums, arrivalWindow);
     return byClass;
--- a/src/jobs/policy/maintenance_plan.cpp
+++ b/src/jobs/policy/maintenance_plan.cpp
@@ -18,34 +18,34 @@
 constexpr double pacedShare = 0.6;
 /// Max time to evacuate a worker whose tasks need its kind, since they may find no room elsewhere: another instance may be on its
 /// way, which takes 1.5 s, and tasks move one after the other.
-constexpr Millis patience { 8'000 };
+constexpr Millis maxEvacuationTime { 8'000 };
 /// The worker gets tasks again for this long afterwards.
-constexpr Millis putOff { 4'000 };
+constexpr Millis evacuationPause { 4'000 };
 /// Time for one instance's maintenance, including its evacuation.
-constexpr Millis timeOfOne { 5'000 };
+constexpr Millis timePerInstance { 5'000 };
 
 } // namespace
 
 MaintenancePlan::MaintenancePlan(WaveRequest wave, std::set<std::string> done, MonotonicInstant now)
     : m_wave(std::move(wave))
-    , m_paceBy(now + std::chrono::duration_cast<Millis>(m_wave.duration * pacedShare))
+    , m_paceDeadline(now + std::chrono::duration_cast<Millis>(m_wave.duration * pacedShare))
     , m_done(std::move(done))
 {
 }
 
 std::uint32_t MaintenancePlan::down(MonotonicInstant now) const
 {
-    const auto isDown = [&](const auto& entry) { return entry.second > now && !m_ordered.contains(entry.first); };
-    return static_cast<std::uint32_t>(m_ordered.size()) + static_cast<std::uint32_t>(std::count_if(m_backBy.begin(), m_backBy.end(), isDown));
+    const auto isDown = [&](const auto& entry) { return entry.second > now && !m_requested.contains(entry.first); };
+    return static_cast<std::uint32_t>(m_requested.size()) + static_cast<std::uint32_t>(std::count_if(m_backBy.begin(), m_backBy.end(), isDown));
 }
 
 /// \returns Number of instances that must be in progress at once for the wave to end in time.
-std::uint32_t MaintenancePlan::pace(MonotonicInstant now) const
+std::uint32_t MaintenancePlan::requiredConcurrency(MonotonicInstant now) const
 {
     const std::size_t left = m_wave.instances.size() - std::min(m_done.size(), m_wave.instances.size());
-    if (now >= m_paceBy)
+    if (now >= m_paceDeadline)
         return m_wave.mostAtOnce;
-    const double needed = static_cast<double>(left) * std::chrono::duration<double>(timeOfOne) / std::chrono::duration<double>(m_paceBy - now);
+    const double needed = static_cast<double>(left) * std::chrono::duration<double>(timePerInstance) / std::chrono::duration<double>(m_paceDeadline - now);
     return std::min(m_wave.mostAtOnce, static_cast<std::uint32_t>(std::ceil(needed)));
 }
 
@@ -61,17 +61,17 @@
         const auto back = m_backBy.find(candidate.instance);
         if (candidate.evacuating || (back != m_backBy.end() && back->second > now))
             ++taken[candidate.pool];
-        if (wanted && candidate.up && !m_done.contains(candidate.instance) && !m_ordered.contains(candidate.instance))
+        if (wanted && candidate.up && !m_done.contains(candidate.instance) && !m_requested.contains(candidate.instance))
             due.push_back(&candidate);
     }
     std::sort(due.begin(), due.end(), [](const auto* a, const auto* b) {
         return std::tuple(!a->reserve, !a->evacuating, a->attempts, a->instance) < std::tuple(!b->reserve, !b->evacuating, b->attempts, b->instance);
     });
     const std::uint32_t downNow = down(now);
-    const std::uint32_t most = hasShortage ? pace(now) : m_wave.mostAtOnce;
-    std::uint32_t slots = most > downNow ? most - downNow : 0;
+    const std::uint32_t maxDown = hasShortage ? requiredConcurrency(now) : m_wave.mostAtOnce;
+    std::uint32_t slots = maxDown > downNow ? maxDown - downNow : 0;
     // While a pool is short, evacuations and instances that are down share one limit.
-    std::uint32_t evacuations = hasShortage ? std::max(slots, 1U) : most + evacuateAhead;
+    std::uint32_t evacuations = hasShortage ? std::max(slots, 1U) : maxDown + evacuateAhead;
     for (const MaintenanceCandidate* candidate : due) {
         const auto retry = m_retryAt.find(candidate->instance);
         if (retry != m_retryAt.end() && retry->second > now)
@@ -84,8 +84,8 @@
             --slots;
             continue;
         }
-        if (candidate->evacuating && candidate->pinned && now - candidate->evacuatingSince > patience) {
-            m_retryAt[candidate->instance] = now + putOff;
+        if (candidate->evacuating && candidate->pinned && now - candidate->evacuatingSince > maxEvacuationTime) {
+            m_retryAt[candidate->instance] = now + evacuationPause;
             step.release.push_back(candidate->worker);
             continue;
         }
@@ -102,14 +102,14 @@
     return step;
 }
 
-void MaintenancePlan::noteOrdered(const std::string& instance)
+void MaintenancePlan::noteRequested(const std::string& instance)
 {
-    m_ordered.insert(instance);
+    m_requested.insert(instance);
 }
 
-void MaintenancePlan::noteBegun(const std::string& instance, MonotonicInstant backBy)
+void MaintenancePlan::noteAccepted(const std::string& instance, MonotonicInstant backBy)
 {
-    m_ordered.erase(instance);
+    m_requested.erase(instance);
     m_done.insert(instance);
     m_backBy[instance] = backBy;
 }
@@ -121,13 +121,13 @@
 
 void MaintenancePlan::noteRefused(const std::string& instance, MonotonicInstant retryAt)
 {
-    m_ordered.erase(instance);
+    m_requested.erase(instance);
     m_retryAt[instance] = retryAt;
 }
 
 void MaintenancePlan::noteGone(const std::string& instance)
 {
-    m_ordered.erase(instance);
+    m_requested.erase(instance);
     m_done.insert(instance);
 }
 
--- a/src/jobs/policy/organisation_share.cpp
+++ b/src/jobs/policy/organisation_share.cpp
@@ -46,9 +46,9 @@
 }
 
 /// Progressive filling: shares grow by weight until the demand is satisfied or a needed resource is exhausted.
-class Filling {
+class ProgressiveFilling {
 public:
-    Filling(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
+    ProgressiveFilling(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
         : m_weights(weightsOf(demands))
         , m_shares(demands.size(), 0)
         , m_growing(demands.size(), true)
@@ -112,11 +112,11 @@
         for (std::size_t kind = 0; kind < resourceKinds; ++kind)
             m_left[kind] -= m_rates[kind] * step;
         if (exhausted)
-            stopThoseWhoNeed(*exhausted);
+            stopUsersOf(*exhausted);
         return exhausted.has_value();
     }
 
-    void stopThoseWhoNeed(std::size_t kind)
+    void stopUsersOf(std::size_t kind)
     {
         for (std::size_t i = 0; i < m_shares.size(); ++i) {
             if (m_growing[i] && m_asked[i][kind] > 0)
@@ -145,7 +145,7 @@
 
 std::vector<OrganisationShare> sharesOf(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
 {
-    const std::vector<double> parts = Filling(demands, capacity).run();
+    const std::vector<double> parts = ProgressiveFilling(demands, capacity).run();
     std::vector<OrganisationShare> shares;
     shares.reserve(demands.size());
     for (std::size_t i = 0; i < demands.size(); ++i)
@@ -170,7 +170,7 @@
     return found == m_byName.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool PoolShares::isBeyond(std::string_view organisation) const
+bool PoolShares::hasReachedShare(std::string_view organisation) const
 {
     const std::optional<std::size_t> index = find(organisation);
     return index && !m_shares[*index].isBelow();
@@ -205,7 +205,7 @@
         since = now + m_memory;
 }
 
-bool ShareDeficits::holdsOthersBack(const std::string& pool, MonotonicInstant now) const
+bool ShareDeficits::blocksOthers(const std::string& pool, MonotonicInstant now) const
 {
     const auto found = m_unservedSince.find(pool);
     if (found == m_unservedSince.end())
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -51,10 +51,10 @@
 {
     const bool avoided = !query.avoidWorker.empty() && site.worker->id == query.avoidWorker;
     const bool besideSuspect = !site.suspects.empty() && hasSuspect(site, query, 1);
-    const bool besideYoung = query.suspicion >= crashesToIsolate && site.hasYoungAttempts;
+    const bool besideRecent = query.suspicion >= crashesToIsolate && site.hasRecentStarts;
     // A crash caused by a suspect says nothing about the worker's health.
     const bool probedBySuspect = query.suspicion > 0 && site.probing;
-    return { avoided, probedBySuspect, besideSuspect, besideYoung, !site.preferred, isFar(site, step), wouldMix(site, step), step.requiredLabel.empty() ? site.wanted : 0 };
+    return { avoided, probedBySuspect, besideSuspect, besideRecent, !site.preferred, isFar(site, step), wouldMix(site, step), step.requiredLabel.empty() ? site.labelDemand : 0 };
 }
 
 std::int64_t fullnessOf(const PlacementSite& site, const StepSpec& step, const PlacementQuery& query)
@@ -87,13 +87,13 @@
     return needs;
 }
 
-std::uint32_t wantedLevel(std::int64_t demandMilliCpu, std::int64_t supplyMilliCpu) noexcept
+std::uint32_t labelDemandLevel(std::int64_t demandMilliCpu, std::int64_t supplyMilliCpu) noexcept
 {
     constexpr std::int64_t levels = 8;
-    constexpr std::int64_t highest = 16;
+    constexpr std::int64_t maxLevel = 16;
     if (demandMilliCpu <= 0)
         return 0;
-    return static_cast<std::uint32_t>(std::min(1 + demandMilliCpu * levels / std::max<std::int64_t>(supplyMilliCpu, 1), highest));
+    return static_cast<std::uint32_t>(std::min(1 + demandMilliCpu * levels / std::max<std::int64_t>(supplyMilliCpu, 1), maxLevel));
 }
 
 std::int64_t asMilliCpu(const Resources& used, const Resources& capacity) noexcept
@@ -241,7 +241,7 @@
     PlacementSite& site = m_sites[index];
     const Resources before = site.free;
     site.free -= footprint(step);
-    site.hasYoungAttempts = true;
+    site.hasRecentStarts = true;
     site.startsLeft -= site.startsLeft == unlimitedStarts ? 0 : 1;
     move(index, before);
     site.servingTasks += step.latencyTarget.count() > 0 ? 1 : 0;
--- a/src/jobs/policy/reachability.cpp
+++ b/src/jobs/policy/reachability.cpp
@@ -9,8 +9,8 @@
 
 /// A worker that did not answer over more paths than this has probably crashed: in a partition between two of three data halls at
 /// least the third path answers.
-constexpr std::size_t mostPathsOfEvidence = 3;
-constexpr std::uint32_t mostDoublings = 4; // Of the pause between retries.
+constexpr std::size_t maxPathsOfEvidence = 3;
+constexpr std::uint32_t maxDoublings = 4; // Of the pause between retries.
 
 } // namespace
 
@@ -29,15 +29,15 @@
 
 bool Reachability::isUnreachable(std::string_view dataHall) const
 {
-    bool isCut = false;
+    bool isBlocked = false;
     for (const HallPath& path : paths) {
         if (path.dataHall != dataHall)
             continue;
         if (path.state == PathState::Reachable)
             return false;
-        isCut = isCut || path.state == PathState::Unreachable;
+        isBlocked = isBlocked || path.state == PathState::Unreachable;
     }
-    return isCut;
+    return isBlocked;
 }
 
 ReachabilityTable::ReachabilityTable(ReachabilityOptions options)
@@ -49,7 +49,7 @@
 {
     const auto [place, isNew] = m_hallNumbers.try_emplace(name, m_halls.size());
     if (isNew)
-        m_halls.push_back({ .name = name, .cuts = {} });
+        m_halls.push_back({ .name = name, .unreachableFrom = {} });
     return place->second;
 }
 
@@ -67,7 +67,7 @@
     const std::vector<Cell>& cells = found->second.cells;
     for (std::size_t hall = 0; hall < cells.size(); ++hall) {
         if (cells[hall].state == PathState::Unreachable)
-            removeCut(found->second.hall, hall);
+            removeUnreachable(found->second.hall, hall);
     }
     m_paths.erase(found);
 }
@@ -109,8 +109,8 @@
         return std::nullopt;
     ++m_changes;
     const std::size_t from = m_paths.at(path).hall;
-    removeCut(from, hall);
-    doubtSiblings(from, hall, now);
+    removeUnreachable(from, hall);
+    resetSiblings(from, hall, now);
     return PathChange { .path = path, .dataHall = m_halls[hall].name, .to = PathState::Reachable, .evidence = {}, .evidenceSince = since };
 }
 
@@ -134,7 +134,7 @@
     cell->since = now;
     PathChange change { .path = path, .dataHall = m_halls[hall].name, .to = PathState::Unreachable, .evidence = { cell->evidence.begin(), cell->evidence.end() }, .evidenceSince = cell->evidenceSince };
     cell->evidence.clear();
-    addCut(m_paths.at(path).hall, hall, now);
+    addUnreachable(m_paths.at(path).hall, hall, now);
     return change;
 }
 
@@ -143,37 +143,37 @@
     std::set<std::string>& paths = m_unansweredOver[worker];
     if (paths.contains(path))
         return true;
-    if (paths.size() >= mostPathsOfEvidence)
+    if (paths.size() >= maxPathsOfEvidence)
         return false;
     paths.insert(path);
     return true;
 }
 
-void ReachabilityTable::addCut(std::size_t from, std::size_t hall, MonotonicInstant now)
+void ReachabilityTable::addUnreachable(std::size_t from, std::size_t hall, MonotonicInstant now)
 {
     ++m_halls[hall].unreachable;
-    Cut& cut = m_halls[hall].cuts[from];
-    if (cut.paths++ == 0)
-        cut.retryAt = now + m_options.firstRetry;
+    Unreachable& origin = m_halls[hall].unreachableFrom[from];
+    if (origin.paths++ == 0)
+        origin.retryAt = now + m_options.firstRetry;
 }
 
-void ReachabilityTable::removeCut(std::size_t from, std::size_t hall)
+void ReachabilityTable::removeUnreachable(std::size_t from, std::size_t hall)
 {
     --m_halls[hall].unreachable;
-    const auto cut = m_halls[hall].cuts.find(from);
-    if (--cut->second.paths == 0)
-        m_halls[hall].cuts.erase(cut);
+    const auto origin = m_halls[hall].unreachableFrom.find(from);
+    if (--origin->second.paths == 0)
+        m_halls[hall].unreachableFrom.erase(origin);
 }
 
 /// A restored path shows that the data halls reach each other again: the other paths from there need no retries one by one.
-void ReachabilityTable::doubtSiblings(std::size_t from, std::size_t hall, MonotonicInstant now)
+void ReachabilityTable::resetSiblings(std::size_t from, std::size_t hall, MonotonicInstant now)
 {
     for (auto& [name, path] : m_paths) {
         if (path.hall != from || path.cells.size() <= hall || path.cells[hall].state != PathState::Unreachable)
             continue;
         path.cells[hall].state = PathState::Unknown;
         path.cells[hall].since = now;
-        removeCut(from, hall);
+        removeUnreachable(from, hall);
     }
 }
 
@@ -191,30 +191,30 @@
     const std::vector<Cell>& cells = found->second.cells;
     switch (hall < cells.size() ? stateOf(cells[hall], now) : PathState::Unknown) {
     case PathState::Reachable:
-        return PathRank::Reaches;
+        return PathRank::Reachable;
     case PathState::Unreachable:
-        return PathRank::Cut;
+        return PathRank::Unreachable;
     case PathState::Unknown:
         break;
     }
-    const bool isLikelyCut = found->second.hall != hall && found->second.hall != 0 && m_halls[hall].cuts.contains(found->second.hall);
-    return isLikelyCut ? PathRank::LikelyCut : PathRank::MayReach;
+    const bool isLikelyUnreachable = found->second.hall != hall && found->second.hall != 0 && m_halls[hall].unreachableFrom.contains(found->second.hall);
+    return isLikelyUnreachable ? PathRank::LikelyUnreachable : PathRank::MayReach;
 }
 
 std::optional<std::string> ReachabilityTable::takeRetry(std::size_t hall, MonotonicInstant now)
 {
-    if (!hasCut(hall))
+    if (!hasUnreachablePath(hall))
         return std::nullopt;
-    for (auto& [from, cut] : m_halls[hall].cuts) {
-        if (now < cut.retryAt)
+    for (auto& [from, origin] : m_halls[hall].unreachableFrom) {
+        if (now < origin.retryAt)
             continue;
         std::pair<const std::string, Path>* oldest = nullptr;
         for (auto& path : m_paths) {
-            const bool isCut = path.second.hall == from && path.second.cells.size() > hall && path.second.cells[hall].state == PathState::Unreachable;
-            if (isCut && (!oldest || path.second.cells[hall].retriedAt < oldest->second.cells[hall].retriedAt))
+            const bool isBlocked = path.second.hall == from && path.second.cells.size() > hall && path.second.cells[hall].state == PathState::Unreachable;
+            if (isBlocked && (!oldest || path.second.cells[hall].retriedAt < oldest->second.cells[hall].retriedAt))
                 oldest = &path;
         }
-        cut.retryAt = now + std::min(m_options.firstRetry * (1U << std::min(cut.retries++, mostDoublings)), m_options.longestRetry);
+        origin.retryAt = now + std::min(m_options.firstRetry * (1U << std::min(origin.retries++, maxDoublings)), m_options.longestRetry);
         if (!oldest)
             continue;
         oldest->second.cells[hall].retriedAt = now;
--- a/src/jobs/policy/retry_advice.cpp
+++ b/src/jobs/policy/retry_advice.cpp
@@ -20,11 +20,11 @@
 
 Millis adviseRetry(const RefusalSituation& situation, std::minstd_rand& random)
 {
-    const Millis drain = std::clamp(expectedDrain(situation), leastRetryAfter, mostRetryAfter);
+    const Millis drain = std::clamp(expectedDrain(situation), minRetryAfter, maxRetryAfter);
     const auto window = (drain + second - Millis(1)) / second;
     const Millis chosen = second * std::uniform_int_distribution<Millis::rep>(1, window)(random);
     const Millis useful = second * (situation.useful / second);
-    return std::clamp(chosen, leastRetryAfter, std::max(useful, leastRetryAfter));
+    return std::clamp(chosen, minRetryAfter, std::max(useful, minRetryAfter));
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/policy/worker_health.cpp
+++ b/src/jobs/policy/worker_health.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t jobsToEject = 2;
 
 /// There is no score with fewer samples; from `fullWeightAt` samples on, the share alone counts.
-constexpr std::int32_t fewestSamples = 4;
+constexpr std::int32_t minSamples = 4;
 constexpr std::int32_t fullWeightAt = 8;
 
 /// Three of four calls, or three of eight. The network loses a few percent of all answers.
@@ -25,11 +25,11 @@
 /// fails with their period gets longer and longer ejections.
 constexpr Millis calmTime { 20'000 };
 /// A worker without a probing task by then, or whose probing task still runs, is back in service: its evidence is too old.
-constexpr Millis longestProbing { 10'000 };
+constexpr Millis maxProbingTime { 10'000 };
 
 double scoreOf(std::int32_t bad, std::int32_t all)
 {
-    if (all < fewestSamples || bad <= 0)
+    if (all < minSamples || bad <= 0)
         return 0;
     const double weight = std::min(1.0, static_cast<double>(all) / fullWeightAt);
     return weight * std::min(1.0, static_cast<double>(bad) / static_cast<double>(all));
@@ -79,7 +79,7 @@
 {
     m_failedJobs.clear();
     m_failures = 0;
-    if (isProbing(now) && m_strike == HealthFault::None)
+    if (isProbing(now) && m_probeFault == HealthFault::None)
         readmit();
 }
 
@@ -87,13 +87,13 @@
 {
     m_failedJobs.insert(job);
     ++m_failures;
-    strike(HealthFault::Failures, now);
+    noteProbeFault(HealthFault::Failures, now);
 }
 
 void WorkerHealth::noteStartAnswered(MonotonicInstant now)
 {
     add({ .calls = 1 }, now);
-    if (isProbing(now) && m_ejectedFor == HealthFault::Unanswered && m_strike == HealthFault::None)
+    if (isProbing(now) && m_ejectedFor == HealthFault::Unanswered && m_probeFault == HealthFault::None)
         readmit();
 }
 
@@ -105,14 +105,14 @@
 void WorkerHealth::noteUnanswered(MonotonicInstant now)
 {
     add({ .calls = 1, .unanswered = 1 }, now);
-    strike(HealthFault::Unanswered, now);
+    noteProbeFault(HealthFault::Unanswered, now);
 }
 
 void WorkerHealth::noteLateAnswer(MonotonicInstant now)
 {
     add({ .unanswered = -1 }, now);
-    if (m_strike == HealthFault::Unanswered)
-        m_strike = HealthFault::None;
+    if (m_probeFault == HealthFault::Unanswered)
+        m_probeFault = HealthFault::None;
 }
 
 /// A worker that has become slow reports few ends compared with the seconds before, and run times vary by nature: each end halves
@@ -127,14 +127,14 @@
     }
     add({ .ends = 1, .lateEnds = late ? 1 : 0 }, now);
     if (late)
-        strike(HealthFault::Slow, now);
+        noteProbeFault(HealthFault::Slow, now);
 }
 
 /// Records a failed probe: one failure is enough while probing.
-void WorkerHealth::strike(HealthFault fault, MonotonicInstant now)
+void WorkerHealth::noteProbeFault(HealthFault fault, MonotonicInstant now)
 {
     if (isProbing(now))
-        m_strike = fault;
+        m_probeFault = fault;
 }
 
 void WorkerHealth::readmit()
@@ -145,7 +145,7 @@
 
 bool WorkerHealth::isOut(MonotonicInstant now) const noexcept
 {
-    return m_ejectedFor != HealthFault::None && (m_strike != HealthFault::None || now < m_backoff.until() + longestProbing);
+    return m_ejectedFor != HealthFault::None && (m_probeFault != HealthFault::None || now < m_backoff.until() + maxProbingTime);
 }
 
 bool WorkerHealth::isFailing() const noexcept
@@ -157,8 +157,8 @@
 {
     if (isEjected(now))
         return HealthFault::None;
-    if (m_strike != HealthFault::None)
-        return m_strike;
+    if (m_probeFault != HealthFault::None)
+        return m_probeFault;
     if (isProbing(now))
         return HealthFault::None;
     if (isFailing())
@@ -183,10 +183,10 @@
         m_backoff.reset();
     const auto ratio = static_cast<std::uint64_t>(options.longestBackoff / std::max(options.firstBackoff, Millis(1)));
     const auto doublings = static_cast<std::uint32_t>(std::bit_width(std::max<std::uint64_t>(ratio, 1)) - 1);
-    m_verdict = { .fault = fault, .score = score(now), .evidence = evidence(now), .failures = m_failures };
+    m_ejectionScore = { .fault = fault, .score = score(now), .evidence = evidence(now), .failures = m_failures };
     m_backoff.begin(now, options.firstBackoff, doublings);
     m_ejectedFor = fault;
-    m_strike = HealthFault::None;
+    m_probeFault = HealthFault::None;
     m_window = {};
     m_failedJobs.clear();
     m_failures = 0;
@@ -195,14 +195,14 @@
 void WorkerHealth::postponeProbe(const WorkerHealthOptions& options, MonotonicInstant now)
 {
     m_backoff.postpone(now + options.firstBackoff);
-    m_strike = HealthFault::None;
+    m_probeFault = HealthFault::None;
 }
 
 WorkerHealthScore WorkerHealth::report(MonotonicInstant now) const
 {
     WorkerHealthScore report { .fault = fault(now), .score = score(now), .evidence = evidence(now), .failures = m_failures };
     if (isOut(now))
-        report = m_verdict;
+        report = m_ejectionScore;
     report.ejected = isEjected(now);
     report.probing = isProbing(now);
     report.ejectedUntil = m_backoff.until();
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -117,7 +117,7 @@
     for (auto& [name, other] : m_relays) {
         if (name == relay || !other.inUse || other.workers > found->second.workers + 1)
             continue;
-        if (m_reachability.hasCut(place->second.hall) && !mayReach(name, place->second.hall))
+        if (m_reachability.hasUnreachablePath(place->second.hall) && !mayReach(name, place->second.hall))
             continue;
         moveTo(place->second, name);
         return;
@@ -179,10 +179,10 @@
 {
     if (m_inUse == 0)
         return false;
-    const bool hasCut = m_reachability.hasCut(place.hall) && !m_hallsWithoutPath.contains(place.hall);
+    const bool hasUnreachablePath = m_reachability.hasUnreachablePath(place.hall) && !m_hallsWithoutPath.contains(place.hall);
     if (!m_isByLoad)
-        return hasCut ? !mayReach(place.relay, place.hall) : !place.relay.empty();
-    return place.relay.empty() || isOverloaded(place.relay) || m_awaitsProbe || (hasCut && !mayReach(place.relay, place.hall));
+        return hasUnreachablePath ? !mayReach(place.relay, place.hall) : !place.relay.empty();
+    return place.relay.empty() || isOverloaded(place.relay) || m_awaitsProbe || (hasUnreachablePath && !mayReach(place.relay, place.hall));
 }
 
 bool RelayPlan::isOverloaded(const std::string& relay) const
@@ -265,7 +265,7 @@
 void RelayPlan::useDetours(const std::vector<std::pair<const std::string, Relay>*>& largestFirst)
 {
     for (const auto& [hall, workers] : m_workersByHall) {
-        if (workers == 0 || !m_reachability.hasCut(hall))
+        if (workers == 0 || !m_reachability.hasUnreachablePath(hall))
             continue;
         double room = !m_isByLoad && mayReach({}, hall) ? std::numeric_limits<double>::max() : 0;
         for (const auto* relay : largestFirst)
@@ -332,36 +332,36 @@
 void RelayPlan::choose(Place& place)
 {
     m_awaitsProbe = false;
-    const bool hasCut = m_reachability.hasCut(place.hall);
-    if (!m_isByLoad && (!hasCut || mayReach({}, place.hall))) {
+    const bool hasUnreachablePath = m_reachability.hasUnreachablePath(place.hall);
+    if (!m_isByLoad && (!hasUnreachablePath || mayReach({}, place.hall))) {
         moveTo(place, {});
         return;
     }
     const std::string* best = nullptr;
-    std::pair<PathRank, double> bestBy { PathRank::Cut, 0 };
-    std::pair<PathRank, double> usedBy { PathRank::Cut, 0 };
+    std::pair<PathRank, double> bestBy { PathRank::Unreachable, 0 };
+    std::pair<PathRank, double> usedBy { PathRank::Unreachable, 0 };
     for (const auto& [name, relay] : m_relays) {
         if (!relay.inUse)
             continue;
         const double share = static_cast<double>(relay.workers) / relay.capacity();
         const bool isFull = name != place.relay && share >= mostOverCapacity;
-        const std::pair<PathRank, double> by { hasCut ? m_reachability.rank(name, place.hall, m_now) : PathRank::Reaches, share };
+        const std::pair<PathRank, double> by { hasUnreachablePath ? m_reachability.rank(name, place.hall, m_now) : PathRank::Reachable, share };
         if (name == place.relay)
             usedBy = by;
-        if (by.first == PathRank::Cut || (hasCut && isFull) || (best && by >= bestBy))
+        if (by.first == PathRank::Unreachable || (hasUnreachablePath && isFull) || (best && by >= bestBy))
             continue;
         best = &name;
         bestBy = by;
     }
-    if (hasCut && bestBy.first >= PathRank::LikelyCut && mayReach({}, place.hall) && hasDirectRoom()) {
+    if (hasUnreachablePath && bestBy.first >= PathRank::LikelyUnreachable && mayReach({}, place.hall) && hasDirectRoom()) {
         moveTo(place, {});
         return;
     }
     // Where few relays reach a data hall, all of them carry more than others: workers stay unless the shares differ much.
-    const bool isEven = hasCut && usedBy.first <= bestBy.first && usedBy.second <= unevenness * bestBy.second + leastGap;
+    const bool isEven = hasUnreachablePath && usedBy.first <= bestBy.first && usedBy.second <= unevenness * bestBy.second + leastGap;
     if (best && *best != place.relay && !isEven)
         moveTo(place, *best);
-    if (hasCut && !best)
+    if (hasUnreachablePath && !best)
         m_hallsWithoutPath.insert(place.hall);
 }
 
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -44,7 +44,7 @@
 
     [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
 
-    void checkPromise()
+    void checkGuarantee()
     {
         CHECK(witness.breaches().empty());
         CHECK(crashes() <= maxCrashesAllowed);
@@ -69,7 +69,7 @@
         cluster.store.trouble.answerTime = answerTime;
         cluster.crashesAfter = [] { return beforeAnswer; };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -95,7 +95,7 @@
     cluster.clock.runFor(Millis(100));
     cluster.workers.find(cutOff)->trouble.cutOff = false;
     cluster.clock.runFor(Millis(60'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against a new owner that treats unrecorded starts within their probation as survived.
@@ -112,7 +112,7 @@
             return true;
         };
         cluster.clock.runFor(Millis(90'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -128,7 +128,7 @@
         cluster.crashesAfter = [delay] { return delay; };
         cluster.clock.runFor(Millis(90'000));
         CHECK(cluster.starts > 0);
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -145,12 +145,12 @@
             return true;
         };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
 // Guards against declaring a live worker ended because one instance list omitted its instance.
-TEST_CASE("A worker that is cut off while a list leaves its instance out runs its task alone until its lease ends")
+TEST_CASE("A partitioned worker whose instance a list omits runs its task alone until its lease ends")
 {
     SmallCluster cluster;
     const std::string id = jobId(1);
@@ -196,7 +196,7 @@
 }
 
 // Guards against an old attempt's end that clears later crashes, since the record does not show which attempts crashed.
-TEST_CASE("A record of crashes tells a new owner that an older attempt's end says nothing of them")
+TEST_CASE("A record of crashes shows a new owner that an older attempt's end does not clear them")
 {
     const std::string id = jobId(1);
     const TaskId task { 0, 0, 0 };
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -65,7 +65,7 @@
     [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
 
     /// \returns Whether the poison task's worker runs another task that it acknowledges within the maximum probation.
-    [[nodiscard]] bool isBesideYoung()
+    [[nodiscard]] bool isBesideRecentStart()
     {
         for (const auto& [attempt, run] : workers.find(worker)->running) {
             // The answer to an earlier start has been sent already.
@@ -75,7 +75,7 @@
         return false;
     }
 
-    void checkPromise()
+    void checkGuarantee()
     {
         CHECK(witness.breaches().empty());
         CHECK(crashes() <= maxCrashesAllowed);
@@ -104,83 +104,83 @@
 } // namespace
 
 // Guards against attributing a crash before the answer to an innocent acknowledged start, so that it is not counted.
-TEST_CASE("A poison task that crashes workers before the answer beside young starts fails in time")
+TEST_CASE("A poison task that crashes workers before the answer beside recent starts fails in time")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         PoisonCluster cluster(seed, fewInstances, step(1), busyTime);
-        std::uint32_t besideYoung = 0;
+        std::uint32_t besideRecent = 0;
         cluster.crashesAfter = [&] {
-            besideYoung += cluster.isBesideYoung() ? 1 : 0;
-            return cluster.isBesideYoung() ? beforeAnswer : afterAnswer;
+            besideRecent += cluster.isBesideRecentStart() ? 1 : 0;
+            return cluster.isBesideRecentStart() ? beforeAnswer : afterAnswer;
         };
         cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
-        CAPTURE(besideYoung);
-        CHECK(besideYoung > 0);
-        cluster.checkPromise();
+        CAPTURE(besideRecent);
+        CHECK(besideRecent > 0);
+        cluster.checkGuarantee();
     }
 }
 
 // The same for a task that is already suspect.
-TEST_CASE("A suspect that crashes workers before the answer beside young starts fails in time")
+TEST_CASE("A suspect that crashes workers before the answer beside recent starts fails in time")
 {
     for (const std::uint32_t confirmed : { 1U, 2U }) {
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
             CAPTURE(confirmed, seed);
             PoisonCluster cluster(seed, fewInstances, step(1), busyTime);
-            std::uint32_t besideYoung = 0;
+            std::uint32_t besideRecent = 0;
             cluster.crashesAfter = [&] {
-                const bool isUnseen = cluster.starts > confirmed && cluster.isBesideYoung();
-                besideYoung += isUnseen ? 1 : 0;
+                const bool isUnseen = cluster.starts > confirmed && cluster.isBesideRecentStart();
+                besideRecent += isUnseen ? 1 : 0;
                 return isUnseen ? beforeAnswer : afterAnswer;
             };
             cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
-            CAPTURE(besideYoung);
-            cluster.checkPromise();
+            CAPTURE(besideRecent);
+            cluster.checkGuarantee();
         }
     }
 }
 
 // Guards against first crashes before the answer, beside recent starts, that use up the allowed number of crashes.
-TEST_CASE("A poison task whose first crashes come before the answer beside young starts fails in time")
+TEST_CASE("A poison task whose first crashes come before the answer beside recent starts fails in time")
 {
     for (const std::uint32_t unseen : { 1U, 2U, 3U }) {
         CAPTURE(unseen);
         PoisonCluster cluster(1, fewInstances, step(1), busyTime);
-        std::uint32_t besideYoung = 0;
+        std::uint32_t besideRecent = 0;
         cluster.crashesAfter = [&] {
-            const bool isUnseen = besideYoung < unseen && cluster.isBesideYoung();
-            besideYoung += isUnseen ? 1 : 0;
+            const bool isUnseen = besideRecent < unseen && cluster.isBesideRecentStart();
+            besideRecent += isUnseen ? 1 : 0;
             return isUnseen ? beforeAnswer : afterAnswer;
         };
         cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
-        CAPTURE(besideYoung);
-        CHECK(besideYoung > 0);
-        cluster.checkPromise();
+        CAPTURE(besideRecent);
+        CHECK(besideRecent > 0);
+        cluster.checkGuarantee();
     }
 }
 
 // Guards against uncounted crashes where not all others are confirmed: the limit of five covers only attributed crashes.
-TEST_CASE("A poison task that crashes workers before the answer both beside young starts and apart from them fails in time")
+TEST_CASE("A poison task that crashes workers before the answer both beside recent starts and apart from them fails in time")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         PoisonCluster cluster(seed, fewInstances, step(1), busyTime);
-        std::uint32_t besideYoung = 0;
+        std::uint32_t besideRecent = 0;
         std::uint32_t apart = 0;
         cluster.crashesAfter = [&] {
-            if (cluster.isBesideYoung()) {
-                if (besideYoung > 0)
+            if (cluster.isBesideRecentStart()) {
+                if (besideRecent > 0)
                     return afterAnswer;
-                ++besideYoung;
+                ++besideRecent;
                 return beforeAnswer;
             }
             return apart++ < 2 ? beforeAnswer : afterAnswer;
         };
         cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
-        CAPTURE(besideYoung, apart);
-        CHECK(besideYoung > 0);
-        cluster.checkPromise();
+        CAPTURE(besideRecent, apart);
+        CHECK(besideRecent > 0);
+        cluster.checkGuarantee();
     }
 }
 
@@ -190,7 +190,7 @@
     PoisonCluster cluster;
     cluster.crashesAfter = [] { return beforeAnswer; };
     cluster.clock.runFor(Millis(60'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against a limit that requires two confirmed crashes among five.
@@ -201,7 +201,7 @@
         PoisonCluster cluster;
         cluster.crashesAfter = [&cluster, acknowledged] { return cluster.starts == acknowledged ? afterAnswer : beforeAnswer; };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -213,7 +213,7 @@
         PoisonCluster cluster;
         cluster.crashesAfter = [&cluster, first] { return cluster.starts == first || cluster.starts == first + 1 ? afterAnswer : beforeAnswer; };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -238,7 +238,7 @@
             cluster.workers.find(cutOff[healed++])->trouble.cutOff = false;
     }
     REQUIRE(healed > 0);
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against an expired lease of an old attempt that restarts a long-running task after it has failed permanently.
@@ -258,7 +258,7 @@
     CHECK(cluster.crashes() <= maxCrashesAllowed);
     cluster.workers.find(cutOff)->trouble.cutOff = false;
     cluster.clock.runFor(Millis(40'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against a new owner that treats a start within its probation as survived.
@@ -276,7 +276,7 @@
             return true;
         };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -292,7 +292,7 @@
             return true;
         };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -316,7 +316,7 @@
                 return false;
             };
             cluster.clock.runFor(Millis(60'000));
-            cluster.checkPromise();
+            cluster.checkGuarantee();
         }
     }
 }
@@ -335,7 +335,7 @@
         return false;
     };
     cluster.clock.runFor(Millis(60'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against a crash that stays unrecorded if the owner is lost at any time between the crash and its record.
@@ -348,7 +348,7 @@
             cluster.clock.runFor(Millis(1'000));
             killAfterCrashes(cluster, { crash }, offset);
             cluster.clock.runFor(Millis(40'000));
-            cluster.checkPromise();
+            cluster.checkGuarantee();
         }
     }
 }
@@ -363,7 +363,7 @@
             cluster.crashesAfter = [&cluster] { return cluster.starts % 2 == 0 ? beforeAnswer : afterAnswer; };
             killAfterCrashes(cluster, { crash }, offset);
             cluster.clock.runFor(Millis(50'000));
-            cluster.checkPromise();
+            cluster.checkGuarantee();
         }
     }
 }
@@ -377,7 +377,7 @@
             PoisonCluster cluster;
             killAfterCrashes(cluster, lost, offset);
             cluster.clock.runFor(Millis(60'000));
-            cluster.checkPromise();
+            cluster.checkGuarantee();
         }
     }
 }
@@ -391,7 +391,7 @@
         killAfterCrashes(cluster, { 1, 2 }, Millis(100));
         cluster.crashesAfter = [&cluster, unconfirmed] { return cluster.starts == unconfirmed ? beforeAnswer : afterAnswer; };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -403,7 +403,7 @@
         PoisonCluster cluster;
         killAfterCrashes(cluster, { first, first + 1, first + 2, first + 3, first + 4, first + 5 }, Millis(2));
         cluster.clock.runFor(Millis(80'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -423,7 +423,7 @@
             return false;
         };
         cluster.clock.runFor(Millis(90'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -434,7 +434,7 @@
         CAPTURE(instances);
         PoisonCluster cluster(1, instances);
         cluster.clock.runFor(Millis(120'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -451,7 +451,7 @@
         onEntry(worker);
     };
     cluster.clock.runFor(Millis(120'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against sending a start of a suspect before its crashes and its probation are stored.
@@ -475,7 +475,7 @@
             return true;
         };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -494,7 +494,7 @@
         for (const std::string& id : others)
             cluster.submit(0, "work", id, job({ step(1) }));
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
         for (const std::string& id : others)
             CHECK(cluster.witness.workersEndedBy(id, { 0, 0, 0 }) <= maxCrashesAllowed);
     }
@@ -515,7 +515,7 @@
             cluster.workers.crash(others[static_cast<std::size_t>(round) % others.size()], Millis(1'000));
         cluster.clock.runFor(Millis(500));
     }
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
 // Guards against failing a task for starts that were sent to workers that had already crashed.
--- a/tests/jobs/crash_attribution_test.cpp
+++ b/tests/jobs/crash_attribution_test.cpp
@@ -29,10 +29,10 @@
     CrashAttributor attributor({}, begin);
     LostAttempt adopted = lostAttempt(3, std::nullopt);
     adopted.isAdopted = true;
-    const CrashVerdict verdict = attributor.attribute({ lostAttempt(1, Millis(0)), lostAttempt(2, Millis(17'000)), adopted, lostAttempt(4, std::nullopt) }, fleet, later);
-    REQUIRE(verdict.suspects.size() == 1);
-    CHECK(verdict.suspects.front().attempt.job == jobId(1));
-    CHECK_FALSE(verdict.failed);
+    const CrashAttribution attribution = attributor.attribute({ lostAttempt(1, Millis(0)), lostAttempt(2, Millis(17'000)), adopted, lostAttempt(4, std::nullopt) }, fleet, later);
+    REQUIRE(attribution.suspects.size() == 1);
+    CHECK(attribution.suspects.front().attempt.job == jobId(1));
+    CHECK_FALSE(attribution.failed);
 }
 
 TEST_CASE("An unacknowledged start is suspect only if no acknowledged one is")
@@ -113,7 +113,7 @@
 }
 
 // Guards against attributing a crash before the answer to a start to an innocent start beside it, so that it is not counted.
-TEST_CASE("A task to be isolated prefers a fuller worker without young attempts")
+TEST_CASE("A task to be isolated prefers a fuller worker without recent starts")
 {
     std::vector<WorkerEntry> workers(2);
     std::vector<PlacementSite> sites;
@@ -189,10 +189,10 @@
     LostAttempt lost = lostAttempt(1, std::nullopt);
     for (std::uint32_t crashes = 0; crashes < 3 * maxCrashes; ++crashes) {
         lost.before = { .confirmed = minConfirmedCrashes - 1, .unconfirmed = crashes };
-        const CrashVerdict verdict = attributor.attribute({ lost }, fleet, later);
-        REQUIRE(verdict.suspects.size() == 1);
-        CHECK(crashesAfter(verdict.suspects.front()).unconfirmed == crashes + 1);
-        CHECK_FALSE(verdict.failed);
+        const CrashAttribution attribution = attributor.attribute({ lost }, fleet, later);
+        REQUIRE(attribution.suspects.size() == 1);
+        CHECK(crashesAfter(attribution.suspects.front()).unconfirmed == crashes + 1);
+        CHECK_FALSE(attribution.failed);
     }
     CHECK_FALSE(isExhausted({ .confirmed = minConfirmedCrashes - 1, .unconfirmed = maxCrashes }, maxCrashes, true));
     CHECK(isExhausted({ .confirmed = minConfirmedCrashes, .unconfirmed = maxCrashes - minConfirmedCrashes }, 0, false));
--- a/tests/jobs/evacuation_moves_test.cpp
+++ b/tests/jobs/evacuation_moves_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("An instance of an evacuated data hall goes off once it was empty for a while")
+TEST_CASE("An instance of an evacuated data hall is powered off once it has been empty for a while")
 {
     EvacuationMoves moves;
     const std::vector<EmptiedInstance> emptied { { "a", "main" }, { "b", "side" } };
@@ -26,7 +26,7 @@
     CHECK(moves.next(emptied, "off", many, start + Millis(1'200)) == expected);
 }
 
-TEST_CASE("An instance that had work in between waits anew, and so does one whose data hall serves again")
+TEST_CASE("The wait restarts for an instance that had work in between, and for one whose data hall serves again")
 {
     EvacuationMoves moves;
     const std::vector<EmptiedInstance> emptied { { "a", "main" } };
@@ -36,7 +36,7 @@
     CHECK(moves.next(emptied, "off", many, start + Millis(2'500)).size() == 1);
 }
 
-TEST_CASE("Instances go off as far as the acts that are left reach, and a move that failed is tried again after a pause")
+TEST_CASE("Instances are powered off within the remaining calls, and a failed move is retried after a pause")
 {
     EvacuationMoves moves;
     const std::vector<EmptiedInstance> emptied { { "a", "main" }, { "b", "main" } };
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -17,8 +17,8 @@
 constexpr MonotonicInstant start { Millis(1'000'000) };
 
 /// A detector with answers from two data halls of eight workers each, `a-0` to `b-7`.
-struct HeardHalls {
-    explicit HeardHalls(const FailureDomainOptions& options = {})
+struct KnownHalls {
+    explicit KnownHalls(const FailureDomainOptions& options = {})
         : detector(options)
     {
         for (int i = 0; i < 8; ++i) {
@@ -48,7 +48,7 @@
 
 TEST_CASE("A data hall is lost once more than half of its workers stop answering within a second while another one answers")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 4, start + Millis(100));
     halls.answer("b", 0, 1, start + Millis(150));
     CHECK(halls.detector.update(start + Millis(200)) == HallFindings {});
@@ -61,22 +61,22 @@
     CHECK(halls.detector.admits("b-0"));
     const FailureDomainStatus status = halls.detector.status(start + Millis(300));
     CHECK(status.find("a")->state == FailureDomainState::Lost);
-    CHECK(status.find("a")->silent == 5);
+    CHECK(status.find("a")->unresponsive == 5);
     CHECK(status.serves("b"));
 }
 
-TEST_CASE("Workers that stop one by one, few workers, and those whose end was planned lose no data hall")
+TEST_CASE("Workers that stop one by one, few workers, and planned ends do not count as the loss of a data hall")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     for (int i = 0; i < 8; ++i) {
         const MonotonicInstant at = start + Millis(400 * i);
         halls.stop("a", i, i + 1, at);
         halls.answer("b", 0, 1, at + Millis(10));
         CHECK(halls.detector.update(at + Millis(20)).changes.empty());
     }
-    HeardHalls planned;
+    KnownHalls planned;
     for (int i = 0; i < 8; ++i)
-        planned.detector.noteGone(HeardHalls::name("a", i));
+        planned.detector.noteGone(KnownHalls::name("a", i));
     planned.answer("b", 0, 1, start + Millis(10));
     CHECK(planned.detector.update(start + Millis(20)).changes.empty());
     HallLossDetector small;
@@ -92,7 +92,7 @@
 /// Guards against an owner that was frozen or partitioned itself and declares all data halls lost.
 TEST_CASE("No data hall is lost while no other one answers")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 8, start + Millis(2'000));
     CHECK(halls.detector.update(start + Millis(2'000)).changes.empty());
     halls.stop("b", 0, 8, start + Millis(2'000));
@@ -100,16 +100,16 @@
     CHECK(halls.detector.status(start + Millis(2'000)).serves("a"));
 }
 
-TEST_CASE("A lost data hall is taken back in quarters while its workers answer, and then whole")
+TEST_CASE("A lost data hall is readmitted in quarters while its workers answer, and then whole")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 8, start + Millis(100), true);
     halls.answer("b", 0, 1, start + Millis(110));
     REQUIRE(halls.detector.update(start + Millis(120)).changes.size() == 1);
     MonotonicInstant now = start + Millis(2'000);
     CHECK(halls.detector.update(now) == HallFindings {});
     for (int i = 0; i < 8; ++i)
-        CHECK_FALSE(halls.detector.noteAnswer("a", HeardHalls::name("new", i), now));
+        CHECK_FALSE(halls.detector.noteAnswer("a", KnownHalls::name("new", i), now));
     CHECK(halls.detector.update(now).admitted.size() == 2);
     CHECK(halls.detector.update(now + Millis(200)).admitted.empty());
     CHECK(halls.detector.update(now + Millis(250)).admitted.size() == 2);
@@ -122,9 +122,9 @@
 }
 
 /// Guards against a data hall that stays lost because its only remaining instances are off and none returns.
-TEST_CASE("A data hall of which nothing returns is judged by its workers again after a while")
+TEST_CASE("A data hall of which no worker returns counts as back after a while")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 8, start + Millis(100), true);
     halls.answer("b", 0, 1, start + Millis(110));
     REQUIRE(halls.detector.update(start + Millis(120)).changes.size() == 1);
@@ -135,9 +135,9 @@
 }
 
 /// Guards against workers whose missing answers are not noticed yet when their data hall is declared lost.
-TEST_CASE("Workers of a lost data hall that seem to answer are taken back only after all others have been missed")
+TEST_CASE("Workers of a lost data hall that seem to answer are readmitted only after the missing answers of all others were noticed")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 5, start + Millis(100));
     halls.answer("b", 0, 1, start + Millis(110));
     REQUIRE(halls.detector.update(start + Millis(120)).changes.size() == 1);
@@ -149,9 +149,9 @@
     CHECK(halls.detector.update(start + Millis(6'300)).changes.size() == 1);
 }
 
-TEST_CASE("A data hall that is lost again while it is taken back starts anew")
+TEST_CASE("A data hall that is lost again during its readmission starts over")
 {
-    HeardHalls halls;
+    KnownHalls halls;
     halls.stop("a", 0, 8, start + Millis(100));
     halls.answer("b", 0, 1, start + Millis(110));
     REQUIRE(halls.detector.update(start + Millis(120)).changes.size() == 1);
@@ -166,7 +166,7 @@
 
 TEST_CASE("Without the policy no data hall is lost")
 {
-    HeardHalls halls({ .enabled = false });
+    KnownHalls halls({ .enabled = false });
     halls.stop("a", 0, 8, start + Millis(100));
     halls.answer("b", 0, 1, start + Millis(110));
     CHECK(halls.detector.update(start + Millis(120)).changes.empty());
@@ -239,7 +239,7 @@
 
 } // namespace
 
-TEST_CASE("The power of a data hall fails and returns: every job ends, and no promise is broken")
+TEST_CASE("A data hall loses its power and returns: every job ends, and no guarantee is broken")
 {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         CAPTURE(seed);
@@ -259,7 +259,7 @@
 }
 
 /// Guards against an empty data hall that attracts all tasks on its return and loses them again.
-TEST_CASE("A data hall whose power comes and goes gets a part of the work at a time")
+TEST_CASE("A data hall with unstable power gets its tasks back in batches")
 {
     ThreeHalls cluster(1);
     cluster.workers.losePower("hall-a", Millis(5'000));
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -67,25 +67,25 @@
 }
 
 /// A plan inspects each instance a few times for each pool that could get it; 100,000 inspections fit into a tenth of a second.
-constexpr std::uint64_t mostLooksAnInstance = 20;
+constexpr std::uint64_t maxInspectionsPerInstance = 20;
 
 } // namespace
 
-TEST_CASE("Moving hundreds of idle instances looks at each of them a few times")
+TEST_CASE("Moving hundreds of idle instances inspects each of them a few times")
 {
     const TurnPlan turn = planTurn(110, 220, Use::Idle);
     CHECK(turn.step.moves.size() > largeFleet / 2);
-    CHECK(turn.inspected <= mostLooksAnInstance * largeFleet);
+    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
-TEST_CASE("Emptying hundreds of busy instances looks at each of them a few times")
+TEST_CASE("Draining hundreds of busy instances inspects each of them a few times")
 {
     const TurnPlan turn = planTurn(55, 20, Use::Busy);
     CHECK(turn.step.drains.size() > largeFleet / 10);
-    CHECK(turn.inspected <= mostLooksAnInstance * largeFleet);
+    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
-TEST_CASE("Work that waits for room is not looked at worker by worker in each pass")
+TEST_CASE("Work that waits for room is not checked against each worker in each pass")
 {
     constexpr std::size_t instances = 40;
     constexpr std::size_t waitingJobs = 200;
@@ -109,7 +109,7 @@
 /// response carries about 500 changes: with half a second between two requests, the cache of every instance that is not the owner
 /// falls behind at more than 1,000 changes per second. The responses had 500 to 510 changes, and the last change of each was at
 /// the revision where the next watch was to resume.
-TEST_CASE("A copy of the store keeps up with changes that come faster than one answer of a watch brings them")
+TEST_CASE("A watch cache keeps up with changes that come faster than one watch response carries them")
 {
     SmallCluster cluster(1, 3, 40, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(200); };
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -42,7 +42,7 @@
     static_cast<void>(plan.next(idlePools(true), start));
     REQUIRE(!plan.next(idlePools(true), start + observation).moves.empty());
     const MonotonicInstant back = start + Millis(8'000);
-    plan.observeAnew(back);
+    plan.restartObservation(back);
     CHECK(plan.next(idlePools(false), back + Millis(10'000)).moves.empty());
     CHECK(plan.next(idlePools(true), back + Millis(11'000)).moves.empty());
     CHECK(plan.next(idlePools(true), back + Millis(11'000) + observation - Millis(1)).moves.empty());
--- a/tests/jobs/organisation_share_test.cpp
+++ b/tests/jobs/organisation_share_test.cpp
@@ -56,7 +56,7 @@
     CHECK(shares[1].share == Approx(0.8));
 }
 
-TEST_CASE("Shares of any demands fit into the pool, cover no more than is asked for, and leave nothing that somebody asks for")
+TEST_CASE("Shares of any demands fit into the pool, cover no more than is asked for, and leave no requested capacity unused")
 {
     CHECK(rc::check([] {
         const std::vector<OrganisationDemand> demands = anyDemands();
@@ -81,7 +81,7 @@
     }));
 }
 
-TEST_CASE("Nobody starts beyond its share while another one with waiting work is below its own")
+TEST_CASE("No organisation starts a task beyond its share while another one with waiting work is below its own")
 {
     CHECK(rc::check([] {
         std::vector<OrganisationDemand> demands(static_cast<std::size_t>(*rc::gen::inRange(2, 8)));
@@ -90,7 +90,7 @@
         PoolShares shares(demands, pool);
         std::int64_t free = 100;
         while (free > 0) {
-            const auto next = std::find_if(demands.begin(), demands.end(), [&](const OrganisationDemand& demand) { return demand.waiting.milliCpu > 0 && !shares.isBeyond(demand.organisation); });
+            const auto next = std::find_if(demands.begin(), demands.end(), [&](const OrganisationDemand& demand) { return demand.waiting.milliCpu > 0 && !shares.hasReachedShare(demand.organisation); });
             if (next == demands.end())
                 break;
             next->waiting.milliCpu -= 1'000;
@@ -112,12 +112,12 @@
     std::int64_t heldMillis = 0;
     for (Millis at(0); at < Millis(9'000); at += Millis(10)) {
         deficits.note("p", "wide", true, begin + at);
-        heldMillis += deficits.holdsOthersBack("p", begin + at) ? 10 : 0;
+        heldMillis += deficits.blocksOthers("p", begin + at) ? 10 : 0;
         if (at < ShareDeficits::starvedAfter)
             CHECK(heldMillis == 0);
     }
     CHECK(heldMillis == 4'000); // Two claims of 2 s each.
-    CHECK_FALSE(deficits.holdsOthersBack("other", begin + Millis(1'000)));
+    CHECK_FALSE(deficits.blocksOthers("other", begin + Millis(1'000)));
     deficits.note("p", "wide", false, begin + Millis(9'000));
-    CHECK_FALSE(deficits.holdsOthersBack("p", begin + Millis(9'000)));
+    CHECK_FALSE(deficits.blocksOthers("p", begin + Millis(9'000)));
 }
--- a/tests/jobs/placement_test.cpp
+++ b/tests/jobs/placement_test.cpp
@@ -40,7 +40,7 @@
         pool.workers.push_back({ .id = name("w", i), .address = {}, .pool = "main", .dataHall = name("h", anyOf(3)), .capacity = {}, .labels = { name("k", anyOf(2)), rack }, .rack = rack, .draining = anyOf(8) == 0 });
     }
     for (const WorkerEntry& worker : pool.workers) {
-        pool.sites.push_back({ .worker = &worker, .free = { .milliCpu = (anyOf(12) - 1) * unit, .memoryMb = anyOf(6) * unit }, .servingTasks = anyOf(3) == 0 ? 1U : 0U, .open = anyOf(8) != 0, .preferred = anyOf(8) != 0, .keptFor = anyOf(8) == 0 ? "k0" : "", .wanted = static_cast<std::uint32_t>(anyOf(3)), .distrusted = anyOf(5) == 0 });
+        pool.sites.push_back({ .worker = &worker, .free = { .milliCpu = (anyOf(12) - 1) * unit, .memoryMb = anyOf(6) * unit }, .servingTasks = anyOf(3) == 0 ? 1U : 0U, .open = anyOf(8) != 0, .preferred = anyOf(8) != 0, .keptFor = anyOf(8) == 0 ? "k0" : "", .labelDemand = static_cast<std::uint32_t>(anyOf(3)), .distrusted = anyOf(5) == 0 });
         if (anyOf(6) == 0)
             pool.sites.back().startsLeft = static_cast<std::uint32_t>(anyOf(3));
     }
@@ -92,7 +92,7 @@
             continue;
         const bool mixes = (step.bestEffort && site.servingTasks > 0) || (step.latencyTarget.count() > 0 && site.bestEffortTasks > 0);
         // Tasks are not spread over the data halls of distrusted sites.
-        const Rank rank { site.distrusted, site.worker->id == query.avoidWorker, !site.preferred, isFar, mixes, step.requiredLabel.empty() ? site.wanted : 0, site.distrusted ? std::pair(0U, std::string()) : hallRank(site.worker->dataHall), step.bestEffort ? std::int64_t { site.bestEffortTasks } : site.free.milliCpu, i };
+        const Rank rank { site.distrusted, site.worker->id == query.avoidWorker, !site.preferred, isFar, mixes, step.requiredLabel.empty() ? site.labelDemand : 0, site.distrusted ? std::pair(0U, std::string()) : hallRank(site.worker->dataHall), step.bestEffort ? std::int64_t { site.bestEffortTasks } : site.free.milliCpu, i };
         if (!best || rank < *best)
             best = rank;
     }
@@ -101,13 +101,13 @@
 
 } // namespace
 
-TEST_CASE("Placement chooses as a look at each site would, whatever was booked and released before")
+TEST_CASE("Placement chooses as an inspection of each site would, regardless of earlier reservations and releases")
 {
     constexpr int choices = 30;
     REQUIRE(rc::check([] {
         const Pool pool = anyPool();
         Placer placer(pool.sites);
-        std::vector<std::pair<std::size_t, StepSpec>> booked;
+        std::vector<std::pair<std::size_t, StepSpec>> reserved;
         for (int i = 0; i < choices; ++i) {
             const StepSpec step = anyStep();
             PlacementQuery query = anyQuery(pool.sites.size());
@@ -118,18 +118,18 @@
             RC_ASSERT(placer.choose(step, query) == expected);
             if (expected) {
                 placer.book(*expected, step);
-                booked.emplace_back(*expected, step);
+                reserved.emplace_back(*expected, step);
             }
-            if (!booked.empty() && anyOf(5) == 0) {
-                placer.release(booked.back().first, booked.back().second);
-                booked.pop_back();
+            if (!reserved.empty() && anyOf(5) == 0) {
+                placer.release(reserved.back().first, reserved.back().second);
+                reserved.pop_back();
             }
         }
     }));
 }
 
 /// Guards against inspecting the empty sites of workers that do not answer for each task that is placed elsewhere.
-TEST_CASE("Distrusted sites come last, cost no look while others have room, and take as many tasks as they may")
+TEST_CASE("Distrusted sites come last, are not inspected while others have room, and take only as many tasks as allowed")
 {
     constexpr std::size_t count = 100;
     std::vector<WorkerEntry> workers(count + 1);
@@ -152,16 +152,16 @@
     CHECK(placer.choose(small, {}) == 0U);
 }
 
-TEST_CASE("A task that found no room costs no look at the sites again, until one has more")
+TEST_CASE("A task that found no room causes no further site inspection until a site has more room")
 {
     const WorkerEntry worker { .id = "w", .address = {}, .pool = "main", .dataHall = {}, .capacity = {}, .labels = {}, .rack = {} };
     Placer placer({ { .worker = &worker, .free = { .milliCpu = 1'000, .memoryMb = 100 } } });
     StepSpec large = step(1);
     large.needs.memoryMb = 200;
     REQUIRE_FALSE(placer.choose(large, {}).has_value());
-    const std::uint64_t looks = placer.inspected();
+    const std::uint64_t inspections = placer.inspected();
     CHECK_FALSE(placer.choose(large, {}).has_value());
-    CHECK(placer.inspected() == looks);
+    CHECK(placer.inspected() == inspections);
     CHECK(placer.choose(step(1), {}) == 0U);
     StepSpec freed = step(1);
     freed.needs = { .milliCpu = 0, .memoryMb = 100 };
@@ -216,9 +216,9 @@
 }
 
 /// Guards against a spread that inspects each worker.
-TEST_CASE("The spread of a step over data halls costs as many looks on a large fleet as on a small one")
+TEST_CASE("Spreading a step over data halls costs as many inspections on a large fleet as on a small one")
 {
-    const auto looksFor = [](std::size_t instances) {
+    const auto inspectionsFor = [](std::size_t instances) {
         const HallPool pool(instances);
         Placer placer(pool.sites);
         std::map<std::string, std::uint32_t> byHall;
@@ -229,6 +229,6 @@
         }
         return placer.inspected();
     };
-    CHECK(looksFor(900) == looksFor(60));
-    CHECK(looksFor(900) <= 24 * 3);
+    CHECK(inspectionsFor(900) == inspectionsFor(60));
+    CHECK(inspectionsFor(900) <= 24 * 3);
 }
--- a/tests/jobs/plan_test.cpp
+++ b/tests/jobs/plan_test.cpp
@@ -53,7 +53,7 @@
 
 CapacityOptions exact()
 {
-    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0) };
+    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .maxIdleStart = Millis(0) };
 }
 
 std::size_t movesTo(const std::vector<CapacityMove>& moves, const std::string& pool)
@@ -115,7 +115,7 @@
     CHECK(plan.isShort());
 }
 
-TEST_CASE("Idle instances are switched off after a while, but not below what must be spread")
+TEST_CASE("Idle instances are powered off after a while, but not below the spread requirement")
 {
     CapacityPlan plan(exact());
     PoolLoad spread = pool("a", 8, 0, 8);
@@ -127,21 +127,21 @@
     CHECK(plan.next({ fresh, reserve(0) }, start + Millis(500)).moves.empty());
 }
 
-TEST_CASE("A pool without instances has a target, and one that was watched too short keeps its own")
+TEST_CASE("A pool without instances has a target, and one observed too briefly keeps its instances")
 {
     // Guards against a pool that was emptied and never gets an instance again (seen on prc-montevideo quiet-1).
     CapacityPlan plan(exact());
     CHECK(movesTo(plan.next({ pool("a", 0, 30, 0), reserve(9) }, start).moves, "a") == 3);
-    CapacityPlan young(CapacityOptions {});
+    CapacityPlan quietPlan(CapacityOptions {});
     PoolLoad quiet = pool("a", 8, 0, 8);
-    CHECK(young.next({ quiet, reserve(0) }, start).moves.empty());
+    CHECK(quietPlan.next({ quiet, reserve(0) }, start).moves.empty());
     // Guards against pools that are powered off before the first job arrives (seen on tellelag-drift-grown quiet-1).
-    CHECK(young.next({ quiet, reserve(0) }, start + Millis(14'000)).moves.empty());
+    CHECK(quietPlan.next({ quiet, reserve(0) }, start + Millis(14'000)).moves.empty());
     PoolLoad busy = quiet;
     busy.hasArrivals = true;
-    CHECK(young.next({ busy, reserve(0) }, start + Millis(14'000)).moves.empty());
-    CHECK(young.next({ quiet, reserve(0) }, start + Millis(16'900)).moves.empty());
-    CHECK_FALSE(young.next({ quiet, reserve(0) }, start + Millis(17'000)).moves.empty());
+    CHECK(quietPlan.next({ busy, reserve(0) }, start + Millis(14'000)).moves.empty());
+    CHECK(quietPlan.next({ quiet, reserve(0) }, start + Millis(16'900)).moves.empty());
+    CHECK_FALSE(quietPlan.next({ quiet, reserve(0) }, start + Millis(17'000)).moves.empty());
     CapacityPlan idle(CapacityOptions {});
     CHECK(idle.next({ quiet, reserve(0) }, start).moves.empty());
     CHECK_FALSE(idle.next({ quiet, reserve(0) }, start + Millis(60'000)).moves.empty());
@@ -154,7 +154,7 @@
     CHECK(plan.next({ pool("needy", 1, 50, 0), reserve(3) }, start).moves.empty());
 }
 
-TEST_CASE("Maintenance takes what is off first, never more than may be down, and then the emptiest")
+TEST_CASE("Maintenance takes instances that are off first, then the emptiest, and never exceeds the limit of instances down")
 {
     MaintenancePlan plan({ .number = 1, .instances = { "a", "b", "c", "d" }, .duration = Millis(60'000), .mostAtOnce = 2 }, {}, start);
     const std::vector<MaintenanceCandidate> fleet {
@@ -165,16 +165,16 @@
     };
     const MaintenanceStep first = plan.next(fleet, false, start);
     CHECK(first.maintain == std::vector<std::string> { "c", "d" });
-    plan.noteOrdered("c");
-    plan.noteOrdered("d");
+    plan.noteRequested("c");
+    plan.noteRequested("d");
     CHECK(plan.next(fleet, false, start).maintain.empty());
-    plan.noteBegun("c", start + Millis(2'000));
+    plan.noteAccepted("c", start + Millis(2'000));
     plan.noteRefused("d", start + Millis(500));
     CHECK(plan.next(fleet, false, start).maintain == std::vector<std::string> { "b" });
-    plan.noteBegun("b", start + Millis(2'000));
+    plan.noteAccepted("b", start + Millis(2'000));
     CHECK(plan.next(fleet, false, start + Millis(1'000)).maintain.empty());
     CHECK(plan.next(fleet, false, start + Millis(2'000)).maintain == std::vector<std::string> { "d" });
-    plan.noteBegun("d", start);
+    plan.noteAccepted("d", start);
     CHECK_FALSE(plan.isFinished());
     plan.noteGone("a");
     CHECK(plan.isFinished());
@@ -212,7 +212,7 @@
     CHECK(plan.next(fleet, true, start + Millis(60'000)).maintain.size() == 4);
 }
 
-TEST_CASE("Best-effort tasks are cut soon and get their speed back slowly")
+TEST_CASE("Best-effort tasks are throttled soon and restored slowly")
 {
     Throttle throttle;
     CHECK(throttle.update(0.5, start) == 100);
--- a/tests/jobs/reachability_test.cpp
+++ b/tests/jobs/reachability_test.cpp
@@ -146,9 +146,9 @@
     REQUIRE(change);
     CHECK(change->evidence == std::vector<std::string> { "w0", "w1" });
     CHECK(change->evidenceSince == now);
-    CHECK(table.table.rank("r", table.hall, now) == PathRank::Cut);
+    CHECK(table.table.rank("r", table.hall, now) == PathRank::Unreachable);
     // Another path from there is probably cut too; one in the workers' own data hall is not.
-    CHECK(table.table.rank("s", table.hall, now) == PathRank::LikelyCut);
+    CHECK(table.table.rank("s", table.hall, now) == PathRank::LikelyUnreachable);
     CHECK(table.table.snapshot(now).isUnreachable("hall-a"));
     CHECK_FALSE(table.table.snapshot(now).isUnreachable("hall-b"));
 }
@@ -205,7 +205,7 @@
     REQUIRE(back);
     CHECK(back->to == PathState::Reachable);
     CHECK(table.table.rank("r", table.hall, now + Millis(5'000)) == PathRank::MayReach);
-    CHECK_FALSE(table.table.hasCut(table.hall));
+    CHECK_FALSE(table.table.hasUnreachablePath(table.hall));
     CHECK_FALSE(table.table.takeRetry(table.hall, now + Millis(9'000)));
 }
 
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -56,7 +56,7 @@
 
 CapacityOptions exact()
 {
-    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0), .leastInstances = 0 };
+    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .maxIdleStart = Millis(0), .leastInstances = 0 };
 }
 
 std::int64_t used(const PoolLoad& pool, const std::string& label)
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -37,7 +37,7 @@
 
 CapacityOptions exact()
 {
-    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0) };
+    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .maxIdleStart = Millis(0) };
 }
 
 /// Jobs of four tasks, each of one core and half a second, arrive evenly.
@@ -57,7 +57,7 @@
     CHECK(forecast.milliCpu("work", start + Millis(700)) >= 400'000);
 }
 
-TEST_CASE("A rise is taken to go on while instances are on their way, within bounds")
+TEST_CASE("A rise is extrapolated while instances are moving, within bounds")
 {
     LoadForecast forecast;
     arrive(forecast, 20, start, Millis(350));
@@ -67,7 +67,7 @@
     CHECK(forecast.milliCpu("work", start + Millis(700)) < 3 * rate);
 }
 
-TEST_CASE("An even load, and one of few arrivals, is not taken for a rise")
+TEST_CASE("An even load, and one of few arrivals, is not treated as a rise")
 {
     LoadForecast even;
     arrive(even, 140, start, Millis(700));
@@ -78,7 +78,7 @@
     CHECK(few.milliCpu("work", start + Millis(700)) <= 8 * 2'000 * 1'000 / 700);
 }
 
-TEST_CASE("A backlog that ends late whatever is done keeps no instances from jobs that can make it")
+TEST_CASE("A backlog that ends late in any case keeps no instances from jobs that can end in time")
 {
     CapacityPlan plan(exact());
     const RequirementLoad late { .demandMilliCpu = 20'000, .backlogMilliCpu = 900'000, .backlogWaits = true };
@@ -92,7 +92,7 @@
     CHECK(step.drains.front().instance == "late0");
 }
 
-TEST_CASE("A backlog gets instances that nobody else asks for, once they were idle for a while")
+TEST_CASE("A backlog gets instances that no other job asks for, once they have been idle for a while")
 {
     CapacityPlan plan(exact());
     const RequirementLoad late { .demandMilliCpu = 20'000, .backlogMilliCpu = 50'000, .backlogWaits = true };
@@ -104,7 +104,7 @@
     CHECK(sooner.next({ busyPool("late", 2, late), busyPool("quiet", 8, quiet, 6, start - Millis(100)) }, start).moves.empty());
 }
 
-TEST_CASE("A pool whose jobs wait in vain does not slow a wave down")
+TEST_CASE("A pool whose waiting jobs end late in any case does not slow a wave down")
 {
     CapacityPlan plan(exact());
     static_cast<void>(plan.next({ busyPool("late", 4, { .demandMilliCpu = 20'000, .backlogMilliCpu = 900'000, .backlogWaits = true }) }, start));
@@ -123,12 +123,12 @@
     }
     MaintenancePlan plan(wave, {}, start);
     for (int i = 0; i < 20; ++i)
-        plan.noteBegun("m" + std::to_string(i), start + Millis(2'150));
+        plan.noteAccepted("m" + std::to_string(i), start + Millis(2'150));
     // 52 left in 15.6 s at 5 s each: 17 at once, and 20 are down.
     CHECK(plan.next(fleet, true, start).evacuate.size() == 1);
 }
 
-TEST_CASE("A job that has not begun and can't make it any more comes after one that can; one that has begun goes on")
+TEST_CASE("A job that has not started and cannot end in time comes after one that can; one that has started goes on")
 {
     SmallCluster cluster(3, 1, 1, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
--- a/tests/jobs/whole_fleet_test.cpp
+++ b/tests/jobs/whole_fleet_test.cpp
@@ -118,7 +118,7 @@
     CHECK(plan.next(idleFleet(), begin + Millis(61'000)).moves.size() > 1'900);
 }
 // Guards against thousands of calls that the platform refuses, each after its instance was emptied.
-TEST_CASE("A plan makes no more acts than the platform takes, those for short pools first")
+TEST_CASE("A plan has no more moves and drains than the platform accepts, those for short pools first")
 {
     CapacityPlan plan;
     static_cast<void>(plan.next(ampleFleet(100, 100), begin));
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -3,7 +3,7 @@
 #include "lanemoor/jobs/model/service_configuration.h"
 #include "lanemoor/jobs/policy/ejection_bound.h"
 #include "lanemoor/jobs/policy/run_time_ranks.h"
-#include "lanemoor/jobs/policy/start_answers.h"
+#include "lanemoor/jobs/policy/unacknowledged_starts.h"
 #include "lanemoor/jobs/policy/worker_health.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +17,7 @@
 const WorkerHealthOptions options;
 
 /// Ejects a worker if the evidence requires it.
-bool ejectIfIll(WorkerHealth& health, MonotonicInstant now)
+bool ejectIfFaulty(WorkerHealth& health, MonotonicInstant now)
 {
     const HealthFault fault = health.fault(now);
     if (fault != HealthFault::None)
@@ -39,7 +39,7 @@
 
     [[nodiscard]] EjectionCandidate candidate(std::size_t index, HealthFault fault, double score = 1) const { return { .member = members[index], .fault = fault, .score = score }; }
 
-    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const LeastInstances& least = {}) const { return EjectionBound(options, members, least).choose(candidates); }
+    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& least = {}) const { return EjectionBound(options, members, least).choose(candidates); }
 
     std::vector<WorkerEntry> workers;
     std::vector<EjectionMember> members;
@@ -47,26 +47,26 @@
 
 } // namespace
 
-TEST_CASE("A worker that fails the work of several jobs in a row is left out, and tried again")
+TEST_CASE("A worker that fails tasks of several jobs in a row is ejected, and probed again")
 {
     WorkerHealth health;
     health.noteFailure("a", start);
     health.noteFailure("a", start);
     health.noteFailure("a", start);
-    CHECK_FALSE(ejectIfIll(health, start));
+    CHECK_FALSE(ejectIfFaulty(health, start));
     health.noteFailure("b", start);
-    CHECK(ejectIfIll(health, start));
+    CHECK(ejectIfFaulty(health, start));
     CHECK(health.isEjected(start));
     CHECK_FALSE(health.isEjected(start + Millis(2'000)));
     CHECK(health.isProbing(start + Millis(2'000)));
     health.noteFailure("a", start + Millis(2'000));
-    CHECK(ejectIfIll(health, start + Millis(2'000)));
+    CHECK(ejectIfFaulty(health, start + Millis(2'000)));
     CHECK(health.isEjected(start + Millis(5'900)));
     health.noteSuccess(start + Millis(7'000));
     CHECK_FALSE(health.isOut(start + Millis(7'000)));
 }
 
-TEST_CASE("A mute worker is left out after four calls, and taken back once a start is answered")
+TEST_CASE("An unresponsive worker is ejected after four calls, and readmitted once a start is answered")
 {
     WorkerHealth health;
     for (int i = 0; i < 3; ++i)
@@ -74,7 +74,7 @@
     CHECK(health.fault(start) == HealthFault::None);
     health.noteUnanswered(start);
     CHECK(health.fault(start) == HealthFault::Unanswered);
-    REQUIRE(ejectIfIll(health, start));
+    REQUIRE(ejectIfFaulty(health, start));
     CHECK(health.report(start).evidence == WorkerEvidence { .calls = 4, .unanswered = 4 });
     health.noteStartAnswered(start + Millis(1'000)); // Answer to an earlier start.
     CHECK(health.isEjected(start + Millis(1'000)));
@@ -82,7 +82,7 @@
     CHECK_FALSE(health.isOut(start + Millis(2'100)));
 }
 
-TEST_CASE("Answers that were reset once or came late don't leave a worker out")
+TEST_CASE("Calls that were reset once or answered late do not eject a worker")
 {
     WorkerHealth health;
     for (int i = 0; i < 20; ++i)
@@ -101,7 +101,7 @@
     CHECK(health.fault(start + Millis(12'000)) == HealthFault::None);
 }
 
-TEST_CASE("A worker that is slow by 8 is left out, its peers and one late task are not")
+TEST_CASE("A worker that is slower by a factor of 8 is ejected, its peers and a worker with one late task are not")
 {
     RunTimeRanks ranks;
     WorkerHealth slow;
@@ -122,7 +122,7 @@
 }
 
 /// Guards against scoring a worker that has become slow by its many ends of the seconds before.
-TEST_CASE("A worker that has become slow is left out after some late ends in a row")
+TEST_CASE("A worker that has become slow is ejected after several late ends in a row")
 {
     WorkerHealth health;
     for (int i = 0; i < 60; ++i)
@@ -135,7 +135,7 @@
     CHECK(health.fault(start + Millis(4'000)) == HealthFault::Slow);
 }
 
-TEST_CASE("A worker of whose ends each tenth is late stays in service")
+TEST_CASE("A worker with every tenth end late stays in service")
 {
     WorkerHealth health;
     for (int i = 0; i < 200; ++i) {
@@ -152,22 +152,22 @@
         failing.noteFailure(job, start);
     }
     CHECK(failing.fault(start) == HealthFault::Failures);
-    WorkerHealth mute;
+    WorkerHealth unresponsive;
     for (int i = 0; i < 6; ++i) {
-        mute.noteUnanswered(start);
-        mute.noteSuccess(start);
+        unresponsive.noteUnanswered(start);
+        unresponsive.noteSuccess(start);
     }
-    CHECK(mute.fault(start) == HealthFault::Unanswered);
+    CHECK(unresponsive.fault(start) == HealthFault::Unanswered);
 }
 
-TEST_CASE("A worker that fails with the period of its backoff is left out ever longer, up to 16 s")
+TEST_CASE("A worker that fails with the period of its backoff gets longer and longer ejections, up to 16 s")
 {
     WorkerHealth health;
     MonotonicInstant now = start;
     for (const int seconds : { 2, 4, 8, 16, 16 }) {
         for (int i = 0; i < 4; ++i)
             health.noteUnanswered(now);
-        REQUIRE(ejectIfIll(health, now));
+        REQUIRE(ejectIfFaulty(health, now));
         now += std::chrono::seconds(seconds);
         CHECK(health.isEjected(now - Millis(1)));
         CHECK(health.isProbing(now));
@@ -177,29 +177,29 @@
     now += Millis(20'000);
     for (int i = 0; i < 4; ++i)
         health.noteUnanswered(now);
-    REQUIRE(ejectIfIll(health, now));
+    REQUIRE(ejectIfFaulty(health, now));
     CHECK(health.isProbing(now + Millis(2'000)));
 }
 
-TEST_CASE("A probing worker is left out by one failure, and is back in service without one after a while")
+TEST_CASE("A probing worker is ejected by one failure, and is back in service after a while without one")
 {
     WorkerHealth health;
     for (int i = 0; i < 4; ++i)
         health.noteUnanswered(start);
-    REQUIRE(ejectIfIll(health, start));
+    REQUIRE(ejectIfFaulty(health, start));
     health.noteUnanswered(start + Millis(2'500));
     CHECK(health.fault(start + Millis(2'500)) == HealthFault::Unanswered);
-    REQUIRE(ejectIfIll(health, start + Millis(2'500)));
+    REQUIRE(ejectIfFaulty(health, start + Millis(2'500)));
     CHECK(health.isProbing(start + Millis(7'000)));
     CHECK_FALSE(health.isOut(start + Millis(17'000)));
 }
 
-TEST_CASE("A worker that leaves earlier stops unanswered is not left out ever longer without a probe")
+TEST_CASE("A worker that does not answer earlier stops gets no longer ejections without a probe")
 {
     WorkerHealth health;
     for (int i = 0; i < 4; ++i)
         health.noteUnanswered(start);
-    REQUIRE(ejectIfIll(health, start));
+    REQUIRE(ejectIfFaulty(health, start));
     MonotonicInstant now = start;
     for (int i = 0; i < 3; ++i) {
         now += Millis(2'000);
@@ -211,7 +211,7 @@
     }
 }
 
-TEST_CASE("At most half of a rack is left out, the worst first")
+TEST_CASE("At most half of a rack is ejected, the worst first")
 {
     const Pool pool(10, 8);
     std::vector<EjectionCandidate> rack;
@@ -223,7 +223,7 @@
     CHECK(chosen.back().member.worker->id == "i-4");
 }
 
-TEST_CASE("Of a third of a pool that fails a fifth of the pool is left out, those that probe included")
+TEST_CASE("If a third of a pool fails, a fifth of the pool is ejected, probing workers included")
 {
     Pool pool(30, 2);
     std::vector<EjectionCandidate> third;
@@ -251,7 +251,7 @@
     CHECK(pool.choose({ pool.candidate(79, HealthFault::Unanswered) }).empty());
 }
 
-TEST_CASE("The instances that long-running steps need are not left out, nor the last one of a pool")
+TEST_CASE("The instances that long-running steps need are not ejected, nor is the last one of a pool")
 {
     const Pool pool(10, 2);
     const EjectionCandidate candidate = pool.candidate(0, HealthFault::Failures);
@@ -263,56 +263,56 @@
     CHECK(single.choose({ single.candidate(0, HealthFault::Failures) }).empty());
 }
 
-TEST_CASE("A worker that answers no start has two open ones at most, and none once it answers no probe")
+TEST_CASE("A worker that answers no start has at most two unacknowledged ones, and gets no more once it answers no probe")
 {
     const auto attempt = [](std::uint64_t number) { return Attempt { "a", {}, number }; };
     constexpr std::int64_t leaseUntil = 5'000;
-    StartAnswers answers;
+    UnacknowledgedStarts starts;
     for (std::uint64_t i = 1; i <= 5; ++i)
-        answers.noteSent(attempt(i), leaseUntil, start);
-    CHECK(answers.startsLeft(start) == StartAnswers::unlimited);
-    CHECK(answers.noteOverdue(attempt(1), start));
-    CHECK_FALSE(answers.noteOverdue(attempt(1), start));
-    CHECK(answers.startsLeft(start) == 0);
+        starts.noteSent(attempt(i), leaseUntil, start);
+    CHECK(starts.startsLeft(start) == UnacknowledgedStarts::unlimited);
+    CHECK(starts.noteOverdue(attempt(1), start));
+    CHECK_FALSE(starts.noteOverdue(attempt(1), start));
+    CHECK(starts.startsLeft(start) == 0);
     for (std::uint64_t i = 3; i <= 5; ++i)
-        answers.noteSettled(attempt(i));
-    answers.noteSettled(attempt(1));
-    CHECK(answers.startsLeft(start) == 1);
-    answers.noteSent(attempt(6), leaseUntil, start);
-    answers.noteOverdue(attempt(2), start);
-    answers.noteOverdue(attempt(6), start);
-    answers.noteProbeOverdue();
-    answers.noteHeard();
-    CHECK(answers.isDistrusted(start));
-    CHECK(answers.noteAnswered(attempt(6)));
-    CHECK(answers.startsLeft(start) == StartAnswers::unlimited);
-    answers.noteSent(attempt(7), leaseUntil, start);
-    answers.noteOverdue(attempt(7), start);
-    answers.noteProbeOverdue();
-    CHECK(answers.startsLeft(start + Millis(60'000)) == 0);
-    answers.noteHeard();
-    CHECK(answers.startsLeft(start + Millis(60'000)) == StartAnswers::unlimited);
+        starts.noteSettled(attempt(i));
+    starts.noteSettled(attempt(1));
+    CHECK(starts.startsLeft(start) == 1);
+    starts.noteSent(attempt(6), leaseUntil, start);
+    starts.noteOverdue(attempt(2), start);
+    starts.noteOverdue(attempt(6), start);
+    starts.noteProbeOverdue();
+    starts.noteHeard();
+    CHECK(starts.isDistrusted(start));
+    CHECK(starts.noteAnswered(attempt(6)));
+    CHECK(starts.startsLeft(start) == UnacknowledgedStarts::unlimited);
+    starts.noteSent(attempt(7), leaseUntil, start);
+    starts.noteOverdue(attempt(7), start);
+    starts.noteProbeOverdue();
+    CHECK(starts.startsLeft(start + Millis(60'000)) == 0);
+    starts.noteHeard();
+    CHECK(starts.startsLeft(start + Millis(60'000)) == UnacknowledgedStarts::unlimited);
 }
 
 TEST_CASE("A worker that does not answer a probe is distrusted until it answers")
 {
-    StartAnswers answers;
-    answers.noteProbeOverdue();
-    CHECK(answers.isDistrusted(start));
-    CHECK(answers.startsLeft(start) == 2);
-    answers.noteHeard();
-    CHECK(answers.startsLeft(start) == StartAnswers::unlimited);
+    UnacknowledgedStarts starts;
+    starts.noteProbeOverdue();
+    CHECK(starts.isDistrusted(start));
+    CHECK(starts.startsLeft(start) == 2);
+    starts.noteHeard();
+    CHECK(starts.startsLeft(start) == UnacknowledgedStarts::unlimited);
 }
 
 /// Guards against starting a task elsewhere while its unacknowledged start may still be carried out.
-TEST_CASE("A start can't begin any more once its lease is over and no connection delivers it")
+TEST_CASE("A start cannot take effect once its lease has expired and no connection delivers it")
 {
     const Attempt attempt { "a", {}, 1 };
-    StartAnswers answers;
-    answers.noteSent(attempt, 5'000, start);
-    CHECK_FALSE(answers.hasExpired(attempt, 4'999, start + Millis(20'000)));
-    CHECK_FALSE(answers.hasExpired(attempt, 5'001, start + Millis(6'900)));
-    CHECK(answers.hasExpired(attempt, 5'001, start + Millis(7'000)));
-    answers.noteSettled(attempt);
-    CHECK_FALSE(answers.hasExpired(attempt, 5'001, start + Millis(7'000)));
+    UnacknowledgedStarts starts;
+    starts.noteSent(attempt, 5'000, start);
+    CHECK_FALSE(starts.hasExpired(attempt, 4'999, start + Millis(20'000)));
+    CHECK_FALSE(starts.hasExpired(attempt, 5'001, start + Millis(6'900)));
+    CHECK(starts.hasExpired(attempt, 5'001, start + Millis(7'000)));
+    starts.noteSettled(attempt);
+    CHECK_FALSE(starts.hasExpired(attempt, 5'001, start + Millis(7'000)));
 }
