--- a/include/lanemoor/jobs/policy/organisation_use.h
+++ b/include/lanemoor/jobs/policy/organisation_use.h
@@ -12,7 +12,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Token bucket that tells jobs within a rate from jobs beyond it.
+/// \brief Token bucket that separates jobs within a rate from jobs beyond it.
 ///
 /// Holds one second's worth of tokens, so that a burst within the rate passes.
 class RateMeter {
--- a/include/lanemoor/jobs/policy/reservations.h
+++ b/include/lanemoor/jobs/policy/reservations.h
@@ -20,7 +20,7 @@
     std::shared_ptr<const StepSpec> step;
     OrganisationAccount* account = nullptr; ///< Account charged with the step's full needs; null: none.
     std::uint32_t throttledTo = 100; ///< Percent last sent to the worker.
-    MonotonicInstant expectedEnd; ///< Expected end, from the declared time corrected by observed run times.
+    MonotonicInstant expectedEnd; ///< From the declared time, corrected by observed run times.
     std::uint32_t suspicion = 0; ///< Crashes that its task may have caused; 0 once the worker has survived the start.
 };
 
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -213,7 +213,7 @@
     CapacityNeed need { .milliCpu = static_cast<double>(milliCpu) * m_options.margin / m_options.packing };
     // One instance more than the spread requires, so that one can fail or be maintained.
     const std::uint32_t spread = load.leastInstances > 0 ? load.leastInstances + 1 : 0;
-    // Waiting tasks found no room on any instance, whatever the sum of the free capacity. One more instance may be enough.
+    // Waiting tasks found no room on any instance, regardless of the sum of the free capacity. One more instance may be enough.
     const std::uint32_t more = load.hasWaiting ? present + 1 : 0;
     need.instances = std::max({ isAny ? m_options.leastInstances : 0, spread, more });
     return need;
--- a/src/jobs/policy/unacknowledged_starts.cpp
+++ b/src/jobs/policy/unacknowledged_starts.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t maxOpenAtDistrusted = 2;
 constexpr std::ptrdiff_t overdueToBlock = 2;
-/// A worker without an overdue start in this time is trusted again.
+/// A worker without a further overdue start in this time is trusted again.
 constexpr Millis distrustTime { 10'000 };
 
 } // namespace
