--- a/include/lanemoor/jobs/owner/worker_record.h
+++ b/include/lanemoor/jobs/owner/worker_record.h
@@ -4,10 +4,10 @@
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/owner/worker_session.h"
-#include "lanemoor/jobs/policy/bookings.h"
 #include "lanemoor/jobs/policy/placement.h"
-#include "lanemoor/jobs/policy/start_answers.h"
+#include "lanemoor/jobs/policy/reservations.h"
 #include "lanemoor/jobs/policy/throttle.h"
+#include "lanemoor/jobs/policy/unacknowledged_starts.h"
 #include "lanemoor/jobs/policy/worker_health.h"
 
 #include <map>
@@ -26,11 +26,11 @@
     bool listed = true; ///< False: the entry was removed from the store, though the worker may still be up.
     std::optional<MonotonicInstant> unlistedSince; ///< Request time of the first complete list of instances without this incarnation.
     std::shared_ptr<WorkerSession> session;
-    Bookings reservations; ///< Attempts that have not ended.
+    Reservations reservations; ///< Attempts that have not ended.
     std::map<Attempt, MonotonicInstant> strayStops; ///< Unwanted attempts, with the time of the next stop command.
     WorkerHealth health;
     std::optional<Attempt> probingAttempt; ///< The latest attempt started while the worker was probing.
-    StartAnswers starts;
+    UnacknowledgedStarts starts;
     Throttle throttle;
     bool hasReported = false; ///< Its first report was processed.
     bool isEndOrdered = false; ///< This owner has ordered the end of the incarnation.
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -44,7 +44,7 @@
     const std::uint32_t assumed = hasSuspectPeer || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
     const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .endsBy = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspicion = suspicion });
     worker.probationUntil = m_state.now() + maxProbation;
     m_health.noteStartBooked(worker, attempt);
     if (isFirstStart)
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -264,7 +264,7 @@
     // For a worker that never responded to this owner, only the records of a previous owner count.
     if (lost.empty() && !worker.session->hasAnswered())
         return std::nullopt;
-    const CrashVerdict attribution = m_attributor.attribute(lost, aliveWorkerCount(), m_state.now());
+    const CrashAttribution attribution = m_attributor.attribute(lost, aliveWorkerCount(), m_state.now());
     if (!lost.empty())
         logCrash(worker, lost, attribution);
     for (const LostAttempt& suspect : attribution.suspects)
@@ -329,7 +329,7 @@
 
 /// Logs the attempts lost in a worker crash, latest start first, each with the time for which the worker responded after it had
 /// acknowledged the start.
-void CrashTracker::logCrash(const WorkerRecord& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& attribution) const
+void CrashTracker::logCrash(const WorkerRecord& worker, const std::vector<LostAttempt>& lost, const CrashAttribution& attribution) const
 {
     std::string text;
     for (std::size_t i = 0; i < std::min(lost.size(), maxAttemptsLogged); ++i) {
--- a/src/jobs/owner/crash_tracker.h
+++ b/src/jobs/owner/crash_tracker.h
@@ -78,7 +78,7 @@
     [[nodiscard]] static bool isInferred(const ProbationStart& start, const WorkerRecord& worker);
     void withdraw(const ProbationStart& start, std::string_view reason);
     void attributeCrash(const Attempt& attempt, const std::string& worker, bool isConfirmed);
-    void logCrash(const WorkerRecord& worker, const std::vector<LostAttempt>& lost, const CrashVerdict& attribution) const;
+    void logCrash(const WorkerRecord& worker, const std::vector<LostAttempt>& lost, const CrashAttribution& attribution) const;
     [[nodiscard]] std::size_t aliveWorkerCount();
 
     OwnerState& m_state;
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -63,7 +63,7 @@
             stopping.push_back(attempt);
     }
     for (const Attempt& attempt : stopping) {
-        const Booking& reservation = worker.reservations.at(attempt);
+        const Reservation& reservation = worker.reservations.at(attempt);
         // Checked again for each attempt, since each stop reduces the running tasks of its step.
         if (!mayStop(attempt, reservation, worker))
             continue;
@@ -73,7 +73,7 @@
     }
 }
 
-bool Evacuation::mayStop(const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker)
+bool Evacuation::mayStop(const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker)
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
@@ -88,13 +88,13 @@
 }
 
 /// Gang members are not moved: the whole gang would have to move at once.
-bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker)
+bool Evacuation::isBatchToMove(const JobState& job, const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker)
 {
     const TaskState& task = *job.find(attempt.task);
     if (!m_state.options.failureDomains.enabled || !worker.hallEvacuated || reservation.step->gang || task.checkpoint.empty())
         return false;
     const auto passed = [&](MonotonicInstant::duration time) { return std::chrono::duration_cast<Millis>(time); };
-    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(reservation.endsBy - m_state.now()) };
+    const CheckpointedAttempt progress { .elapsed = passed(m_state.now() - task.live->startedAt), .percent = task.live->percent, .declaredLeft = passed(reservation.expectedEnd - m_state.now()) };
     if (!isWorthMoving(progress, m_state.options.checkpointMove))
         return false;
     const std::pair<std::string, std::string> kind { worker.entry.pool, reservation.step->requiredLabel };
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -23,8 +23,8 @@
 
 private:
     void empty(WorkerRecord& worker);
-    [[nodiscard]] bool mayStop(const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker);
-    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Booking& reservation, const WorkerRecord& worker);
+    [[nodiscard]] bool mayStop(const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker);
+    [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker);
 
     OwnerState& m_state;
     CommandDispatcher& m_commands;
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -306,7 +306,7 @@
             for (const auto& [attempt, reservation] : record.reservations) {
                 use.longRunning += reservation.step->longRunning ? 1 : 0;
                 if (!reservation.step->longRunning)
-                    use.emptyBy = std::max(use.emptyBy, reservation.endsBy);
+                    use.emptyBy = std::max(use.emptyBy, reservation.expectedEnd);
                 use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = record.session->hasAnswered() || now >= record.session->leaseExpiresBy();
@@ -494,7 +494,7 @@
                 std::int64_t supply = 0;
                 for (const auto& [id, record] : state.workers)
                     supply += record.entry.pool == pool && record.listed && hasLabel(record.entry, requirement.label) ? record.entry.capacity.milliCpu : 0;
-                state.labelDemand[{ pool, requirement.label }] = wantedLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
+                state.labelDemand[{ pool, requirement.label }] = labelDemandLevel(std::max(demand.runningMilliCpu + demand.waiting.milliCpu, demand.forecastMilliCpu), supply);
             }
         }
     }
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -212,7 +212,7 @@
     for (const WorkerRecord* record : sites.records) {
         list.push_back(record->site(m_now));
         sites.livenessChecks += m_now < record->livenessCheckDueAt ? 1 : 0;
-        list.back().wanted = m_state.labelDemandOf(record->entry);
+        list.back().labelDemand = m_state.labelDemandOf(record->entry);
         if (!m_state.options.crashes.isolatesSuspects)
             list.back().suspects.clear();
     }
--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -114,7 +114,7 @@
     }
     if (task && job->state.adopt(report.attempt, worker.entry.id, m_state.now())) {
         m_state.endWait(*job);
-        worker.reservations.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .endsBy = m_state.expectedEnd(*job, report.attempt.task) });
+        worker.reservations.put(report.attempt, { .step = job->state.sharedSpec(report.attempt.task.step), .account = job->account, .expectedEnd = m_state.expectedEnd(*job, report.attempt.task) });
         job->state.noteReport(report, m_state.now());
         m_state.options.log->decision("task-adopted", { { "attempt", nameOf(report.attempt) }, { "worker", worker.entry.id } });
         m_crashes.noteAdopted(worker, *job, report.attempt, workerClock);
@@ -364,7 +364,7 @@
         failed = m_crashes.noteIncarnationEnd(worker);
     else
         m_crashes.noteLeaseExpired(worker);
-    Bookings::Map reservations = worker.reservations.takeAll();
+    Reservations::Map reservations = worker.reservations.takeAll();
     for (auto& [attempt, reservation] : reservations) {
         if (!unacknowledged.contains(attempt)) {
             m_dispatcher.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
--- a/src/jobs/owner/worker_record.cpp
+++ b/src/jobs/owner/worker_record.cpp
@@ -93,7 +93,7 @@
     PlacementSite site { .worker = &entry, .free = free(), .open = isOpen(now) };
     if (now < reservedUntil)
         site.keptFor = keptFor;
-    site.hasYoungAttempts = now < probationUntil;
+    site.hasRecentStarts = now < probationUntil;
     site.distrusted = starts.isDistrusted(now);
     site.probing = health.isProbing(now);
     site.startsLeft = startsLeft(now);
--- a/src/jobs/policy/organisation_share.cpp
+++ b/src/jobs/policy/organisation_share.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t resourceKinds = 3;
-constexpr double epsilon = 1e-9; ///< Parts of a pool that differ by less are the same.
+constexpr double epsilon = 1e-9; ///< Parts of a pool that differ by less are equal.
 
 using Parts = std::array<double, resourceKinds>;
 
@@ -28,7 +28,7 @@
     return *std::max_element(parts.begin(), parts.end());
 }
 
-/// \returns Weights, where those who have none get the mean of the others.
+/// \returns Weights, with the mean of the others for organisations without one.
 std::vector<double> weightsOf(const std::vector<OrganisationDemand>& demands)
 {
     double sum = 0;
@@ -45,10 +45,10 @@
     return weights;
 }
 
-/// Progressive filling: shares grow by weight until each is satisfied or stopped by a resource that is used up.
-class Filling {
+/// Progressive filling: shares grow by weight until the demand is satisfied or a needed resource is exhausted.
+class ProgressiveFilling {
 public:
-    Filling(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
+    ProgressiveFilling(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
         : m_weights(weightsOf(demands))
         , m_shares(demands.size(), 0)
         , m_growing(demands.size(), true)
@@ -81,7 +81,7 @@
     /// \returns The level at which the organisation's share covers what it asks for.
     [[nodiscard]] double levelOf(std::size_t i) const { return m_demands[i] / m_weights[i]; }
 
-    /// \returns What the organisation takes of a resource for each unit of level.
+    /// \returns Part of a resource that the organisation takes for each unit of level.
     [[nodiscard]] double rateOf(std::size_t i, std::size_t kind) const { return m_demands[i] > 0 ? m_weights[i] * m_asked[i][kind] / m_demands[i] : 0; }
 
     void addRate(std::size_t i, int sign)
@@ -97,7 +97,7 @@
         addRate(i, -1);
     }
 
-    /// Raises the level towards `target`. \returns Whether a resource was used up before.
+    /// Raises the level towards `target`. \returns Whether a resource was exhausted before.
     bool growTo(double target)
     {
         std::optional<std::size_t> exhausted;
@@ -112,11 +112,11 @@
         for (std::size_t kind = 0; kind < resourceKinds; ++kind)
             m_left[kind] -= m_rates[kind] * step;
         if (exhausted)
-            stopThoseWhoNeed(*exhausted);
+            stopUsersOf(*exhausted);
         return exhausted.has_value();
     }
 
-    void stopThoseWhoNeed(std::size_t kind)
+    void stopUsersOf(std::size_t kind)
     {
         for (std::size_t i = 0; i < m_shares.size(); ++i) {
             if (m_growing[i] && m_asked[i][kind] > 0)
@@ -127,11 +127,11 @@
 
     std::vector<double> m_weights;
     std::vector<Parts> m_asked;
-    std::vector<double> m_demands; ///< Of the resource of which each asks for the largest part.
+    std::vector<double> m_demands; ///< Part of the pool, of the dominant resource.
     std::vector<double> m_shares;
     std::vector<bool> m_growing;
-    std::vector<std::size_t> m_order; ///< Those satisfied first come first.
-    double m_level = 0; ///< Share by weight of those that still grow.
+    std::vector<std::size_t> m_order; ///< By the level at which their demand is satisfied.
+    double m_level = 0; ///< Share per weight of the organisations that still grow.
     Parts m_left { 1, 1, 1 };
     Parts m_rates {};
 };
@@ -145,7 +145,7 @@
 
 std::vector<OrganisationShare> sharesOf(const std::vector<OrganisationDemand>& demands, const Resources& capacity)
 {
-    const std::vector<double> parts = Filling(demands, capacity).run();
+    const std::vector<double> parts = ProgressiveFilling(demands, capacity).run();
     std::vector<OrganisationShare> shares;
     shares.reserve(demands.size());
     for (std::size_t i = 0; i < demands.size(); ++i)
@@ -170,7 +170,7 @@
     return found == m_byName.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool PoolShares::isBeyond(std::string_view organisation) const
+bool PoolShares::hasReachedShare(std::string_view organisation) const
 {
     const std::optional<std::size_t> index = find(organisation);
     return index && !m_shares[*index].isBelow();
@@ -200,12 +200,12 @@
         return;
     }
     MonotonicInstant& since = unserved.try_emplace(organisation, now).first->second;
-    // The claim was used in vain: the others go on before the next one.
+    // The claim ended without a start: the others go on before the next claim.
     if (now - since >= starvedAfter + m_memory)
         since = now + m_memory;
 }
 
-bool ShareDeficits::holdsOthersBack(const std::string& pool, MonotonicInstant now) const
+bool ShareDeficits::blocksOthers(const std::string& pool, MonotonicInstant now) const
 {
     const auto found = m_unservedSince.find(pool);
     if (found == m_unservedSince.end())
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -1,4 +1,4 @@
-/// Crash accounting of poison tasks, from a review: orders of events that crash_accounting_test.cpp does not force.
+/// Crash accounting of poison tasks: orders of events that crash_accounting_test.cpp does not force.
 
 #include "lanemoor/jobs/model/job_state.h"
 #include "lanemoor/jobs/policy/crash_attribution.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint32_t maxCrashesAllowed = 5; // By the platform's rule, whatever the product's own limits are.
+constexpr std::uint32_t maxCrashesAllowed = 5; // The platform's rule, independent of the product's own limits.
 constexpr Millis beforeAnswer { 0 };
 constexpr Millis afterAnswer { 10 };
 constexpr Millis soonAfterStart { 4 }; // After the answer has arrived.
@@ -44,7 +44,7 @@
 
     [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
 
-    void checkPromise()
+    void checkGuarantee()
     {
         CHECK(witness.breaches().empty());
         CHECK(crashes() <= maxCrashesAllowed);
@@ -60,7 +60,7 @@
 
 } // namespace
 
-// Guards against a liveness check that is out of date once the start is stored, so that no crash before the answer is confirmed.
+// Guards against a liveness check that is outdated once the start is stored, so that no crash before the answer is confirmed.
 TEST_CASE("A poison task that crashes workers before the answer fails in time though the store answers slowly")
 {
     for (const Millis answerTime : { Millis(20), Millis(45), Millis(60), Millis(120) }) {
@@ -69,11 +69,11 @@
         cluster.store.trouble.answerTime = answerTime;
         cluster.crashesAfter = [] { return beforeAnswer; };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
-// Guards against a lapsed lease of an old attempt that clears the crashes which the previous owner recorded.
+// Guards against an expired lease of an old attempt that clears the crashes recorded by the previous owner.
 TEST_CASE("The end of an attempt that is older than the recorded crashes does not clear them after a change of owner")
 {
     PoisonCluster cluster;
@@ -89,21 +89,21 @@
     const Millis pause = GENERATE(Millis(100), Millis(1'000), Millis(1'700));
     CAPTURE(recorded, pause.count());
     REQUIRE(cluster.waitFor(Millis(40'000), [&] { return cluster.crashes() >= recorded; }));
-    // Its crash is attributed and stored.
+    // The crash is attributed and stored by now.
     cluster.clock.runFor(pause);
     cluster.replaceOwner();
     cluster.clock.runFor(Millis(100));
     cluster.workers.find(cutOff)->trouble.cutOff = false;
     cluster.clock.runFor(Millis(60'000));
-    cluster.checkPromise();
+    cluster.checkGuarantee();
 }
 
-// Guards against starts that a new owner finds within their probation, unrecorded, and takes for survived.
+// Guards against a new owner that treats unrecorded starts within their probation as survived.
 TEST_CASE("A poison task fails in time though several owners are lost between a start and its crash")
 {
     for (const std::set<std::uint32_t>& lost : { std::set<std::uint32_t> { 1, 2 }, std::set<std::uint32_t> { 1, 2, 3 }, std::set<std::uint32_t> { 1, 3 } }) {
         CAPTURE(lost.size(), *lost.rbegin());
-        // Large enough for a crash to leave the probation at its maximum.
+        // Large enough to keep the probation at its maximum despite a crash.
         PoisonCluster cluster(step(1), 48);
         cluster.crashesAfter = [] { return Millis(700); };
         cluster.onStarted = [&cluster, &lost] {
@@ -112,7 +112,7 @@
             return true;
         };
         cluster.clock.runFor(Millis(90'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -128,7 +128,7 @@
         cluster.crashesAfter = [delay] { return delay; };
         cluster.clock.runFor(Millis(90'000));
         CHECK(cluster.starts > 0);
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
@@ -145,12 +145,12 @@
             return true;
         };
         cluster.clock.runFor(Millis(60'000));
-        cluster.checkPromise();
+        cluster.checkGuarantee();
     }
 }
 
-// Guards against a live worker that is declared over since one list left its instance out.
-TEST_CASE("A worker that is cut off while a list leaves its instance out runs its task alone until its lease ends")
+// Guards against declaring a live worker ended because one instance list omitted its instance.
+TEST_CASE("A partitioned worker whose instance a list omits runs its task alone until its lease ends")
 {
     SmallCluster cluster;
     const std::string id = jobId(1);
@@ -185,18 +185,18 @@
             return false;
         };
         REQUIRE(cluster.waitFor(Millis(20'000), [&] { return cluster.crashes() == 2; }));
-        // The crash is attributed and stored.
+        // The crash is attributed and stored by now.
         cluster.clock.runFor(Millis(1'000));
         if (inherited)
             cluster.replaceOwner();
-        // A task that has nothing running for three seconds while there is room counts as lost.
+        // The platform counts a task as lost if it has no running attempt for three seconds while there is room.
         CHECK(cluster.waitFor(Millis(10'000), [&] { return survivedAt != MonotonicInstant {}; }));
         CHECK(cluster.witness.breaches().empty());
     }
 }
 
-// Guards against an old attempt's end that clears crashes of later ones since the record does not tell which attempts crashed.
-TEST_CASE("A record of crashes tells a new owner that an older attempt's end says nothing of them")
+// Guards against an old attempt's end that clears later crashes, since the record does not show which attempts crashed.
+TEST_CASE("A record of crashes shows a new owner that an older attempt's end does not clear them")
 {
     const std::string id = jobId(1);
     const TaskId task { 0, 0, 0 };
