--- a/include/lanemoor/jobs/intake/admission_gate.h
+++ b/include/lanemoor/jobs/intake/admission_gate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Admits jobs by what the owner granted: at every entry instance.
+/// Admission control at an entry instance, within the budgets that the owner grants.
 
 #include "lanemoor/jobs/model/admission_grants.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -17,7 +17,7 @@
 
 namespace lanemoor::jobs {
 
-/// By what a job was judged.
+/// The rule behind an admission decision.
 enum class AdmissionBasis {
     NoPressure, ///< Nothing limits it.
     Budget, ///< The latest grant.
@@ -27,45 +27,46 @@
 /// \returns A short name of `basis`, for logs and metrics.
 [[nodiscard]] std::string_view nameOf(AdmissionBasis basis) noexcept;
 
-/// What came of judging a job, and why.
+/// An admission decision and the reason for it.
 struct AdmissionVerdict {
     bool admitted = true;
     AdmissionBasis basis = AdmissionBasis::NoPressure;
-    AdmissionBudget budget; ///< As it stands here; meaningful under pressure.
+    AdmissionBudget budget; ///< The current budget of this instance; meaningful under pressure.
     Millis grantAge { 0 };
-    Millis retryAfter { 0 }; ///< When a refused caller should come back.
+    Millis retryAfter { 0 }; ///< Delay after which a refused caller should retry.
 
     [[nodiscard]] bool operator==(const AdmissionVerdict&) const = default;
 };
 
-/// \brief Keeps the latest grants of the owner and takes jobs off their budgets.
+/// \brief Holds the owner's latest grants and charges admitted jobs to their budgets.
 ///
-/// A budget of less than one job admits it with the probability that it covers, so that hundreds of instances with a small part each
-/// admit no more than all of it, and large jobs have the same chance as small ones.
+/// A budget of less than one usual job admits the next job with the probability budget / job. Hundreds of instances with a small part
+/// each thus admit no more than the whole budget, and large jobs have the same chance as small ones.
 class AdmissionGate {
 public:
-    /// \param name Of the instance: seeds its chance.
+    /// \param name Name of the instance; seeds its random numbers.
     explicit AdmissionGate(const std::string& name);
 
-    /// \brief Takes in grants. Those of an earlier term are ignored.
+    /// \brief Replaces the grants. Grants of an earlier term are ignored.
     void apply(AdmissionGrants grants, MonotonicInstant now);
 
-    /// \brief Judges a job and takes it off the budget if it is admitted. Jobs that run until they are cancelled are always admitted.
+    /// \brief Decides on a job and charges it to the budget if it is admitted. Jobs without an objective (hasObjective) are always
+    /// admitted.
     /// \param jobsPerSecond Configured rate of the organisation over all instances; 0: none.
     [[nodiscard]] AdmissionVerdict judge(const std::string& queue, const std::string& organisation, const JobSpec& job, double jobsPerSecond, MonotonicInstant now);
 
-    /// \returns When callers of the queue that were refused should come back.
+    /// \returns The delay after which refused callers of the queue should retry.
     [[nodiscard]] Millis retryAfter(const std::string& queue, const std::string& organisation) const;
 
-    /// An instance that has heard of no owner for so long after a grant expired knows nothing of the pressure any more.
+    /// After an expired grant the safe share applies for this long. Then the pressure is unknown, and jobs are admitted without limit.
     static constexpr Millis safeShareLasts { 10'000 };
 
 private:
     struct Budget {
         AdmissionBudget granted;
-        double left = 0; ///< Ms of a core.
+        double left = 0; ///< Remaining budget, ms of a core.
         MonotonicInstant countedAt;
-        double threshold = 0; ///< The next job is admitted if so much is left.
+        double threshold = 0; ///< The next job is admitted if at least this much is left, ms of a core.
         RateMeter safeShare;
     };
 
--- a/include/lanemoor/jobs/intake/caller_access.h
+++ b/include/lanemoor/jobs/intake/caller_access.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Who may call a queue, and whose jobs a caller may see.
+/// Authentication of callers of a queue, and authorisation of their access to jobs.
 
 #include "lanemoor/jobs/model/service_configuration.h"
 
@@ -12,26 +12,25 @@
 
 struct JobRecord;
 
-/// A caller whose key was checked against one version of the configuration.
+/// A caller, authenticated against one version of the configuration.
 struct Caller {
-    std::string queue; ///< That is called.
-    std::string organisation; ///< Empty: not known; nobody was asked for a key.
-    bool isOpen = false; ///< The queue asks for no key.
+    std::string queue; ///< The queue called.
+    std::string organisation; ///< Empty: unknown, since the queue requires no key.
+    bool isOpen = false; ///< The queue requires no key.
 
     [[nodiscard]] bool operator==(const Caller&) const = default;
 };
 
-/// \brief Checks a call to `queue` against `configuration`.
+/// \brief Authenticates a call to `queue` against `configuration`.
 ///
-/// A public queue, and a configuration without organisations, asks for no key; a key that comes all
-/// the same tells whose job it is.
-/// \param key As the caller sent it, if any.
-/// \returns The caller, or nothing if the key is missing or nobody holds it.
+/// Public queues and configurations without organisations require no key. A valid key that is sent anyway assigns the job to its
+/// organisation.
+/// \param key The key that the caller sent, if any.
+/// \returns The caller, or nothing if a required key is missing or unknown.
 [[nodiscard]] std::optional<Caller> identify(const ServiceConfiguration& configuration, const QueueSettings& queue, std::optional<std::string_view> key);
 
-/// \returns Whether the caller may see and cancel a job, and hand it in again. On a queue that asks for
-/// a key, jobs belong to their organisation, and jobs without one to everybody with a key; on an
-/// open queue callers reach the queue's own jobs and those that belong to nobody.
+/// \returns Whether the caller may see, cancel and resubmit a job. Callers of a queue that requires a key have access to the jobs of
+/// their organisation and to jobs without one. Callers of an open queue also have access to all jobs of that queue.
 [[nodiscard]] bool mayUse(const Caller& caller, const JobRecord& job);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/intake/demand_report.h
+++ b/include/lanemoor/jobs/intake/demand_report.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Counts submissions for the owner, which hears of stored ones only.
+/// Counts submissions at an entry instance for the owner, which otherwise learns only of stored ones.
 
 #include "lanemoor/jobs/model/entry_demand.h"
 #include "lanemoor/jobs/model/job_spec.h"
@@ -16,8 +16,8 @@
 /// \returns The declared work of a job in ms of one core; long-running steps are left out.
 [[nodiscard]] std::uint64_t declaredWorkMillis(const JobSpec& job) noexcept;
 
-/// \brief Sums submissions by queue and organisation until they are reported. What is not reported is bounded: beyond
-/// `maxEntries` pairs, organisations stand together without a name.
+/// \brief Sums submissions by queue and organisation until they are reported. Unreported sums are bounded: beyond `maxEntries` pairs,
+/// the remaining organisations of a queue are summed under an empty name.
 class DemandReport {
 public:
     static constexpr std::size_t maxEntries = 512;
@@ -27,7 +27,7 @@
 
     [[nodiscard]] bool isEmpty() const noexcept { return m_entries.empty(); }
 
-    /// \returns What was noted since the last call.
+    /// \returns The sums since the last call.
     [[nodiscard]] std::vector<EntryDemand> take();
 
 private:
--- a/include/lanemoor/jobs/intake/job_catalog.h
+++ b/include/lanemoor/jobs/intake/job_catalog.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Every job that the store holds, as an entry instance knows them.
+/// In-memory index of the jobs in the store, at an entry instance.
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/model/key_value_store.h"
@@ -15,40 +15,40 @@
 
 namespace lanemoor::jobs {
 
-/// What the store holds of one job.
+/// One job's record, progress and cancellation.
 struct CatalogEntry {
-    std::shared_ptr<const JobRecord> record; ///< Null while only other keys of the job are known.
+    std::shared_ptr<const JobRecord> record; ///< Null until the job's own key was read.
     ProgressRecord progress;
-    bool cancelled = false; ///< A caller asked for it; the status may be final for another reason.
+    bool cancelled = false; ///< Cancellation was requested; the status may be final for another reason.
 
     /// \returns The status to show to callers.
     [[nodiscard]] JobStatus status() const noexcept;
 };
 
-/// Hears which job changed, after the catalog has the change.
+/// Notified with a job's id after the catalog has applied a change to it.
 using CatalogObserver = std::function<void(const std::string& id)>;
 
-/// \brief Jobs by id, fed with the items under the job service's prefix.
+/// \brief Jobs by id, built from the store items under `jobServicePrefix`.
 class JobCatalog {
 public:
-    /// \brief Takes in an item. One that can't be read is counted and otherwise ignored.
+    /// \brief Applies an item. Unreadable items are counted and otherwise ignored.
     /// \returns The id of the job that changed, or nothing.
     std::optional<std::string> apply(const StoreItem& item);
 
-    /// \brief Forgets all jobs, without notice to the observer.
+    /// \brief Removes all jobs without notifying the observer.
     void clear();
 
     /// \returns The job, or null.
     [[nodiscard]] const CatalogEntry* find(const std::string& id) const;
 
-    /// \returns Jobs of `queue` that are accepted and have not begun. Jobs with due times count
-    /// from the first.
+    /// \returns The number of accepted jobs of `queue` that have not begun. Recurring jobs count as pending until their first occurrence
+    /// begins.
     [[nodiscard]] std::uint64_t pending(const std::string& queue) const;
 
     /// \returns All jobs, ordered by id.
     [[nodiscard]] const std::map<std::string, CatalogEntry>& all() const noexcept { return m_jobs; }
 
-    /// \returns Items that could not be read.
+    /// \returns The number of unreadable items so far.
     [[nodiscard]] std::uint64_t unreadable() const noexcept { return m_unreadable; }
 
     void observe(CatalogObserver observer) { m_observer = std::move(observer); }
--- a/include/lanemoor/jobs/intake/job_intake.h
+++ b/include/lanemoor/jobs/intake/job_intake.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Takes jobs in and cancels them: at every entry instance, by conditional writes.
+/// Accepts and cancels jobs at an entry instance, by conditional writes to the store.
 
 #include "lanemoor/jobs/intake/caller_access.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -16,32 +16,31 @@
 
 class StoreMirror;
 
-/// What came of handing a job in.
+/// Outcome of a job submission.
 enum class AcceptOutcome {
-    Accepted, ///< It is kept; also if it was kept before.
-    NotTaken, ///< It was not taken and, unless handed in again, will never run.
-    Unknown, ///< It may have been kept, or may be yet.
+    Accepted, ///< The job is stored, by this or an earlier submission.
+    NotTaken, ///< The job is not stored and won't run unless it is submitted again.
+    Unknown, ///< The job may have been stored, or may be stored later.
     Foreign, ///< A job of this id belongs to another organisation.
-    Refused, ///< It could not be served in time within its organisation's share: nothing was written.
+    Refused, ///< The job could not be served in time within its organisation's share; nothing was written.
 };
 
-/// What came of asking to cancel a job, or for its status.
+/// Outcome of a cancellation or a status lookup.
 enum class LookupOutcome {
     Done,
     NoSuchJob,
     Foreign, ///< The job belongs to another organisation.
-    Unavailable, ///< The store gave no answer.
+    Unavailable, ///< The store did not answer.
 };
 
 /// \returns Short names for logs and metrics.
 [[nodiscard]] std::string_view nameOf(AcceptOutcome outcome) noexcept;
 [[nodiscard]] std::string_view nameOf(LookupOutcome outcome) noexcept;
 
-/// \brief Accepts jobs by creating their keys, some milliseconds' worth in one transaction.
+/// \brief Accepts jobs by creating their keys, batching concurrent submissions into transactions.
 ///
-/// A job's key is created under the condition that it is absent, so that any number of entry
-/// instances may take the same job and it stays one. If the answer is lost the key is read; if
-/// it is not there the outcome is unknown, because the write may still be carried out.
+/// A key is created on condition that it is absent, so any number of entry instances may receive the same job and it is stored once.
+/// If the answer to a write is lost the key is read; if it is absent the outcome is unknown, since the write may still be carried out.
 class JobIntake {
 public:
     JobIntake(EventLoop& loop, KeyValueStore& store, StoreMirror& mirror, const JobCatalog& catalog);
@@ -49,29 +48,29 @@
     JobIntake(const JobIntake&) = delete;
     JobIntake& operator=(const JobIntake&) = delete;
 
-    /// \brief Answers once the store holds the job, or it is known what became of it. One that is kept under this id
-    /// is accepted again for callers that may use it, and foreign to others.
-    /// \param isAdmitted Asked when the job is sent to the store: one that is no longer let in is not sent.
+    /// \brief Submits a job; `done` is called when the outcome is decided. If a job of this id is stored already, the outcome is Accepted
+    /// for callers with access to that job and Foreign for others.
+    /// \param isAdmitted Checked when the job is about to be sent to the store; if false the job is not sent. Null: always admitted.
     void accept(const Caller& caller, const std::string& id, const JobRecord& record, std::function<bool()> isAdmitted, std::function<void(AcceptOutcome)> done);
 
-    /// \returns Whether the job was handed in here before and is kept, or may be.
+    /// \returns Whether the job was submitted here before and is stored, or may be.
     [[nodiscard]] bool isKnown(const std::string& id);
 
-    /// \brief Answers that a job is refused, unless the store holds it already: another instance may have taken it.
+    /// \brief Refuses a job, unless the store has it already: another instance may have accepted it.
     void refuse(const Caller& caller, const std::string& id, const JobRecord& record, std::function<void(AcceptOutcome)> done);
 
-    /// \brief Answers once the store holds the wish to cancel.
+    /// \brief Cancels a job; `done` is called once the store has the cancellation.
     void cancel(const std::string& id, const std::function<void(LookupOutcome)>& done);
 
-    /// \returns Whether a write got no answer and the store has answered nothing that was asked
-    /// since: new jobs are then refused as not taken, but for one now and then.
+    /// \returns Whether a write got no answer and the store has answered no later call. New jobs are then rejected as not taken, except
+    /// for a periodic probe.
     [[nodiscard]] bool isStoreSilent() const noexcept;
 
-    /// \brief Notes that the store answered a call of somebody else's.
+    /// \brief Notes that the store answered a call made outside this class.
     /// \param sentAt When that call was sent.
     void noteAnswered(MonotonicInstant sentAt);
 
-    /// \returns Accepts and cancels that wait for the store.
+    /// \returns The number of submissions and cancellations that wait for the store.
     [[nodiscard]] std::size_t inFlight() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/intake/job_lookup.h
+++ b/include/lanemoor/jobs/intake/job_lookup.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Tells callers how their jobs stand.
+/// Looks up the status of jobs for callers.
 
 #include "lanemoor/jobs/intake/job_intake.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -14,24 +14,24 @@
 
 class StoreMirror;
 
-/// Bounds of lookups.
+/// Options of status lookups.
 struct JobLookupOptions {
-    /// Whether a job that is not over by this instance's copy is read from the store. The copy of an
-    /// instance that does not own the job is up to half a second old.
+    /// Whether the store is read for a job that the local copy does not show as finished. The copy of an instance that does not own the
+    /// job lags by up to 500 ms.
     bool readsThrough = true;
-    Millis freshFor { 50 }; ///< A job read so short a time ago is not read again; callers ask some times a second.
-    Millis patience { 400 }; ///< Then the copy answers: a slow store takes 240 ms, callers wait 3 s.
-    bool keepsCopy = true; ///< Whether the catalog is a copy of all jobs; false: it holds only what was read or written here.
-    double readsPerSecond = 60; ///< Of this instance. 32 of them then take a third of a store's 6,000 a second.
+    Millis freshFor { 50 }; ///< A job is not read again within this time; callers poll a few times a second.
+    Millis patience { 400 }; ///< After this the copy answers. A slow store takes 240 ms, callers wait 3 s.
+    bool keepsCopy = true; ///< Whether the catalog holds all jobs; false: only those read or written by this instance.
+    double readsPerSecond = 60; ///< Per instance; 32 instances then use a third of the store's 6,000 reads a second.
 
     [[nodiscard]] bool operator==(const JobLookupOptions&) const = default;
 };
 
-/// \brief Answers lookups from the copy of the store, and from the store for jobs not over by it.
+/// \brief Answers lookups from the local copy, and reads the store for jobs that the copy does not show as finished.
 class JobLookup {
 public:
-    /// \param isCurrent Whether the copy holds all that is known of jobs, as the owner's does, or the
-    /// store is not to be asked now.
+    /// \param isCurrent Returns whether the copy suffices, because it is up to date (as the owner's is) or because the store must not be
+    /// read now.
     JobLookup(EventLoop& loop, KeyValueStore& store, StoreMirror& mirror, const JobCatalog& catalog, std::function<bool()> isCurrent, JobLookupOptions options = {});
     ~JobLookup();
     JobLookup(const JobLookup&) = delete;
@@ -39,7 +39,7 @@
 
     void status(const std::string& id, const std::function<void(LookupOutcome, JobStatus)>& done);
 
-    /// \returns Lookups that wait for the store.
+    /// \returns The number of lookups that wait for the store.
     [[nodiscard]] std::size_t inFlight() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/intake/queue_counts_reader.h
+++ b/include/lanemoor/jobs/intake/queue_counts_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Counts of waiting jobs, as the owner publishes them.
+/// Reads the counts of pending jobs that the owner publishes.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/forward_declarations.h"
@@ -13,7 +13,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Reads the owner's counts on demand; one read serves the callers of half a second.
+/// \brief Reads the owner's counts on demand; each read is cached for 500 ms.
 ///
 /// \code
 /// reader.pending("work", [](std::optional<std::uint64_t> count) { ... }); // Nothing: no recent count.
@@ -25,8 +25,8 @@
     QueueCountsReader(const QueueCountsReader&) = delete;
     QueueCountsReader& operator=(const QueueCountsReader&) = delete;
 
-    /// \param done Called with the count, or with nothing if the owner has written none within `maxCountAge`. May be called
-    /// from within.
+    /// \param done Called with the count, or with nothing if the owner has written none within `maxCountAge`. May be called before this
+    /// function returns.
     void pending(const std::string& queue, std::function<void(std::optional<std::uint64_t>)> done);
 
 private:
--- a/include/lanemoor/jobs/intake/refused_submissions.h
+++ b/include/lanemoor/jobs/intake/refused_submissions.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Remembers submissions that were refused because of the store, until they come back. Pure: time is passed in.
+/// Tracks submissions that were refused because of the store until they are retried. Pure: time is passed in.
 
 #include "lanemoor/jobs/policy/retry_advice.h"
 
@@ -10,22 +10,22 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Counts refused submissions that may return, and tells the situation for their Retry-After.
+/// \brief Counts refused submissions that may be retried; their number and age determine the Retry-After values.
 ///
-/// Refusals begin with the first one while none is waited for. A submission is waited for until it is settled, or for `memory`
-/// after its last refusal: its caller has given up, or went to another entry instance.
+/// An episode of refusals begins with the first refusal while no submission is tracked. A submission is tracked until it is settled,
+/// or for `memory` after its last refusal; then its caller has stopped retrying or uses another entry instance.
 class RefusedSubmissions {
 public:
-    static constexpr Millis memory { 8'000 }; ///< More than two of the longest Retry-After and a call's time.
-    static constexpr std::size_t maxWaiting = 20'000; ///< Beyond this, the oldest is not waited for.
+    static constexpr Millis memory { 8'000 }; ///< More than twice the maximum Retry-After plus the duration of a call.
+    static constexpr std::size_t maxWaiting = 20'000; ///< Beyond this, the oldest is dropped.
 
-    /// \param usefulUntil When the caller has no use for the job any more, if this is its first submission.
+    /// \param usefulUntil When the job becomes useless to its caller; used only at the submission's first refusal.
     void noteRefused(const std::string& id, MonotonicInstant usefulUntil, MonotonicInstant now);
 
-    /// \returns The situation for the submission's Retry-After; empty if it was not refused.
+    /// \returns The inputs for the submission's Retry-After; empty if it is not tracked.
     [[nodiscard]] RefusalSituation situationOf(const std::string& id, MonotonicInstant now) const;
 
-    /// \brief Notes that a submission was stored, or is known to be another's.
+    /// \brief Notes that a submission was stored, or that its id belongs to another organisation.
     void noteSettled(const std::string& id);
 
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
@@ -39,9 +39,9 @@
     void forgetOld(MonotonicInstant now);
 
     std::map<std::string, Refused> m_waiting; ///< By id.
-    std::multimap<MonotonicInstant, std::string> m_order; ///< When to look at an id; it may have been refused again since.
-    MonotonicInstant m_since; ///< When refusals began.
-    std::uint64_t m_refused = 0; ///< Submissions since then.
+    std::multimap<MonotonicInstant, std::string> m_order; ///< When to check each id for expiry; a later refusal postpones it.
+    MonotonicInstant m_since; ///< Start of the current episode.
+    std::uint64_t m_refused = 0; ///< Distinct submissions refused in it.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/admission_grants.h
+++ b/include/lanemoor/jobs/model/admission_grants.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What the owner lets entry instances admit of organisations under pressure.
+/// Budgets within which entry instances may admit jobs of organisations under pressure.
 
 #include "lanemoor/decisions/time.h"
 
@@ -10,40 +10,40 @@
 
 namespace lanemoor::jobs {
 
-/// What may be admitted of one organisation on one queue that is under pressure.
+/// Admission budget of one organisation on one queue that is under pressure.
 ///
-/// Work is processor time: ms of a core, by declared times corrected by what was observed.
+/// Work is processor time in ms of a core: declared times, corrected by observed ones.
 struct AdmissionBudget {
     std::string queue;
     std::string organisation;
-    std::int64_t workMillis = 0; ///< That may be admitted at once; negative: more was accepted than can be served in time.
-    std::int64_t milliCpu = 0; ///< At which the budget grows from then on; 0: more was accepted than can be served in time.
+    std::int64_t workMillis = 0; ///< Work that may be admitted at once; negative: more was accepted than can be served in time.
+    std::int64_t milliCpu = 0; ///< Rate at which the budget refills, thousandths of a core; 0: more was accepted than can be served in time.
     std::int64_t jobMillis = 1; ///< Work of a usual job of the queue, at least 1.
-    Millis expectedEnd { 0 }; ///< From now until a usual job that is submitted now could end.
-    Millis limit { 0 }; ///< The same for the last one that is admitted.
-    std::uint32_t sharePermille = 0; ///< Of the pool, that the organisation is owed while it is full.
-    std::uint32_t usePermille = 0; ///< Of the pool, that it has running.
-    double correction = 1.0; ///< Observed times as a multiple of declared ones.
+    Millis expectedEnd { 0 }; ///< Expected time from submission to end of a usual job submitted now.
+    Millis limit { 0 }; ///< Maximum of `expectedEnd` at which jobs are admitted.
+    std::uint32_t sharePermille = 0; ///< The organisation's fair share of the pool while the pool is full.
+    std::uint32_t usePermille = 0; ///< The share of the pool that its running tasks use.
+    double correction = 1.0; ///< Ratio of observed to declared times.
 
     [[nodiscard]] bool operator==(const AdmissionBudget&) const = default;
 };
 
-/// \brief All budgets of a moment, for one entry instance or for all together. Organisations and queues that are not named are
-/// admitted without a limit.
+/// \brief All budgets at one time, for one entry instance or for all together. Organisations and queues without a budget are admitted
+/// without limit.
 struct AdmissionGrants {
-    std::uint64_t term = 0; ///< Of the owner: those of an earlier one count no more.
+    std::uint64_t term = 0; ///< Term of the owner; grants of earlier terms are void.
     Millis validity { 0 };
-    std::uint32_t entries = 1; ///< Instances that share the budgets.
+    std::uint32_t entries = 1; ///< Number of instances that share the budgets.
     std::vector<AdmissionBudget> budgets; ///< By queue, then organisation.
 
     [[nodiscard]] bool operator==(const AdmissionGrants&) const = default;
 };
 
-/// \returns The part of one of `entries` instances: the same for each.
+/// \returns The grants for each of `entries` instances: an equal part of every budget.
 [[nodiscard]] AdmissionGrants partOf(const AdmissionGrants& grants, std::uint32_t entries);
 
-/// \returns Whether an entry instance that has `before` should hear of `now`: another set of names, or a value that differs by more
-/// than a tenth.
+/// \returns Whether an entry instance that has `before` must be sent `now`: the term or the set of names differs, or a value differs
+/// by more than a tenth.
 [[nodiscard]] bool differsNotably(const AdmissionGrants& before, const AdmissionGrants& now);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/api_key.h
+++ b/include/lanemoor/jobs/model/api_key.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Callers' keys, kept as digests only.
+/// Digests of callers' API keys; the keys themselves are not stored.
 
 #include <array>
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 namespace lanemoor::jobs {
 
-/// \brief The digest of a caller's key. The key itself is nowhere kept, so that no log, metric,
-/// error text or core file of configurations holds one.
+/// \brief The digest of a caller's key. The key itself is not retained, so configurations can't leak it through logs, metrics, error
+/// texts or core dumps.
 ///
 /// \code
 /// const ApiKeyDigest digest = ApiKeyDigest::of("a-callers-key");
@@ -22,17 +22,17 @@
     /// \returns The digest of `key`: BLAKE2b, 32 bytes, the same in every process.
     [[nodiscard]] static ApiKeyDigest of(std::string_view key);
 
-    /// \returns Eight hexadecimal digits that tell keys apart in logs and tell nobody the key.
+    /// \returns Eight hexadecimal digits that distinguish keys in logs without revealing them.
     [[nodiscard]] std::string fingerprint() const;
 
-    /// \returns A number for hash tables.
+    /// \returns A hash value for hash tables.
     [[nodiscard]] std::uint64_t hash() const noexcept;
 
-    /// \returns Whether both are of one key; takes the same time wherever they differ.
+    /// \returns Whether both are digests of the same key; compares in constant time.
     [[nodiscard]] bool operator==(const ApiKeyDigest& other) const noexcept;
 
 private:
-    static constexpr std::size_t length = 32; // Bytes; BLAKE2b's usual one.
+    static constexpr std::size_t length = 32; // Bytes; the default of BLAKE2b.
 
     std::array<unsigned char, length> m_bytes {};
 };
--- a/include/lanemoor/jobs/model/event_loop.h
+++ b/include/lanemoor/jobs/model/event_loop.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Time and timers of the job service, behind an interface so that tests run on a simulated clock.
+/// Clocks and timers of the job service; an interface, so that tests can use a simulated clock.
 
 #include "lanemoor/decisions/time.h"
 
@@ -10,27 +10,27 @@
 
 namespace lanemoor::jobs {
 
-/// A point on the clock that never jumps. Deadlines within a process are stored as these.
+/// A time on the monotonic clock. Deadlines within a process use this type.
 using MonotonicInstant = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
 
-/// Names a timer that has not fired yet; 0 names none.
+/// Identifies a timer that has not fired yet; 0: none.
 using TimerId = std::uint64_t;
 
-/// \brief The one thread of a process: all callbacks run on it, one after the other.
+/// \brief The single-threaded event loop of a process: callbacks run one after the other.
 class EventLoop {
 public:
     virtual ~EventLoop() = default;
 
-    /// \returns The time on the clock that never jumps.
+    /// \returns The time on the monotonic clock.
     [[nodiscard]] virtual MonotonicInstant now() const = 0;
 
-    /// \returns The time of day, which may jump and may differ between processes.
+    /// \returns The wall-clock time, which may jump and may differ between processes.
     [[nodiscard]] virtual Instant timeOfDay() const = 0;
 
     /// \brief Calls `callback` at `when` or shortly after it.
     virtual TimerId callAt(MonotonicInstant when, std::function<void()> callback) = 0;
 
-    /// \brief Forgets a timer; one that has fired, or 0, is ignored.
+    /// \brief Cancels a timer; ignored for 0 or a timer that has fired.
     virtual void cancel(TimerId timer) = 0;
 };
 
--- a/include/lanemoor/jobs/model/fleet_control.h
+++ b/include/lanemoor/jobs/model/fleet_control.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The platform's list of instances, and the acts on them.
+/// The platform's list of instances and the actions on them, and its placement advisor.
 
 #include "lanemoor/jobs/model/job_spec.h"
 
@@ -20,64 +20,63 @@
     Down,
 };
 
-/// One instance in the platform's list, which lags.
+/// One instance in the platform's list, which may lag behind the actual state.
 struct FleetInstance {
     std::string id;
     std::string pool;
     FleetState state = FleetState::Down;
     std::string dataHall;
-    std::string kind; ///< Instances of one kind are alike; pools take one or more kinds.
+    std::string kind; ///< Instances of one kind have the same hardware; a pool accepts one or more kinds.
     std::string rack;
     Resources capacity;
-    std::string worker; ///< Id of the worker's life on it; empty: none.
+    std::string worker; ///< Id of the worker incarnation on it; empty: none.
 
     [[nodiscard]] bool operator==(const FleetInstance&) const = default;
 };
 
-/// A list may be this much older than the answer that brings it: after an act it may still show
-/// the instance as it was.
+/// Maximum age of a list when it arrives. A list that arrives this soon after an action may still show the instance's former state.
 constexpr Millis fleetListLag { 1'200 };
 
-/// What came of an act on an instance.
+/// Outcome of an action on an instance.
 enum class FleetOutcome {
     Done,
     Fenced,
-    Busy, ///< Not up, or leaving.
+    Busy, ///< The instance is not up, or is leaving.
     NotInWave,
-    Refused, ///< No such instance, or a pool that it can't join.
-    NotDone, ///< Certainly not carried out; try again.
-    Unknown, ///< It may have been carried out.
+    Refused, ///< There is no such instance, or it can't join the pool.
+    NotDone, ///< Certainly not carried out; may be retried.
+    Unknown, ///< May have been carried out.
 };
 
 /// \returns A short name of `outcome`.
 [[nodiscard]] std::string_view nameOf(FleetOutcome outcome) noexcept;
 
-/// Who sends an act.
+/// The sender of an action.
 struct FleetHolder {
     std::string name;
-    std::uint64_t epoch = 0; ///< Rises with each holder.
+    std::uint64_t epoch = 0; ///< Fencing token; increases with each holder.
 };
 
-/// Answer to a call for the whole list.
+/// Result of FleetControl::list.
 struct FleetList {
     bool complete = false; ///< False: the platform did not answer; `instances` is empty.
     std::vector<FleetInstance> instances;
 };
 
-/// \brief The instances. Each callback is called exactly once, never from within the call.
+/// \brief Lists, moves and maintains instances. Each callback is called exactly once, after the call has returned.
 class FleetControl {
 public:
     virtual ~FleetControl() = default;
     virtual void list(std::function<void(FleetList)> done) = 0;
 
-    /// \brief Moves an instance to another pool; all that runs there dies at once.
+    /// \brief Moves an instance to another pool; all tasks on it are killed at once.
     virtual void move(const std::string& instance, const std::string& pool, const FleetHolder& holder, std::function<void(FleetOutcome)> done) = 0;
 
-    /// \brief Begins an instance's maintenance; all that runs there dies at once.
+    /// \brief Begins an instance's maintenance; all tasks on it are killed at once.
     virtual void maintain(const std::string& instance, std::uint64_t wave, const FleetHolder& holder, std::function<void(FleetOutcome)> done) = 0;
 };
 
-/// A worker that may run a step, with the ticket that proves it.
+/// A worker that may run a step, with the ticket that authorises it.
 struct AdvisedWorker {
     std::string worker;
     std::string ticket;
@@ -85,14 +84,14 @@
     [[nodiscard]] bool operator==(const AdvisedWorker&) const = default;
 };
 
-/// Answer of the placement advisor.
+/// Result of PlacementAdvisor::advise.
 struct Advice {
-    bool answered = false; ///< False: ask again later.
+    bool answered = false; ///< False: no answer; the call may be retried later.
     std::vector<AdvisedWorker> workers;
     Millis validity { 0 }; ///< Of the tickets.
 };
 
-/// \brief Says which workers may run a step, under policies that only the platform knows.
+/// \brief Decides which workers may run a step, by policies that only the platform has.
 class PlacementAdvisor {
 public:
     virtual ~PlacementAdvisor() = default;
--- a/include/lanemoor/jobs/model/forward_declarations.h
+++ b/include/lanemoor/jobs/model/forward_declarations.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Names of the job service, for headers that need no more than the name.
+/// Forward declarations of the job service's types.
 
 namespace lanemoor::jobs {
 
--- a/include/lanemoor/jobs/model/job_record.h
+++ b/include/lanemoor/jobs/model/job_record.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What the store holds of a job, its progress and the owner, and under which keys.
+/// Records that the store holds of jobs, their progress and their owner, with keys and codecs.
 
 #include "lanemoor/jobs/model/job_spec.h"
 
@@ -15,21 +15,21 @@
 namespace lanemoor::jobs {
 
 /// \name Keys
-/// What entry instances copy lies under one prefix, so that one watch brings every change in its order. What only owners read lies
-/// outside: a record of some hundred acts would otherwise go to every copy with each act.
+/// All keys that entry instances replicate have one prefix, so that one watch delivers every change in order. Keys that only owners
+/// read are outside that prefix: a record of several hundred actions would otherwise be sent to every replica on each action.
 ///@{
 constexpr std::string_view jobServicePrefix = "lanemoor/";
 constexpr std::string_view jobKeyPrefix = "lanemoor/job/";
 constexpr std::string_view progressKeyPrefix = "lanemoor/progress/";
 constexpr std::string_view cancelKeyPrefix = "lanemoor/cancel/";
 constexpr std::string_view ownershipPrefix = "lanemoor/ownership/";
-constexpr std::string_view ownerKeyPrefix = "lanemoor/ownership/holder/"; ///< Bound to the owner's lease.
-constexpr std::string_view termKeyPrefix = "lanemoor/ownership/term/"; ///< Outlasts the owner.
+constexpr std::string_view ownerKeyPrefix = "lanemoor/ownership/holder/"; ///< Keys bound to the owner's lease.
+constexpr std::string_view termKeyPrefix = "lanemoor/ownership/term/"; ///< Keys that outlive the owner.
 
 constexpr std::string_view ownerPrefix = "lanemoor-owner/";
-constexpr std::string_view actsKey = "lanemoor-owner/acts"; ///< Instances that the owner acted on of late.
+constexpr std::string_view actsKey = "lanemoor-owner/acts"; ///< Instances that the owner recently acted on.
 constexpr std::string_view queueCountsKey = "lanemoor-owner/queue-counts";
-[[nodiscard]] std::string waveKey(std::uint64_t wave); ///< Instances of a wave whose maintenance began.
+[[nodiscard]] std::string waveKey(std::uint64_t wave); ///< Instances of a wave whose maintenance has begun.
 [[nodiscard]] std::string jobKey(std::string_view id);
 [[nodiscard]] std::string progressKey(std::string_view id);
 [[nodiscard]] std::string cancelKey(std::string_view id);
@@ -38,51 +38,51 @@
 /// An accepted job. Immutable.
 struct JobRecord {
     std::string queue;
-    std::string pool; ///< Of the queue when the job came, for when the queue is gone.
-    Instant acceptedAt; ///< By the clock of the entry instance that took it.
+    std::string pool; ///< The queue's pool at submission; used if the queue is deleted.
+    Instant acceptedAt; ///< By the clock of the entry instance that accepted it.
     JobSpec spec;
-    std::string organisation; ///< That handed it in; empty: nobody was asked. Outlasts its keys.
+    std::string organisation; ///< The submitter's; empty: unknown, as no key was required. Unaffected when the organisation's keys are removed.
 
     [[nodiscard]] bool operator==(const JobRecord&) const = default;
 };
 
 /// Consecutive worker crashes attributed to a task.
 struct CrashCount {
-    std::uint32_t confirmed = 0; ///< The worker had acknowledged the start, and its incarnation is proved to be over.
-    std::uint32_t unconfirmed = 0; ///< The start may not have arrived.
+    std::uint32_t confirmed = 0; ///< Crashes of incarnations that had acknowledged the start and have certainly ended.
+    std::uint32_t unconfirmed = 0; ///< Crashes before which the start may not have arrived.
 
     [[nodiscard]] std::uint32_t total() const noexcept { return confirmed + unconfirmed; }
     [[nodiscard]] bool operator==(const CrashCount&) const = default;
 };
 
-/// A start of a suspect task whose worker is not known to have survived it, nor to have crashed. Kept in the store, so that the next
-/// owner can settle it.
+/// A start of a suspect task for which it is not known yet whether the worker survived it or crashed. Stored, so that the next owner
+/// can settle it.
 struct Probation {
-    std::uint64_t attempt = 0; ///< Number.
-    std::string worker; ///< Id.
-    std::int64_t workerStartedAt = 0; ///< Names the incarnation; Unix ms; 0: not reported.
+    std::uint64_t attempt = 0; ///< Attempt number.
+    std::string worker; ///< Worker id.
+    std::int64_t workerStartedAt = 0; ///< Identifies the incarnation; Unix ms; 0: not reported.
     bool isAcknowledged = false; ///< That incarnation acknowledged the start.
-    bool isSilent = false; ///< An owner saw the worker fall silent before it had survived the start.
+    bool isSilent = false; ///< An owner saw the worker become unresponsive before it had survived the start.
 
-    /// \returns Whether the end of the incarnation confirms a crash by the start. Without an owner that saw it fall silent, the
+    /// \returns Whether the end of the incarnation confirms a crash by the start. If no owner saw the worker become unresponsive, the
     /// incarnation may have ended long after the attempt.
     [[nodiscard]] bool confirmsCrash() const noexcept { return isAcknowledged && isSilent; }
 
     [[nodiscard]] bool operator==(const Probation&) const = default;
 };
 
-/// What is kept of a task that has not succeeded.
+/// Stored state of a task that has not succeeded.
 struct TaskRecord {
     std::vector<std::uint64_t> failedAttempts;
     std::string checkpoint;
     CrashCount crashes;
     std::vector<Probation> probations;
-    bool givenUp = false; ///< Not started again: it crashes its workers.
+    bool givenUp = false; ///< The task crashes its workers and is not started again.
 
     [[nodiscard]] bool operator==(const TaskRecord&) const = default;
 };
 
-/// Names one step in one occurrence.
+/// Identifies one step in one occurrence.
 struct StepId {
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
@@ -90,11 +90,11 @@
     [[nodiscard]] auto operator<=>(const StepId&) const = default;
 };
 
-/// How far a job has come. Only ever grows: a success stands, a failure counts.
+/// Progress of a job. Grows monotonically: recorded successes and failures are final.
 struct ProgressRecord {
     JobStatus status = JobStatus::Queued;
-    std::uint32_t occurrencesDone = 0; ///< The first ones; nothing else is kept of them.
-    std::map<StepId, std::vector<bool>> succeeded; ///< By task index; steps without a success are absent.
+    std::uint32_t occurrencesDone = 0; ///< Number of leading occurrences that are finished; no other state of them is stored.
+    std::map<StepId, std::vector<bool>> succeeded; ///< Per step, by task index; steps without a success are absent.
     std::map<TaskId, TaskRecord> tasks;
 
     [[nodiscard]] bool operator==(const ProgressRecord&) const = default;
@@ -104,12 +104,12 @@
 struct OwnerRecord {
     std::string holder;
     std::uint64_t term = 0; ///< 1 for the first owner, one more for each later one.
-    std::string peer; ///< Address where instances offer to relay its calls; empty: it takes no offers.
+    std::string peer; ///< Address to which instances connect to relay its calls; empty: it uses no relays.
 
     [[nodiscard]] bool operator==(const OwnerRecord&) const = default;
 };
 
-/// A count may be this old when it is shown, by the platform's bound.
+/// The platform's limit on the age of a published count.
 constexpr Millis maxCountAge { 2'000 };
 
 /// Accepted jobs that have not begun, by queue.
@@ -121,7 +121,7 @@
 };
 
 /// \name Codecs
-/// Compact protobuf. A text that can't be read gives nothing.
+/// Records are encoded as protobuf. Decoders return nothing for unreadable bytes.
 ///@{
 [[nodiscard]] std::string encode(const JobRecord& record);
 [[nodiscard]] std::string encode(const ProgressRecord& record);
@@ -130,7 +130,7 @@
 [[nodiscard]] std::string encode(const std::set<std::string>& instances);
 [[nodiscard]] std::optional<std::set<std::string>> decodeInstances(std::string_view bytes);
 
-/// \param ages How long ago each instance was acted on.
+/// \param ages Time since the latest action on each instance.
 [[nodiscard]] std::string encodeActs(const std::map<std::string, Millis>& ages);
 [[nodiscard]] std::optional<std::map<std::string, Millis>> decodeActs(std::string_view bytes);
 [[nodiscard]] std::optional<JobRecord> decodeJob(std::string_view bytes);
--- a/include/lanemoor/jobs/model/job_spec.h
+++ b/include/lanemoor/jobs/model/job_spec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A job as its caller describes it: steps of tasks, with what each task needs.
+/// A job's specification: steps of tasks with their resource needs and constraints.
 
 #include "lanemoor/decisions/time.h"
 
@@ -12,7 +12,7 @@
 
 namespace lanemoor::jobs {
 
-/// What a task needs, or an instance has.
+/// Resources that a task needs or an instance has.
 struct Resources {
     std::int64_t milliCpu = 0; ///< Thousandths of a core.
     std::int64_t memoryMb = 0;
@@ -20,47 +20,46 @@
 
     [[nodiscard]] bool operator==(const Resources&) const = default;
 
-    /// \returns Whether `needed` fits into this.
+    /// \returns Whether `needed` fits into these resources.
     [[nodiscard]] bool covers(const Resources& needed) const noexcept;
 
     Resources& operator+=(const Resources& other) noexcept;
     Resources& operator-=(const Resources& other) noexcept;
 };
 
-/// A step: `count` tasks that are alike.
+/// A step: `count` identical tasks.
 struct StepSpec {
     std::uint32_t count = 0;
     Resources needs; ///< Of each task.
-    Millis estimate { 0 }; ///< Of a task's run time, as the caller guesses.
+    Millis estimate { 0 }; ///< The caller's estimate of a task's run time.
     std::vector<std::uint32_t> dependsOn; ///< Steps of which every task must have succeeded.
     bool checkpointing = false;
-    bool gang = false; ///< The tasks work only all together.
-    bool sameRack = false; ///< A gang slows down if spread over racks.
-    std::string requiredLabel; ///< An instance must have it; empty: any instance will do.
-    std::string preferredRack; ///< Where the data lies; tasks are slower elsewhere.
-    std::uint32_t mostPerInstance = 0; ///< Tasks on one instance; 0: no limit.
-    bool speculative = false; ///< Copies may run side by side.
+    bool gang = false; ///< The tasks must all run at the same time.
+    bool sameRack = false; ///< A gang that is slower if spread over racks.
+    std::string requiredLabel; ///< Label that the instance must have; empty: any instance.
+    std::string preferredRack; ///< The rack with the data; tasks are slower elsewhere.
+    std::uint32_t mostPerInstance = 0; ///< Maximum number of these tasks on one instance; 0: no limit.
+    bool speculative = false; ///< Copies of a task may run concurrently.
     bool longRunning = false; ///< Runs until the job is cancelled; restarted however it ends.
-    std::string image; ///< Tasks of one image behave alike.
-    Millis latencyTarget { 0 }; ///< For the tail of a serving task's own answers; 0: does not serve.
-    bool bestEffort = false; ///< Takes what processor time the others leave.
-    std::uint32_t disruptionBudget = 0; ///< Tasks of a long-running step that may be away at once; 0: no budget.
+    std::string image; ///< Tasks of one image are assumed to behave alike.
+    Millis latencyTarget { 0 }; ///< For the tail latency of a serving task's responses; 0: does not serve.
+    bool bestEffort = false; ///< Uses only processor time that other tasks leave idle.
+    std::uint32_t disruptionBudget = 0; ///< Maximum number of unavailable tasks of a long-running step; 0: no budget.
 
     [[nodiscard]] bool operator==(const StepSpec&) const = default;
 };
 
-/// A job.
 struct JobSpec {
-    std::string payload; ///< Handed to each task as it is.
+    std::string payload; ///< Passed unchanged to each task.
     std::vector<StepSpec> steps;
-    std::uint32_t occurrences = 0; ///< Times that the steps run; 0: once, at once.
+    std::uint32_t occurrences = 0; ///< Number of times that the steps run; 0: once, immediately.
     Instant firstStart; ///< Due time of the first occurrence.
     Millis interval { 0 }; ///< Between due times.
 
     [[nodiscard]] bool operator==(const JobSpec&) const = default;
 };
 
-/// What is wrong with a job's description.
+/// The first fault found in a job's specification.
 enum class JobFault {
     Malformed, ///< Not an object of the expected form.
     BadId,
@@ -76,16 +75,16 @@
 /// \returns A short English text for `fault`.
 [[nodiscard]] std::string_view describe(JobFault fault) noexcept;
 
-constexpr std::size_t mostPayloadBytes = 4'000; // The platform's limit for what a task is handed.
-constexpr std::uint32_t mostTasksOfJob = 20'000; // Keeps one job's progress below a tenth of a value's limit.
+constexpr std::size_t mostPayloadBytes = 4'000; // The platform's limit on a task's payload.
+constexpr std::uint32_t mostTasksOfJob = 20'000; // Keeps a job's progress record below a tenth of the store's size limit for a value.
 
-/// \returns What is wrong with `job`, or nothing.
+/// \returns A fault of `job`, or nothing.
 [[nodiscard]] std::optional<JobFault> faultOf(const JobSpec& job);
 
 /// \returns Whether `text` is 16 lower-case hexadecimal digits.
 [[nodiscard]] bool isJobId(std::string_view text) noexcept;
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 struct TaskId {
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
@@ -94,7 +93,7 @@
     [[nodiscard]] auto operator<=>(const TaskId&) const = default;
 };
 
-/// How a job stands.
+/// Status of a job.
 enum class JobStatus {
     Queued, ///< None of its tasks has begun.
     Running,
@@ -103,7 +102,7 @@
     Cancelled,
 };
 
-/// \returns Whether nothing more will run under a job of this status.
+/// \returns Whether no task of a job with this status will start any more.
 [[nodiscard]] constexpr bool isFinal(JobStatus status) noexcept
 {
     return status == JobStatus::Succeeded || status == JobStatus::Failed || status == JobStatus::Cancelled;
@@ -112,13 +111,13 @@
 /// \returns A short name of `status`.
 [[nodiscard]] std::string_view nameOf(JobStatus status) noexcept;
 
-/// \returns The sum of estimates along the longest chain of steps.
+/// \returns The duration of the critical path: the largest sum of estimates along a chain of dependent steps.
 [[nodiscard]] Millis longestChain(const JobSpec& spec);
 
-/// \returns Declared work of all tasks of one occurrence, thousandths of a core times ms.
+/// \returns The declared work of all tasks of one occurrence, in thousandths of a core times ms.
 [[nodiscard]] std::int64_t declaredWork(const JobSpec& job) noexcept;
 
-/// \returns Whether the job has an objective: one that recurs or lasts has none.
+/// \returns Whether the job has a completion-time objective; recurring and long-running jobs have none.
 [[nodiscard]] bool hasObjective(const JobSpec& job) noexcept;
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A job under way, as its owner sees it: which tasks may start, run, have ended.
+/// The owner's state of a job: which tasks may start, run or have ended.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/job_record.h"
@@ -15,85 +15,84 @@
 
 namespace lanemoor::jobs {
 
-/// What the owner knows of an attempt that is not over.
+/// Phase of an attempt that has not ended, as known to the owner.
 enum class AttemptPhase {
     Recording, ///< The start is sent once its probation is stored.
-    Ordered, ///< The start was sent and has no answer yet.
+    Ordered, ///< The start was sent and is not answered yet.
     Running, ///< The worker confirmed it.
-    Doubtful, ///< The start got no usable answer: it may run, or may yet begin.
+    Doubtful, ///< The start got no usable answer: the attempt may be running, or may begin later.
     Stopping, ///< A stop was sent.
 };
 
 /// \returns A short name of `phase`.
 [[nodiscard]] std::string_view nameOf(AttemptPhase phase) noexcept;
 
-/// An attempt that is not over.
+/// An attempt that has not ended.
 struct LiveAttempt {
     std::uint64_t number = 0;
-    std::string worker; ///< Id of the life that was told.
+    std::string worker; ///< Id of the worker incarnation that the start was sent to.
     AttemptPhase phase = AttemptPhase::Ordered;
-    MonotonicInstant startedAt; ///< When the order was sent, or the attempt was found at the worker.
+    MonotonicInstant startedAt; ///< When the start was sent, or the attempt was found running at the worker.
     MonotonicInstant phaseSince;
     std::optional<MonotonicInstant> stopAnsweredAt;
-    bool adopted = false; ///< An earlier owner started it, and may have ordered it to stop.
-    std::uint32_t percent = 0; ///< As last reported.
+    bool adopted = false; ///< An earlier owner started it, and may have sent a stop for it.
+    std::uint32_t percent = 0; ///< Progress as last reported.
     MonotonicInstant percentSince; ///< When `percent` last changed.
-    bool listed = false; ///< A report of this life of the worker showed it.
-    std::int64_t confirmedOnClock = 0; ///< The worker's clock, ms, when it first said that the attempt is there; 0: it never did.
-    /// The worker's clock, ms, when the start was sent to a worker that had just answered; 0: it had not.
+    bool listed = false; ///< A status report of this worker incarnation listed it.
+    std::int64_t confirmedOnClock = 0; ///< The worker's clock, ms, when it first confirmed the attempt; 0: not confirmed.
+    /// The worker's clock, ms, when the start was sent; 0: unknown, as the worker had not answered shortly before.
     std::int64_t sentOnClock = 0;
-    bool crashAttributed = false; ///< A crash counts against it already: one start crashes one incarnation at most.
-    bool keepsProbation = false; ///< Its probation outlasts it: the worker was silent until its lease expired.
+    bool crashAttributed = false; ///< A crash is attributed to it already; one start crashes at most one incarnation.
+    bool keepsProbation = false; ///< Its probation outlives it, since the worker was unresponsive until the lease expired.
 
-    /// \returns Since when it has made no progress that a report showed.
+    /// \returns When the attempt last made reported progress or changed its phase.
     [[nodiscard]] MonotonicInstant standsSince() const noexcept { return std::max(percentSince, phaseSince); }
 
-    /// \returns Whether the worker has ever said that the attempt is there.
+    /// \returns Whether the worker has ever reported or acknowledged the attempt.
     [[nodiscard]] bool wasConfirmed() const noexcept { return listed || confirmedOnClock > 0; }
 
     [[nodiscard]] bool operator==(const LiveAttempt&) const = default;
 };
 
-/// One task under way.
+/// State of a task in an open occurrence.
 struct TaskState {
     bool succeeded = false;
     std::vector<std::uint64_t> failedAttempts;
     std::string checkpoint;
     std::uint64_t lastAttempt = 0; ///< The highest number ever used or seen.
     std::optional<LiveAttempt> live;
-    std::string avoidWorker; ///< Where it failed last; another one is tried first.
-    MonotonicInstant notBefore; ///< Of the next start.
-    CrashCount crashes; ///< Consecutive.
-    std::uint64_t crashedAttempt = 0; ///< No earlier one says anything of `crashes`.
-    std::vector<Probation> probations; ///< Of the live attempt and of earlier ones, if the task or a silent worker is suspect.
-    bool givenUp = false; ///< Not started again since it crashes its workers; a long-running job goes on without it.
-
-    /// \returns Crashes that may be its doing, those that are still open included; 0: it is no suspect.
+    std::string avoidWorker; ///< The worker where it failed last; other workers are preferred.
+    MonotonicInstant notBefore; ///< Earliest time of the next start.
+    CrashCount crashes; ///< Consecutive crashes.
+    std::uint64_t crashedAttempt = 0; ///< Survived attempts with lower numbers don't reset `crashes`.
+    std::vector<Probation> probations; ///< Of the live attempt and of earlier ones, if the task is suspect or a worker is unresponsive.
+    bool givenUp = false; ///< The task crashes its workers and is not started again; a long-running job continues without it.
+
+    /// \returns The number of crashes attributed to the task plus its unsettled probations; 0: the task is no suspect.
     [[nodiscard]] std::uint32_t suspicion() const noexcept { return crashes.total() + static_cast<std::uint32_t>(probations.size()); }
 
     /// \returns The probation of an attempt, or null.
     [[nodiscard]] const Probation* probationOf(std::uint64_t attempt) const noexcept;
 };
 
-/// One step of one occurrence under way.
+/// State of one step of an open occurrence.
 struct StepState {
     std::vector<TaskState> tasks;
-    std::uint32_t succeeded = 0; ///< Tasks.
-    std::uint32_t live = 0; ///< Tasks with an attempt that is not over.
+    std::uint32_t succeeded = 0; ///< Number of tasks that have succeeded.
+    std::uint32_t live = 0; ///< Number of tasks with a live attempt.
 
-    /// \returns Tasks that have neither succeeded nor an attempt that is not over.
+    /// \returns The number of tasks that have neither succeeded nor a live attempt.
     [[nodiscard]] std::uint32_t idle() const noexcept { return static_cast<std::uint32_t>(tasks.size()) - succeeded - live; }
 };
 
-/// What an ended attempt changed.
+/// Effect of the end of an attempt on its job.
 struct EndEffect {
-    bool toBeStored = false; ///< The progress grew.
+    bool toBeStored = false; ///< The progress record changed and must be stored.
     bool finished = false; ///< The job's status became final.
-    bool counted = false; ///< The end belonged to a task that was not over.
+    bool counted = false; ///< The end was applied, since its task had neither succeeded nor another live attempt.
 };
 
-/// \brief A job under way. Pure: time is passed in. Transitions that make no sense, such as
-/// the end of an attempt nobody knows, change nothing.
+/// \brief State machine of a job. Pure: time is passed in. Invalid transitions, such as the end of an unknown attempt, are ignored.
 ///
 /// \code
 /// JobState job(id, record, progress, termBase);
@@ -103,44 +102,44 @@
 /// \endcode
 class JobState {
 public:
-    /// \param attemptBase Attempts of this owner have higher numbers than this.
+    /// \param attemptBase This owner numbers its attempts from `attemptBase` + 1.
     JobState(std::string id, std::shared_ptr<const JobRecord> record, const ProgressRecord& progress, std::uint64_t attemptBase);
 
-    /// \name Facts
+    /// \name Queries
     ///@{
     [[nodiscard]] const std::string& id() const noexcept { return m_id; }
     [[nodiscard]] const JobRecord& record() const noexcept { return *m_record; }
     [[nodiscard]] JobStatus status() const noexcept { return m_status; }
     [[nodiscard]] const StepSpec& spec(std::uint32_t step) const { return m_record->spec.steps[step]; }
 
-    /// \returns A step that lives as long as the pointer.
+    /// \returns A step, kept alive by the pointer.
     [[nodiscard]] std::shared_ptr<const StepSpec> sharedSpec(std::uint32_t step) const;
 
-    /// \returns Null for a task that is not there, or whose occurrence is not open.
+    /// \returns Null for a task that does not exist, or whose occurrence is not open.
     [[nodiscard]] const TaskState* find(const TaskId& task) const noexcept;
 
-    /// \returns Open occurrences and steps.
+    /// \returns The steps of open occurrences.
     [[nodiscard]] const std::map<StepId, StepState>& steps() const noexcept { return m_steps; }
 
     /// \returns Whether all steps that `step` depends on have succeeded.
     [[nodiscard]] bool isUnblocked(const StepId& step) const;
 
-    /// \returns Tasks of `step` that may start now; none if it is blocked or the job is over.
+    /// \returns Tasks of `step` that may start now; none if the step is blocked or the job's status is final.
     [[nodiscard]] std::vector<TaskId> startable(const StepId& step, MonotonicInstant now) const;
 
-    /// \returns A number that grows whenever a task may have become startable other than by time.
+    /// \returns A counter that increases whenever a task may have become startable for a reason other than the passage of time.
     [[nodiscard]] std::uint64_t changes() const noexcept { return m_changes; }
 
-    /// \returns Attempts that are not over.
+    /// \returns Attempts that have not ended.
     [[nodiscard]] std::vector<Attempt> liveAttempts() const;
 
-    /// \returns Whether a failure of this attempt, or of its gang, was counted.
+    /// \returns Whether a failure of this attempt, or of its gang, is recorded.
     [[nodiscard]] bool hasFailed(const Attempt& attempt) const;
 
     /// \returns When the next occurrence is due, or nothing.
     [[nodiscard]] std::optional<Instant> nextDue() const;
 
-    /// \returns What the store should hold of this job.
+    /// \returns The progress record to store.
     [[nodiscard]] ProgressRecord progress() const;
     ///@}
 
@@ -150,7 +149,7 @@
     /// \returns Whether one was opened.
     bool openOccurrences(Instant timeOfDay);
 
-    /// \returns The number that the next attempt of `task` has; for a gang, of all its tasks.
+    /// \returns The number of the next attempt of `task`; the tasks of a gang share it.
     [[nodiscard]] std::uint64_t nextAttempt(const TaskId& task) const;
 
     /// \returns Whether this owner has neither started the task nor seen an attempt of it.
@@ -159,64 +158,64 @@
     /// \brief Notes that a start was sent.
     void begin(const TaskId& task, std::uint64_t number, const std::string& worker, MonotonicInstant now);
 
-    /// \brief Notes an attempt found running at `worker`, though this owner did not start it.
-    /// Until it is over the task starts nowhere else, also if the attempt is not wanted.
-    /// \returns False if the task is over, not open, or has another attempt.
+    /// \brief Notes an attempt that runs at `worker` and was started by an earlier owner. Until it ends the task starts nowhere else, even
+    /// if the attempt is to be stopped.
+    /// \returns False if the task or job has finished, the occurrence is not open, or the task has another live attempt.
     bool adopt(const Attempt& attempt, const std::string& worker, MonotonicInstant now);
 
-    /// \brief Notes that the start of a recorded attempt is sent now.
-    /// \param workerClock Of a worker that has just answered, ms; 0: it has not.
+    /// \brief Notes that the start of an attempt in phase Recording is sent now.
+    /// \param workerClock The worker's clock, ms; 0: unknown, as the worker has not answered recently.
     void noteSent(const Attempt& attempt, std::int64_t workerClock, MonotonicInstant now);
 
-    /// \brief Changes the phase of a live attempt; ignored if it is not live.
+    /// \brief Changes the phase of a live attempt; ignored for other attempts.
     void setPhase(const Attempt& attempt, AttemptPhase phase, MonotonicInstant now);
 
-    /// \brief Notes that the worker said, when its clock stood at `workerClock` ms, that a live attempt is there.
-    /// \returns Whether that acknowledges a start on probation, which is to be stored.
+    /// \brief Notes that the worker confirmed a live attempt at `workerClock` ms on its own clock.
+    /// \returns Whether this acknowledges a start on probation, which must be stored.
     bool noteConfirmed(const Attempt& attempt, std::int64_t workerClock);
 
     /// \brief Notes the answer to a stop.
     void noteStopAnswered(const Attempt& attempt, MonotonicInstant now);
 
-    /// \brief Notes progress and the newest checkpoint of a live attempt.
+    /// \brief Updates the progress and the checkpoint of a live attempt.
     void noteReport(const RunningAttempt& report, MonotonicInstant now);
 
     /// \brief Notes that an attempt ended at `worker`.
-    /// \param mostAttempts Failures of a task with which the job fails.
+    /// \param mostAttempts Number of failures of one task at which the job fails.
     EndEffect end(const EndedAttempt& ended, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now);
 
-    /// \brief Drops a live attempt that never ran, vanished or died with its worker.
+    /// \brief Drops a live attempt that never ran, vanished or ended with its worker.
     /// \param retryAt When the task may start again.
     void drop(const Attempt& attempt, MonotonicInstant retryAt);
 
     /// \brief Puts a live attempt on probation: its worker may not survive the start.
-    /// \param workerStartedAt Of the worker's incarnation, Unix ms; 0: not reported.
-    /// \returns False if it is on probation already, or there is no such attempt.
+    /// \param workerStartedAt Start time of the worker incarnation, Unix ms; 0: not reported.
+    /// \returns False if the attempt is on probation already or is not live.
     bool beginProbation(const Attempt& attempt, std::int64_t workerStartedAt);
 
-    /// \brief Notes that the worker of a live attempt on probation is silent. \returns Whether that is news, to be stored.
+    /// \brief Notes that the worker of a live attempt on probation is unresponsive. \returns Whether the probation changed and must be stored.
     bool noteSilence(const Attempt& attempt);
 
-    /// \brief Lets the probation of a live attempt outlast it, since only the fate of the silent worker settles it.
+    /// \brief Keeps the probation of a live attempt beyond its end, since only the unresponsive worker's survival or crash settles it.
     void keepProbation(const Attempt& attempt);
 
-    /// \brief Ends a probation without a crash: the start did not reach the worker, or the worker's end has another reason.
-    /// \returns Whether there was one.
+    /// \brief Ends a probation without a crash: the start did not reach the worker, or the worker ended for another reason.
+    /// \returns Whether the attempt was on probation.
     bool withdrawProbation(const Attempt& attempt);
 
-    /// \brief Attributes a worker crash to an attempt, which ends its probation.
+    /// \brief Attributes a worker crash to an attempt and ends its probation.
     /// \param isConfirmed Whether the crashed incarnation had acknowledged the start.
     void noteCrash(const Attempt& attempt, bool isConfirmed);
 
-    /// \brief Notes that a worker has survived the latest start of the task. \returns Whether that clears it of suspicion.
+    /// \brief Notes that a worker has survived the latest start of the task. \returns Whether the task was suspect.
     bool noteSurvived(const TaskId& task);
 
-    /// \brief Notes that a worker has survived the start of an attempt, which says nothing of later ones.
-    /// \returns Whether that changes what is suspected.
+    /// \brief Notes that a worker has survived the start of an attempt; probations of later attempts remain.
+    /// \returns Whether the task was suspect.
     bool noteAttemptSurvived(const Attempt& attempt);
 
-    /// \brief Fails a task permanently since it crashes its workers. Its job fails; a long-running one goes on without it: its
-    /// other tasks serve their users, and its disruption budget may not allow to stop them.
+    /// \brief Fails a task permanently since it crashes its workers. Its job fails; a long-running job continues without the task, as its
+    /// other tasks serve users and its disruption budget may forbid stopping them.
     /// \returns Whether the job's status became final.
     bool giveUp(const TaskId& task);
 
@@ -244,7 +243,7 @@
     std::uint32_t m_occurrencesDone;
     std::uint32_t m_occurrencesOpened;
     std::uint64_t m_changes = 0;
-    ProgressRecord m_initial; ///< For occurrences that are not open yet.
+    ProgressRecord m_initial; ///< Stored progress, for occurrences that are not open yet.
     std::map<StepId, StepState> m_steps;
 };
 
--- a/include/lanemoor/jobs/model/key_value_store.h
+++ b/include/lanemoor/jobs/model/key_value_store.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The store as the job service needs it: conditional transactions, ranges, watches and leases.
+/// Interface to the key-value store: conditional transactions, ranges, watches and leases.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -13,21 +13,21 @@
 
 namespace lanemoor::jobs {
 
-/// What came of a call to the store.
+/// Outcome of a call to the store.
 enum class StoreOutcome {
     Done,
     Conflict, ///< A condition did not hold; nothing was written.
     NotFound, ///< No such key or lease.
-    HistoryGone, ///< A watch starts before what the store still remembers.
+    HistoryGone, ///< The watch starts at a revision that the store has compacted.
     NotDone, ///< Certainly not carried out: no connection, or the store refused the call.
-    Unknown, ///< No usable answer; a write may have been carried out, or may be later.
-    Abandoned, ///< The store answered, and the caller did not want the rest of the answer.
+    Unknown, ///< No usable answer; a write may have been carried out, or may be carried out later.
+    Abandoned, ///< The store began to answer, and the caller declined the rest of the answer.
 };
 
 /// \returns A short name of `outcome` for logs and metrics.
 [[nodiscard]] std::string_view nameOf(StoreOutcome outcome) noexcept;
 
-/// A key with its value, or the news that it is gone.
+/// A key with its value, or its removal.
 struct StoreItem {
     std::string key;
     std::string value;
@@ -55,10 +55,10 @@
     [[nodiscard]] bool operator==(const StoreWrite&) const = default;
 };
 
-/// Entries of a transaction: conditions, writes and removals together.
+/// Limit on the sum of a transaction's conditions, writes and removals.
 constexpr std::size_t mostTransactionEntries = 32; // The platform's limit.
 
-/// \brief All or nothing: the writes happen if every condition holds.
+/// \brief An atomic transaction: the writes and removals are applied if every condition holds.
 struct Transaction {
     std::vector<KeyRevision> expected;
     std::vector<StoreWrite> writes;
@@ -67,65 +67,65 @@
     [[nodiscard]] bool operator==(const Transaction&) const = default;
 };
 
-/// Answer to a read of one key.
+/// Result of a read of one key.
 struct ReadResult {
     StoreOutcome outcome = StoreOutcome::Unknown;
     StoreItem item;
-    std::uint64_t storeRevision = 0; ///< Of the whole store at the time of the read.
+    std::uint64_t storeRevision = 0; ///< Revision of the whole store at the time of the read.
 };
 
-/// Answer to a range or a watch.
+/// Result of a range or a watch.
 struct ItemsResult {
     StoreOutcome outcome = StoreOutcome::Unknown;
     std::vector<StoreItem> items; ///< In the order of keys (range) or of revisions (watch).
-    bool more = false; ///< A range goes on after the last key.
-    std::uint64_t storeRevision = 0; ///< Where a watch goes on.
+    bool more = false; ///< The range has more items after the last key.
+    std::uint64_t storeRevision = 0; ///< The revision after which a watch continues.
 };
 
-/// A call for one document that may be large.
+/// A read of one document that may be large.
 struct DocumentQuery {
     std::string key;
-    std::uint64_t after = 0; ///< Only changes after this revision of the store; 0: the document as it is.
-    std::uint64_t unless = 0; ///< Without `after`: nothing if the document's last change was this one; 0: the document in any case.
+    std::uint64_t after = 0; ///< Only changes after this revision of the store; 0: the current document.
+    std::uint64_t unless = 0; ///< Without `after`: nothing if the document was last changed at this revision; 0: always the document.
     Millis wait { 0 }; ///< With `after`: how long the store may wait for a change.
-    Millis patience { 1'000 }; ///< Beyond `wait`, for the answer to begin.
-    /// Called at most once, when the answer's body begins to arrive, unless all of it has come. \returns Whether the rest is wanted;
-    /// otherwise the call ends as abandoned. May be null.
+    Millis patience { 1'000 }; ///< Timeout for the first bytes of the answer, in addition to `wait`.
+    /// Called at most once, when a first part of the answer's body has arrived, but not all of it. \returns Whether to receive the rest;
+    /// if false, the call ends with Abandoned. May be null.
     std::function<bool()> begun;
 };
 
-/// Answer to a transaction.
+/// Result of a transaction.
 struct CommitResult {
     StoreOutcome outcome = StoreOutcome::Unknown;
-    std::uint64_t revision = 0; ///< Of the writes, if done.
-    std::vector<StoreItem> current; ///< After a conflict: the keys of the conditions as they are.
-    bool isInferred = false; ///< Done by what the store holds: an equal write may have been carried out before this one was sent.
+    std::uint64_t revision = 0; ///< Revision of the writes, if done.
+    std::vector<StoreItem> current; ///< After a conflict: the current items of the keys in the conditions.
+    bool isInferred = false; ///< The outcome Done was inferred from the store's content; an equal earlier write may have produced it.
 };
 
-/// Answer to a call on a lease.
+/// Result of a call on a lease.
 struct LeaseResult {
     StoreOutcome outcome = StoreOutcome::Unknown;
     std::uint64_t lease = 0;
-    Millis timeToLive { 0 }; ///< As the store set it; counts from the arrival of the call.
+    Millis timeToLive { 0 }; ///< As set by the store; counts from the arrival of the call.
 };
 
-/// \brief The store. Each callback is called exactly once, never from within the call itself. An answer that has begun to arrive
-/// in time is waited for as long as it keeps arriving.
+/// \brief The key-value store. Each callback is called exactly once, after the call has returned. An answer that begins to arrive
+/// within the timeout is received as long as data keeps arriving.
 class KeyValueStore {
 public:
     virtual ~KeyValueStore() = default;
 
     virtual void read(const std::string& key, std::function<void(ReadResult)> done) = 0;
 
-    /// \param afterKey The page starts behind this key; empty: at the beginning.
-    /// \param patience The answer, of up to a megabyte, is waited for this long.
+    /// \param afterKey The page starts after this key; empty: at the beginning.
+    /// \param patience Timeout for the answer, which has up to a megabyte.
     virtual void range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done) = 0;
 
     /// \brief Waits up to `wait` for changes under `prefix` after revision `after`.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done) = 0;
 
-    /// \brief Reads a document. \param done With its changes in the order of revisions, or with the document alone. Items under longer
-    /// keys that begin with its key may be among them. With `unless`, no revision of the store is told.
+    /// \brief Reads a document. \param done Called with the document's changes in the order of revisions, or with the document alone. The
+    /// result may include items whose keys begin with the document's key. With `unless`, `storeRevision` is not set.
     virtual void fetch(DocumentQuery query, std::function<void(ItemsResult)> done) = 0;
 
     virtual void commit(const Transaction& transaction, std::function<void(CommitResult)> done) = 0;
--- a/include/lanemoor/jobs/model/organisation.h
+++ b/include/lanemoor/jobs/model/organisation.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Organisations that hand jobs in: their keys, quotas and shares, as operators configure them.
+/// Organisations that submit jobs, with the API keys, quotas and weights that operators configure.
 
 #include "lanemoor/jobs/model/api_key.h"
 #include "lanemoor/jobs/model/job_spec.h"
@@ -13,26 +13,25 @@
 
 namespace lanemoor::jobs {
 
-/// An organisation.
 struct OrganisationSettings {
     std::string name;
-    std::vector<ApiKeyDigest> keys; ///< Each of them lets a caller in.
-    double weight = 0; ///< Its share when all is full, and the jobs a second that it is owed; 0: no limit.
-    Resources quota; ///< What its tasks may take over all workers at once; a resource of 0 has no limit.
+    std::vector<ApiKeyDigest> keys; ///< Each key authenticates callers.
+    double weight = 0; ///< Weight of its fair share of a full pool, and its rate in jobs a second; 0: no limit.
+    Resources quota; ///< Limit on its running tasks over all workers; a resource of 0 has no limit.
 
     [[nodiscard]] bool operator==(const OrganisationSettings&) const = default;
 };
 
-/// What is wrong with a list of organisations.
+/// A fault in a list of organisations.
 enum class OrganisationFaultCode {
     NoName,
     NameTwice,
-    KeyTwice, ///< Two organisations hold one key: who called could not be told.
+    KeyTwice, ///< Two organisations have the same key, so it does not identify the caller.
     NegativeQuota,
     NegativeWeight,
 };
 
-/// One fault, and whose.
+/// A fault with the name of its organisation.
 struct OrganisationFault {
     OrganisationFaultCode code = OrganisationFaultCode::NoName;
     std::string organisation;
@@ -43,28 +42,26 @@
 /// \returns A short English text for `code`.
 [[nodiscard]] std::string_view describe(OrganisationFaultCode code) noexcept;
 
-/// \brief The organisations of one version of the configuration, by name and by key. Immutable.
-///
-/// A look-up takes the same time for one key and for ten thousand.
+/// \brief The organisations of one version of the configuration, by name and by key. Immutable; lookups take constant time.
 class OrganisationTable {
 public:
     OrganisationTable();
 
-    /// A name or key that comes twice belongs to the first organisation that has it.
+    /// A duplicate name or key belongs to the first organisation that has it.
     explicit OrganisationTable(std::vector<OrganisationSettings> organisations);
 
-    /// \returns Whether there are none: then nobody is asked for a key.
+    /// \returns Whether there are no organisations; then no queue requires a key.
     [[nodiscard]] bool empty() const noexcept;
 
     [[nodiscard]] const std::vector<OrganisationSettings>& all() const noexcept;
 
-    /// \returns The organisation called `name`, or null.
+    /// \returns The organisation with `name`, or null.
     [[nodiscard]] const OrganisationSettings* find(std::string_view name) const noexcept;
 
-    /// \returns The organisation that holds the key, or null.
+    /// \returns The organisation with the key, or null.
     [[nodiscard]] const OrganisationSettings* holderOf(const ApiKeyDigest& key) const noexcept;
 
-    /// \returns All that is wrong, in the order of the list.
+    /// \returns All faults, in the order of the list.
     [[nodiscard]] std::vector<OrganisationFault> faults() const;
 
     [[nodiscard]] bool operator==(const OrganisationTable& other) const noexcept;
--- a/include/lanemoor/jobs/model/platform_documents.h
+++ b/include/lanemoor/jobs/model/platform_documents.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Where the platform keeps what it writes to the store, and how to read it.
+/// Keys and formats of the documents that the platform writes to the store.
 
 #include "lanemoor/jobs/model/service_configuration.h"
 
@@ -11,8 +11,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Keys and documents that others write to the store. A document that can't be read
-/// gives nothing.
+/// \brief Keys and codecs of documents that the platform, workers and operators write to the store. Unreadable documents yield nothing.
 class PlatformDocuments {
 public:
     virtual ~PlatformDocuments() = default;
@@ -22,14 +21,14 @@
     [[nodiscard]] virtual std::string configurationKey() const = 0;
     [[nodiscard]] virtual std::string workerPrefix() const = 0;
     [[nodiscard]] virtual std::string wavePrefix() const = 0;
-    [[nodiscard]] virtual std::string evacuationPrefix() const = 0; ///< A key behind it names the data hall.
+    [[nodiscard]] virtual std::string evacuationPrefix() const = 0; ///< The rest of a key with this prefix is the data hall's name.
     [[nodiscard]] virtual std::string waveStatusKey(std::uint64_t wave) const = 0;
     ///@}
 
     /// \name Documents
     ///@{
     [[nodiscard]] virtual std::optional<ServiceConfiguration> readConfiguration(std::string_view text) const = 0;
-    /// \param fault Set to why there is no worker; null: not asked for.
+    /// \param fault Set to the reason if the entry is rejected; may be null.
     [[nodiscard]] virtual std::optional<WorkerEntry> readWorker(const std::string& id, std::string_view text, WorkerEntryFault* fault) const = 0;
     [[nodiscard]] virtual std::optional<WaveRequest> readWave(std::string_view text) const = 0;
     [[nodiscard]] virtual std::string formatWaveStatus(bool finished) const = 0;
--- a/include/lanemoor/jobs/model/pool_load.h
+++ b/include/lanemoor/jobs/model/pool_load.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A pool as capacity planning sees it: its instances and what its jobs ask of them.
+/// Input of capacity planning: the instances of a pool and the demand of its jobs.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/requirement.h"
@@ -14,35 +14,35 @@
 
 namespace lanemoor::jobs {
 
-/// An instance of a pool, on its way there, or back soon from maintenance.
+/// An instance that is in a pool, moving to it or in maintenance.
 struct PoolInstance {
     std::string instance;
-    std::string kind; ///< Pools take instances of some kinds only.
+    std::string kind; ///< A pool accepts instances of certain kinds only.
     std::string rack;
     Resources capacity;
-    bool sound = true; ///< Takes work now, or will when it is there.
-    bool coming = false; ///< On its way to the pool, or not back from maintenance: it takes no work yet.
-    std::optional<MonotonicInstant> idleSince; ///< It is up, has nothing to run, and could be moved now.
-    std::string drainable; ///< The worker, if it is busy and could be emptied; else empty.
-    MonotonicInstant emptyBy; ///< When the attempts there that end by themselves should have ended.
-    std::uint32_t longRunning = 0; ///< Attempts there that don't end by themselves.
-    std::string drainingFrom; ///< The pool that it is being emptied in for this one; empty: none.
-
-    /// \returns Whether tasks that ask for `label` may run there.
+    bool sound = true; ///< Accepts work now, or will once it has arrived.
+    bool coming = false; ///< Moving to the pool or in maintenance; accepts no work yet.
+    std::optional<MonotonicInstant> idleSince; ///< Set if the instance is up, has no running tasks and may be moved.
+    std::string drainable; ///< Id of its worker, if that is busy and may be drained; else empty.
+    MonotonicInstant emptyBy; ///< Expected end of its attempts, without long-running ones.
+    std::uint32_t longRunning = 0; ///< Number of its long-running attempts.
+    std::string drainingFrom; ///< The pool in which it is drained in order to move to this one; empty: none.
+
+    /// \returns Whether tasks that require `label` may run on the instance.
     [[nodiscard]] bool has(std::string_view label) const noexcept { return label.empty() || label == kind || label == rack; }
 
     [[nodiscard]] bool operator==(const PoolInstance&) const = default;
 };
 
-/// What the tasks of one requirement class ask of their pool.
+/// Load of one requirement class on a pool.
 struct RequirementLoad {
-    std::int64_t demandMilliCpu = 0; ///< What runs and what waits, or what arrivals will keep busy.
-    /// What runs and waits of jobs that end late whatever is done: it gets what nobody else asks for.
+    std::int64_t demandMilliCpu = 0; ///< Running and waiting tasks, or the capacity that arriving jobs will keep busy.
+    /// Running and waiting tasks of jobs that will miss their objective anyway; served with otherwise unused capacity.
     std::int64_t backlogMilliCpu = 0;
-    bool backlogWaits = false; ///< Whether some of it found no room.
-    std::uint32_t leastInstances = 0; ///< Sound ones that its jobs need, whatever their load.
-    bool hasWaiting = false; ///< Whether tasks wait that could start if there were room.
-    Resources largestWaiting; ///< Of the tasks that wait, the largest need of each resource.
+    bool backlogWaits = false; ///< Whether a part of the backlog found no capacity.
+    std::uint32_t leastInstances = 0; ///< Minimum number of healthy instances that its jobs need, regardless of load.
+    bool hasWaiting = false; ///< Whether tasks wait only for capacity.
+    Resources largestWaiting; ///< The largest need of each resource among the waiting tasks.
 
     [[nodiscard]] bool operator==(const RequirementLoad&) const = default;
 };
@@ -50,8 +50,8 @@
 /// A pool with its load.
 struct PoolLoad {
     std::string pool;
-    bool reserve = false; ///< Its instances are off.
-    bool hasArrivals = false; ///< Whether jobs that end by themselves arrive.
+    bool reserve = false; ///< Its instances are switched off.
+    bool hasArrivals = false; ///< Whether jobs arrive that are not long-running.
     std::map<Requirement, RequirementLoad> requirements;
     std::vector<PoolInstance> instances;
 };
--- a/include/lanemoor/jobs/model/requirement.h
+++ b/include/lanemoor/jobs/model/requirement.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What tasks ask of an instance beyond room: a label, or to be near their data.
+/// Requirements of tasks on an instance other than resources: a label, or proximity to data.
 
 #include "lanemoor/jobs/model/job_spec.h"
 
@@ -10,18 +10,18 @@
 
 namespace lanemoor::jobs {
 
-/// \brief A class of tasks, by the label that an instance should have.
+/// \brief A class of tasks that require or prefer the same label.
 ///
-/// A task counts in the class of its required label, or in that of tasks that run on any instance
-/// (`{}`); besides, in the class of the rack that it prefers.
+/// Each task belongs to the class of its required label, or to the class of tasks that run on any instance (`{}`). A task with a
+/// preferred rack also belongs to the class of that rack.
 struct Requirement {
     std::string label; ///< Empty: any instance.
-    bool preferred = false; ///< Tasks run without the label too, but slower.
+    bool preferred = false; ///< Tasks also run without the label, but more slowly.
 
     [[nodiscard]] auto operator<=>(const Requirement&) const = default;
 };
 
-/// \returns The classes of `step`'s tasks.
+/// \returns The classes to which the tasks of `step` belong.
 [[nodiscard]] std::vector<Requirement> requirementsOf(const StepSpec& step);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/response_time.h
+++ b/include/lanemoor/jobs/model/response_time.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Estimates how long a command's answer takes. Pure: time is passed in.
+/// Estimator of response times. Pure: time is passed in.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -20,11 +20,11 @@
 /// \endcode
 class ResponseTime {
 public:
-    /// An answer is never overdue sooner, whatever is observed: the event loop may lag.
+    /// Lower bound of `overdueAfter`, as the event loop may lag.
     static constexpr Millis minOverdue { 100 };
-    static constexpr Millis maxOverdue { 800 }; ///< Also before the first answer.
+    static constexpr Millis maxOverdue { 800 }; ///< Upper bound of `overdueAfter`, and its value before the first answer.
 
-    /// \brief Takes in the response time of a command that was answered.
+    /// \brief Adds the response time of an answered command.
     void note(Millis elapsed) noexcept
     {
         const auto sample = static_cast<double>(elapsed.count());
@@ -37,7 +37,7 @@
         m_mean = *m_mean + (sample - *m_mean) / 8;
     }
 
-    /// \returns How long after it was sent a command without an answer is overdue.
+    /// \returns The time after which an unanswered command is overdue.
     [[nodiscard]] Millis overdueAfter() const noexcept
     {
         if (!m_mean)
--- a/include/lanemoor/jobs/model/service_configuration.h
+++ b/include/lanemoor/jobs/model/service_configuration.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Queues and pools as operators configure them for the job service.
+/// The operators' configuration of queues, pools and organisations; worker entries; maintenance waves.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/job_spec.h"
@@ -15,37 +15,35 @@
 
 namespace lanemoor::jobs {
 
-/// Tells that tasks of a queue need the placement advisor's consent.
+/// Policy of a queue whose tasks need a ticket of the placement advisor.
 struct AdvicePolicy {
-    Millis decisionTime { 0 }; ///< Of one call, whatever it asks.
-    Millis timePerWorker { 0 };
-    Millis validity { 0 }; ///< Of a ticket.
+    Millis decisionTime { 0 }; ///< Fixed duration of one call.
+    Millis timePerWorker { 0 }; ///< Additional duration for each worker in the call.
+    Millis validity { 0 }; ///< Validity of a ticket.
 
     [[nodiscard]] bool operator==(const AdvicePolicy&) const = default;
 };
 
-/// A queue of jobs.
 struct QueueSettings {
     std::string name;
-    std::string host; ///< Callers address it by host and path prefix.
+    std::string host; ///< Callers address the queue by host and path prefix.
     std::string pathPrefix;
-    std::string pool; ///< Whose instances run its tasks.
-    std::uint32_t priority = 0; ///< 0 comes first.
-    std::uint32_t mostAttempts = 1; ///< Failures of a task before its job fails.
-    double stretch = 1.0; ///< The objective is this many times the job's longest chain,
-    Millis latencyTarget { 0 }; ///< and this much more.
+    std::string pool; ///< The pool whose instances run the queue's tasks.
+    std::uint32_t priority = 0; ///< Lower values are served first.
+    std::uint32_t mostAttempts = 1; ///< Number of failures of one task at which its job fails.
+    double stretch = 1.0; ///< The objective is `stretch` times the job's critical path plus `latencyTarget`.
+    Millis latencyTarget { 0 };
     std::optional<AdvicePolicy> advice;
     bool isPublic = false; ///< Callers need no key.
 
     [[nodiscard]] bool operator==(const QueueSettings&) const = default;
 };
 
-/// A pool of instances.
 struct PoolSettings {
     std::string name;
-    bool reserve = false; ///< Its instances are off and cost nothing.
-    bool guardsCapacity = false; ///< Its workers refuse what does not fit.
-    std::uint32_t mostConnections = 0; ///< To one worker, over all entry instances; 0: no limit.
+    bool reserve = false; ///< Its instances are switched off and cost nothing.
+    bool guardsCapacity = false; ///< Its workers reject starts that exceed their capacity.
+    std::uint32_t mostConnections = 0; ///< Maximum number of connections to one worker from all entry instances; 0: no limit.
 
     [[nodiscard]] bool operator==(const PoolSettings&) const = default;
 };
@@ -55,8 +53,8 @@
     std::uint64_t version = 0;
     std::vector<QueueSettings> queues;
     std::vector<PoolSettings> pools;
-    OrganisationTable organisations; ///< None: callers need no key, and nothing has a quota.
-    std::uint64_t mostBodyBytes = 262'144; ///< Of a caller's request, unless the operator says otherwise.
+    OrganisationTable organisations; ///< If empty, callers need no key and there are no quotas.
+    std::uint64_t mostBodyBytes = 262'144; ///< Maximum size of a request body; 262'144 is the default.
 
     /// \returns The queue with `name`, or null.
     [[nodiscard]] const QueueSettings* queue(std::string_view name) const noexcept;
@@ -70,44 +68,44 @@
     [[nodiscard]] bool operator==(const ServiceConfiguration&) const = default;
 };
 
-/// What a worker tells about itself through the store.
+/// A worker's self-description in the store.
 struct WorkerEntry {
-    std::string id; ///< A later life may have it again.
+    std::string id; ///< Not unique: a later incarnation may have the same id.
     std::string address; ///< IP:port.
     std::string pool;
     std::string dataHall;
     Resources capacity;
     std::vector<std::string> labels;
-    std::string rack; ///< Unique over all data halls; one of the labels.
-    bool draining = false; ///< It ends soon; no new work.
-    std::int64_t startedAt = 0; ///< Of this life, by its own time of day, Unix ms; 0: not told.
+    std::string rack; ///< Unique over all data halls; also one of the labels.
+    bool draining = false; ///< The worker will end soon and accepts no new work.
+    std::int64_t startedAt = 0; ///< Start time of this incarnation by its own wall clock, Unix ms; 0: not reported.
 
     [[nodiscard]] bool operator==(const WorkerEntry&) const = default;
 };
 
-/// Why an entry names no worker: it may come from another writer.
+/// Why a worker entry is rejected; entries may come from foreign writers.
 enum class WorkerEntryFault {
     None,
-    Unreadable, ///< No document of the kind that workers write.
-    Address, ///< Missing, or no IP number with a port.
+    Unreadable, ///< Not a document in the workers' format.
+    Address, ///< The address is missing, or is not an IP address with a port.
     Place, ///< The pool or the data hall is missing.
-    State, ///< Missing, or none that is known.
-    Capacity, ///< Missing, or no size.
-    Start, ///< No whole number.
-    OtherField, ///< One of another type.
+    State, ///< The state is missing or unknown.
+    Capacity, ///< The capacity is missing or invalid.
+    Start, ///< The start time is not an integer.
+    OtherField, ///< Another field has the wrong type.
 };
 
-/// \returns A few words on `fault`, for logs.
+/// \returns A short name of `fault` for logs.
 [[nodiscard]] std::string_view nameOf(WorkerEntryFault fault) noexcept;
 
-/// A wave of maintenance that an operator asks for.
+/// A maintenance wave requested by an operator.
 struct WaveRequest {
     std::uint64_t number = 0;
-    std::vector<std::string> instances; ///< Each is to be maintained once.
-    Millis duration { 0 }; ///< In which to finish, from when it was asked for.
-    std::uint32_t mostAtOnce = 1; ///< Instances down for this wave.
+    std::vector<std::string> instances; ///< Each instance is maintained once.
+    Millis duration { 0 }; ///< Time from the request in which the wave must finish.
+    std::uint32_t mostAtOnce = 1; ///< Maximum number of instances that are down for this wave at one time.
 
-    /// \returns Whether the instance is to be maintained.
+    /// \returns Whether the wave includes the instance.
     [[nodiscard]] bool contains(std::string_view instance) const { return std::find(instances.begin(), instances.end(), instance) != instances.end(); }
 
     [[nodiscard]] bool operator==(const WaveRequest&) const = default;
--- a/include/lanemoor/jobs/model/store_condition.h
+++ b/include/lanemoor/jobs/model/store_condition.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What a process knows of the state of the store.
+/// Availability of the store as observed by a process.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -9,12 +9,12 @@
 
 namespace lanemoor::jobs {
 
-/// How the store deals with the calls of this process.
+/// Whether the store answers the calls of this process.
 enum class StoreState : std::uint8_t {
-    Writing, ///< It answers, or nothing shows that it does not.
+    Writing, ///< Reads and writes are answered, or no fault was observed.
     ReadingOnly, ///< Reads are answered, writes are not.
     Refused, ///< No call is answered; the last one was certainly not carried out.
-    Silent, ///< No call is answered; whether they were carried out is not known.
+    Silent, ///< No call is answered; calls may have been carried out.
 };
 
 constexpr std::size_t storeStates = 4;
@@ -25,10 +25,10 @@
 /// \returns Whether no call is answered.
 [[nodiscard]] constexpr bool isOutage(StoreState state) noexcept { return state == StoreState::Refused || state == StoreState::Silent; }
 
-/// The state of the store as this process observes it.
+/// The observed state of the store with its start time.
 struct StoreCondition {
     StoreState state = StoreState::Writing;
-    MonotonicInstant since; ///< When the first call was sent whose end shows the state.
+    MonotonicInstant since; ///< When the first call whose result shows this state was sent.
 
     [[nodiscard]] bool operator==(const StoreCondition&) const = default;
 };
--- a/include/lanemoor/jobs/model/work_meter.h
+++ b/include/lanemoor/jobs/model/work_meter.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// How long the process's one thread is at work on what.
+/// Time that the event loop's thread spends on each kind of work.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -11,37 +11,36 @@
 
 namespace lanemoor::jobs {
 
-/// What an owner spends its time on.
+/// Kinds of work of an owner.
 enum class WorkKind : std::uint8_t {
     Placement, ///< Passes over tasks that could start.
     FleetPlan, ///< Sizes of pools, moves and waves.
-    Reports, ///< What workers say of their attempts.
+    Reports, ///< Processing the workers' status reports.
     Progress, ///< Writing progress to the store.
-    StoreNews, ///< Changes that watches of the store bring.
-    RelayFrames, ///< Packing and reading what relays carry.
+    StoreNews, ///< Applying changes that watches of the store deliver.
+    RelayFrames, ///< Encoding and decoding relay frames.
 };
 
-/// Number of kinds of work.
 constexpr std::size_t workKinds = 6;
 
-/// \returns The name of a kind as it stands in logs and metrics.
+/// \returns The name of `kind` in logs and metrics.
 [[nodiscard]] std::string_view nameOf(WorkKind kind) noexcept;
 
-/// Time at work, by kind.
+/// Time spent, by kind of work.
 struct WorkReading {
-    std::array<std::chrono::microseconds, workKinds> spent {}; ///< Work within other work counts once, by its own kind.
-    std::chrono::microseconds longest {}; ///< The longest piece, with what was done within it.
-    WorkKind longestKind = WorkKind::Placement; ///< Of that piece.
+    std::array<std::chrono::microseconds, workKinds> spent {}; ///< Exclusive times: nested work counts only under its own kind.
+    std::chrono::microseconds longest {}; ///< Inclusive time of the longest piece of work.
+    WorkKind longestKind = WorkKind::Placement; ///< Kind of the longest piece.
 
     [[nodiscard]] std::chrono::microseconds of(WorkKind kind) const { return spent.at(static_cast<std::size_t>(kind)); }
 
     [[nodiscard]] bool operator==(const WorkReading&) const = default;
 };
 
-/// \brief Measures pieces of work by the loop's clock.
+/// \brief Measures pieces of work by the event loop's clock.
 ///
-/// A machine that gets a share of a core spends that share's time, and the waits for it count too: the
-/// reading says what holds the loop up, not what the processor counts.
+/// The times are wall time, not processor time: on a machine with a share of a core, waits for the processor are included, since they
+/// delay the event loop too.
 ///
 /// \code
 /// const WorkMeter::Piece piece(meter, WorkKind::Placement);
@@ -50,7 +49,7 @@
 public:
     explicit WorkMeter(const EventLoop& loop);
 
-    /// A piece of work, from its construction to its end. Pieces may be nested.
+    /// Measures a piece of work from construction to destruction. Pieces may be nested.
     class Piece {
     public:
         /// \param meter Null: nothing is measured.
@@ -62,12 +61,12 @@
     private:
         WorkMeter* m_meter;
         WorkKind m_kind;
-        Piece* m_outer = nullptr; ///< That this one is part of.
+        Piece* m_outer = nullptr; ///< The enclosing piece, or null.
         MonotonicInstant m_begin;
-        std::chrono::microseconds m_within {}; ///< Of the pieces within this one.
+        std::chrono::microseconds m_within {}; ///< Total time of the nested pieces.
     };
 
-    /// \returns All work since the process began; `longest` since `takeRecent`.
+    /// \returns All work since the process started; `longest` is only recorded in `takeRecent`.
     [[nodiscard]] const WorkReading& total() const noexcept { return m_total; }
 
     /// \returns Work since the last call.
--- a/include/lanemoor/jobs/model/worker_control.h
+++ b/include/lanemoor/jobs/model/worker_control.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Orders to workers, and what workers answer.
+/// Commands to workers and their results.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -14,39 +14,39 @@
 
 namespace lanemoor::jobs {
 
-/// \brief One life of a worker. A restarted worker is another life, under the same id and at the same address or not.
+/// \brief One incarnation of a worker. A restarted worker is a new incarnation; its id and address may be the same as before.
 struct WorkerLife {
-    std::string id; ///< Of the worker: a later life may have it again.
+    std::string id; ///< Worker id; a later incarnation may have the same one.
     std::string address; ///< IP:port.
-    /// When it started by its own time of day, Unix ms; 0: not told. It tells the lives of one id apart and says nothing of which
-    /// came first, since that clock may jump.
+    /// Start time by its own wall clock, Unix ms; 0: not reported. Distinguishes incarnations with the same id, but does not order them,
+    /// since that clock may jump.
     std::int64_t startedAt = 0;
-    std::string dataHall; ///< Empty: not known.
+    std::string dataHall; ///< Empty: unknown.
 
     [[nodiscard]] bool operator==(const WorkerLife&) const = default;
 };
 
-/// One attempt of one task, as workers name it.
+/// Identifies one attempt of one task.
 struct Attempt {
     std::string job;
     TaskId task;
-    std::uint64_t number = 0; ///< Rises with each start of the task; members of a gang share it.
+    std::uint64_t number = 0; ///< Increases with each start of the task; members of a gang share it.
 
     [[nodiscard]] auto operator<=>(const Attempt&) const = default;
 };
 
-/// What came of an order to a worker.
+/// Outcome of a command to a worker.
 enum class OrderOutcome {
     Done,
-    Fenced, ///< A later owner has been there.
-    Superseded, ///< A run of the same or a higher number was there already.
-    LeaseOver, ///< The lease that came with it was over.
+    Fenced, ///< The worker has received a command with a higher epoch.
+    Superseded, ///< The worker already has an attempt of the task with the same or a higher number.
+    LeaseOver, ///< The lease in the command had expired.
     NoRoom,
     BadTicket,
-    OtherLife, ///< Another life answers at this address: the life meant is over there.
+    OtherLife, ///< Another incarnation answers at this address; the addressed one has ended.
     NotDone, ///< Certainly not carried out.
-    Rejected, ///< The worker can't read it.
-    Unknown, ///< No usable answer; it may have been carried out, or may be later.
+    Rejected, ///< The worker can't read the command.
+    Unknown, ///< No usable answer; the command may have been carried out, or may be carried out later.
 };
 
 /// \returns A short name of `outcome` for logs and metrics.
@@ -59,7 +59,7 @@
     Stopped,
     LeaseLapsed,
     GangBroken, ///< Another member of its gang ended.
-    GangIncomplete, ///< It waited in vain for the other members.
+    GangIncomplete, ///< The other members of its gang did not start in time.
 };
 
 /// \returns A short name of `end`.
@@ -69,7 +69,7 @@
 struct RunningAttempt {
     Attempt attempt;
     std::string checkpoint; ///< Empty: none.
-    std::uint32_t percent = 0; ///< Done; 100 for a long-running task that is at work.
+    std::uint32_t percent = 0; ///< Progress; 100 for a long-running task that is running.
     std::int64_t load = 0; ///< Tail latency in ms for a serving task, else thousandths of a core in use.
 
     [[nodiscard]] bool operator==(const RunningAttempt&) const = default;
@@ -77,7 +77,7 @@
 
 /// An attempt that ended at a worker.
 struct EndedAttempt {
-    std::uint64_t sequence = 0; ///< Rises from 1 within a life.
+    std::uint64_t sequence = 0; ///< Counts from 1 within a worker incarnation.
     Attempt attempt;
     AttemptEnd end = AttemptEnd::Stopped;
     std::string checkpoint;
@@ -85,40 +85,40 @@
     [[nodiscard]] bool operator==(const EndedAttempt&) const = default;
 };
 
-/// A start of an attempt.
+/// Command to start an attempt.
 struct StartOrder {
     Attempt attempt;
     std::string payload;
     std::int64_t leaseUntil = 0; ///< On the worker's clock, ms.
-    std::uint64_t epoch = 0; ///< Of the owner that sends it.
+    std::uint64_t epoch = 0; ///< The sending owner's fencing token.
     std::string checkpoint;
-    std::string ticket; ///< From the placement advisor; empty: none needed.
+    std::string ticket; ///< Ticket of the placement advisor; empty: none required.
 };
 
-/// A renewal of the lease on all that runs at a worker, which also asks what runs and ended.
+/// Command to renew the lease on all attempts at a worker; the result lists running and ended attempts.
 struct RenewOrder {
-    std::int64_t leaseUntil = 0; ///< On the worker's clock, ms; 0: leave it.
+    std::int64_t leaseUntil = 0; ///< On the worker's clock, ms; 0: don't change the lease.
     std::uint64_t epoch = 0;
-    std::uint64_t endsStoredUpTo = 0; ///< The worker forgets ends up to this sequence.
-    Millis wait { 0 }; ///< The answer may wait this long for an end.
+    std::uint64_t endsStoredUpTo = 0; ///< The worker discards ends with sequences up to this one.
+    Millis wait { 0 }; ///< How long the worker may delay its answer until an attempt ends.
 };
 
-/// Answer to a start, a stop or a throttle.
+/// Result of a start, a stop or a throttle.
 struct OrderResult {
     OrderOutcome outcome = OrderOutcome::Unknown;
-    std::int64_t workerClock = 0; ///< 0: not told.
+    std::int64_t workerClock = 0; ///< The worker's clock, ms; 0: not reported.
 };
 
-/// Answer to a renewal.
+/// Result of a renewal.
 struct RenewResult {
     OrderOutcome outcome = OrderOutcome::Unknown;
     std::int64_t workerClock = 0;
-    std::int64_t startedAt = 0; ///< Of the life that answers, Unix ms by its time of day; 0: not told.
+    std::int64_t startedAt = 0; ///< Start time of the answering incarnation by its own wall clock, Unix ms; 0: not reported.
     std::vector<RunningAttempt> running;
     std::vector<EndedAttempt> ended; ///< Ordered by sequence.
 };
 
-/// \brief Speaks to workers. Each callback is called exactly once, never from within the call.
+/// \brief Sends commands to workers. Each callback is called exactly once, after the call has returned.
 class WorkerControl {
 public:
     virtual ~WorkerControl() = default;
@@ -126,13 +126,13 @@
     virtual void stop(const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(OrderResult)> done) = 0;
     virtual void renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done) = 0;
 
-    /// \param percent Share of its speed that the attempt may use.
+    /// \param percent Limit on the attempt's speed.
     virtual void throttle(const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(OrderResult)> done) = 0;
 
-    /// \brief A call to the worker is overdue: calls to it that follow take another path, where there is one.
+    /// \brief Notes that a call to the worker is overdue; later calls take another path, if there is one.
     virtual void noteOverdue(const WorkerLife& /*worker*/) { }
 
-    /// \brief Closes the connections to a life that is over.
+    /// \brief Closes the connections to an incarnation that has ended.
     virtual void forget(const WorkerLife& worker) = 0;
 };
 
--- a/src/jobs/intake/admission_gate.cpp
+++ b/src/jobs/intake/admission_gate.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis leastRetry { 1'000 };
-constexpr Millis mostRetry { 3'000 }; // A caller's job is worth little after some seconds.
+constexpr Millis mostRetry { 3'000 }; // Jobs lose most of their value to the caller within seconds.
 constexpr double milli = 1'000;
 
 Millis retryAfterOf(const AdmissionBudget& budget)
--- a/src/jobs/intake/job_intake.cpp
+++ b/src/jobs/intake/job_intake.cpp
@@ -14,25 +14,25 @@
 
 namespace {
 
-/// Jobs in one transaction: each takes a condition and a write.
+/// Jobs in one transaction; each job needs a condition and a write.
 constexpr std::size_t mostJobsOfBatch = mostTransactionEntries / 2;
-/// Transactions under way at once, so that one slow answer holds up only what came with it.
+/// Concurrent transactions, so that one slow answer delays only the jobs of its own batch.
 constexpr std::size_t mostBatches = 8;
 
-/// While the store is silent, a job is tried this often; the others are refused without a try.
+/// Interval at which a job is sent to the store while it is unavailable; other jobs are rejected unsent.
 constexpr Millis probePause { 500 };
 
-/// A write without an answer may be carried out seconds later; six are the most that were seen.
+/// An unanswered write may be carried out seconds later; delays of 6 s occur.
 constexpr Millis doubtLasts { 15'000 };
 
-/// A job that waits to be kept.
+/// A job that waits to be stored.
 struct WaitingJob {
     std::string id;
     std::string value;
-    Caller caller; ///< All that wait for it are alike.
+    Caller caller; ///< The same for all submissions in `waiting`.
     std::vector<std::function<void(AcceptOutcome)>> waiting;
-    std::function<bool()> isAdmitted; ///< Of the latest that waits; null: always.
-    bool inDoubt = false; ///< An earlier write of it may yet be carried out.
+    std::function<bool()> isAdmitted; ///< Of the latest submission; null: always admitted.
+    bool inDoubt = false; ///< An earlier write of the job may still be carried out.
 
     void answer(AcceptOutcome outcome) const
     {
@@ -87,7 +87,6 @@
 
     std::size_t inFlight = 0;
 
-    /// \returns Whether a write got no answer and the store has answered nothing that was asked since.
     [[nodiscard]] bool isStoreSilent() const { return m_unansweredSentAt && m_mirror.answeredAt() < *m_unansweredSentAt; }
 
     void noteAnswered(MonotonicInstant sentAt)
@@ -102,13 +101,13 @@
             done(mayUse(caller, *known->record) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
             return;
         }
-        // Nothing is sent, so the refusal is true; a caller that hears "unknown" can only ask again.
+        // Without a write the definite answer NotTaken is correct; after Unknown a caller could only retry.
         if (isStoreSilent() && m_loop.now() < m_probeAt) {
             done(mayBeKept(id) ? AcceptOutcome::Unknown : AcceptOutcome::NotTaken);
             return;
         }
         const auto same = std::find_if(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
-        // Whose job it becomes is open; the next try will tell.
+        // Undecided whose job is stored; the caller's next attempt gets a definite answer.
         if (same != m_queue.end() && same->caller != caller) {
             done(AcceptOutcome::Unknown);
             return;
@@ -120,7 +119,7 @@
             return;
         }
         m_queue.push_back({ .id = id, .value = encode(record), .caller = caller, .waiting = { std::move(done) }, .isAdmitted = std::move(isAdmitted), .inDoubt = mayBeKept(id) });
-        // Jobs that come in the same turn of the loop travel together.
+        // Jobs submitted in the same iteration of the event loop share a batch.
         if (m_queue.size() == 1)
             m_loop.callAt(m_loop.now(), [self = shared_from_this()] { self->send(); });
     }
@@ -163,7 +162,7 @@
     }
 
 private:
-    /// Jobs wait here while the store or the event loop is slow.
+    /// Drops queued jobs that are no longer admitted; jobs queue up while the store or the event loop is slow.
     void dropUnadmitted()
     {
         const auto isAdmitted = [](const WaitingJob& job) { return !job.isAdmitted || job.isAdmitted(); };
@@ -226,7 +225,7 @@
         }
     }
 
-    /// \returns Whether a write of the job that is under way or had no answer may yet keep it.
+    /// \returns Whether a pending or unanswered write may still store the job.
     [[nodiscard]] bool mayBeKept(const std::string& id)
     {
         const MonotonicInstant now = m_loop.now();
@@ -240,7 +239,7 @@
         m_probeAt = m_loop.now() + probePause;
     }
 
-    /// Some of the batch were kept before; the others go again.
+    /// Finishes the jobs that were stored before and sends the others again.
     void separate(std::vector<WaitingJob> batch, const std::vector<StoreItem>& current)
     {
         std::vector<WaitingJob> again;
@@ -255,7 +254,7 @@
         if (!again.empty() && again.size() < batch.size())
             commit(std::move(again));
         else
-            // A conflict that names none of the keys: settle each by reading.
+            // The conflict names none of the keys, so each job's outcome is read back.
             for (WaitingJob& job : again)
                 readBack(std::move(job));
     }
@@ -288,7 +287,7 @@
         job.answer(outcome);
     }
 
-    /// Another submission of the id may have been sent to the store meanwhile: its doubt stays, and the refusal would not be true.
+    /// Another submission of the id may have been sent to the store meanwhile. Its write stays unsettled, and Refused would be wrong.
     void finishRefused(const WaitingJob& job, bool isAbsent)
     {
         inFlight -= job.waiting.size();
@@ -327,7 +326,7 @@
     const JobCatalog& m_catalog;
     std::optional<MonotonicInstant> m_unansweredSentAt; ///< When the last write without an answer was sent.
     MonotonicInstant m_probeAt;
-    std::map<std::string, MonotonicInstant> m_inDoubt; ///< Jobs whose write was sent and not settled, and until when it counts.
+    std::map<std::string, MonotonicInstant> m_inDoubt; ///< Jobs with an unsettled write, and the time until which it may be carried out.
     std::vector<WaitingJob> m_queue;
     std::size_t m_batches = 0;
 };
--- a/src/jobs/intake/job_lookup.cpp
+++ b/src/jobs/intake/job_lookup.cpp
@@ -15,7 +15,7 @@
 
 using StatusCallback = std::function<void(LookupOutcome, JobStatus)>;
 
-/// Lookups that wait for one read of a job's progress.
+/// Callers that wait for one read of a job's progress.
 struct WaitingRead {
     std::vector<StatusCallback> callers;
 };
@@ -56,7 +56,7 @@
     std::size_t inFlight = 0;
 
 private:
-    /// A job that the copy does not know.
+    /// Reads a job that is missing in the local copy.
     void readJob(const std::string& id, const StatusCallback& done)
     {
         ++inFlight;
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Answers whoever waits for a read of the job by what is known now.
+    /// Answers the callers that wait for a read of the job from the current copy.
     void answer(const std::string& id)
     {
         const auto found = m_reads.find(id);
@@ -128,7 +128,7 @@
         return found != m_readAt.end() && m_loop.now() - found->second <= m_options.freshFor;
     }
 
-    /// \returns Whether one more read is within this instance's share of the store's rate.
+    /// Consumes a token of the read rate limit. \returns Whether there was one.
     [[nodiscard]] bool takeRead()
     {
         const MonotonicInstant now = m_loop.now();
@@ -147,8 +147,8 @@
     const JobCatalog& m_catalog;
     std::function<bool()> m_isCurrent;
     JobLookupOptions m_options;
-    std::map<std::string, WaitingRead> m_reads; ///< Under way, by job.
-    std::map<std::string, MonotonicInstant> m_readAt; ///< Jobs read of late.
+    std::map<std::string, WaitingRead> m_reads; ///< Pending reads, by job.
+    std::map<std::string, MonotonicInstant> m_readAt; ///< Time of the latest read of recently read jobs.
     double m_readsLeft;
     MonotonicInstant m_readsCountedAt;
 };
--- a/src/jobs/intake/queue_counts_reader.cpp
+++ b/src/jobs/intake/queue_counts_reader.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis readFor { 500 }; // One read answers the callers of this long.
+constexpr Millis readFor { 500 }; // Lifetime of cached counts.
 
 } // namespace
 
@@ -54,7 +54,7 @@
         });
     }
 
-    /// A queue that the counts don't name is newer than they are.
+    /// A queue that is missing in the counts was created after them, so its count is 0.
     [[nodiscard]] std::optional<std::uint64_t> countOf(const std::string& queue) const
     {
         const Millis age = m_counts ? m_loop.timeOfDay() - m_counts->countedAt : maxCountAge;
@@ -68,7 +68,7 @@
     KeyValueStore& m_store;
     std::optional<QueueCounts> m_counts;
     std::optional<MonotonicInstant> m_readAt; ///< When the read of the counts was sent.
-    std::vector<Waiting> m_waiting; ///< For the read under way.
+    std::vector<Waiting> m_waiting; ///< Callers that wait for the pending read.
 };
 
 QueueCountsReader::QueueCountsReader(EventLoop& loop, KeyValueStore& store)
--- a/src/jobs/model/admission_grants.cpp
+++ b/src/jobs/model/admission_grants.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \returns Whether two amounts differ by more than a tenth of the larger one.
+/// \returns Whether two amounts differ by more than a tenth of the larger absolute value.
 bool differs(std::int64_t a, std::int64_t b)
 {
     constexpr std::int64_t notable = 10;
--- a/src/jobs/model/api_key.cpp
+++ b/src/jobs/model/api_key.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Sets these digests apart from those of the same text elsewhere.
+/// Domain separation: the same text hashed for another purpose has a different digest.
 constexpr std::string_view purpose = "lanemoor caller key";
-constexpr std::size_t fingerprintBytes = 4; // One in four billion pairs of keys look alike in logs.
+constexpr std::size_t fingerprintBytes = 4; // Two keys have the same fingerprint with a probability of one in four billion.
 
 } // namespace
 
--- a/src/jobs/model/job_state.cpp
+++ b/src/jobs/model/job_state.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A task that failed waits this long before it starts again, so that a task which fails at
-/// once does not take all of an entry's time. Measured starts take some milliseconds.
+/// Delay before a failed task starts again, so that a task which fails immediately does not take up the owner's event loop. A start
+/// takes a few milliseconds.
 constexpr Millis retryPause { 20 };
 
 Probation* findProbation(TaskState& task, std::uint64_t attempt)
@@ -16,7 +16,7 @@
     return const_cast<Probation*>(task.probationOf(attempt));
 }
 
-/// \returns Whether there was one.
+/// \returns Whether the attempt was on probation.
 bool eraseProbation(TaskState& task, std::uint64_t attempt)
 {
     return std::erase_if(task.probations, [&](const Probation& probation) { return probation.attempt == attempt; }) > 0;
@@ -174,7 +174,7 @@
             task.failedAttempts = kept->second.failedAttempts;
             task.checkpoint = kept->second.checkpoint;
             task.crashes = kept->second.crashes;
-            // The record does not tell which attempts crashed their workers.
+            // The stored record does not identify the attempts that crashed their workers.
             task.crashedAttempt = task.crashes.total() > 0 ? m_attemptBase : 0;
             task.probations = kept->second.probations;
             task.givenUp = kept->second.givenUp;
@@ -221,7 +221,7 @@
     begin(attempt.task, attempt.number, worker, now);
     setPhase(attempt, AttemptPhase::Running, now);
     state->live->adopted = true;
-    state->crashedAttempt = 0; // It began after all others were over.
+    state->crashedAttempt = 0; // This attempt began after all others had ended.
     return true;
 }
 
@@ -300,7 +300,7 @@
     if (state.succeeded)
         return;
     clearLive(task, state);
-    ++m_changes; // What depends on the step may start now.
+    ++m_changes; // Dependent steps may start now.
     state.succeeded = true;
     ++m_steps.at({ task.occurrence, task.step }).succeeded;
 }
@@ -336,7 +336,7 @@
 EndEffect JobState::fail(const Attempt& attempt, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now)
 {
     EndEffect effect;
-    // A gang fails as a whole: its failures are kept with its first task.
+    // A gang fails as a whole; its failures are recorded with its first task.
     TaskState& counted = isGang(attempt.task) ? *mutableTask({ attempt.task.occurrence, attempt.task.step, 0 }) : *mutableTask(attempt.task);
     TaskState& own = *mutableTask(attempt.task);
     own.avoidWorker = worker;
@@ -364,12 +364,12 @@
     state->lastAttempt = std::max(state->lastAttempt, ended.attempt.number);
     const bool wasLive = findLive(ended.attempt) != nullptr;
     const bool otherIsLive = state->live && !wasLive;
-    // A success that comes after the task was given up there and started elsewhere still
-    // stands: the newer attempt is in vain. Any other end says nothing about that attempt.
+    // A success counts even if it is reported after the attempt was dropped and the task was started elsewhere; the newer attempt is
+    // then redundant. Any other late end does not affect the newer attempt.
     const bool lateSuccess = otherIsLive && ended.end == AttemptEnd::Succeeded && !spec(ended.attempt.task.step).longRunning;
     if (state->succeeded)
         return {};
-    // A failure counts all the same: the former owner may not have stored it.
+    // A late failure counts too, since the previous owner may not have stored it.
     if (otherIsLive && ended.end == AttemptEnd::Failed)
         return fail(ended.attempt, worker, mostAttempts, now);
     if (otherIsLive && !lateSuccess)
--- a/tests/jobs/admission_test.cpp
+++ b/tests/jobs/admission_test.cpp
@@ -1,4 +1,4 @@
-/// Admission by expected service: grants, and how entry instances go by them.
+/// Admission control: budgets by expected service time, and their enforcement at entry instances.
 
 #include "lanemoor/jobs/intake/admission_gate.h"
 #include "lanemoor/jobs/policy/expected_service.h"
@@ -58,7 +58,7 @@
     CHECK(budgets[0].workMillis < 0);
     CHECK(budgets[0].expectedEnd > budgets[0].limit);
     CHECK(budgets[0].milliCpu == 0);
-    // What the other one needs in time, 6.7 of 54.4 cores, is taken off.
+    // The other organisation needs 6.7 of 54.4 cores to meet its objective; these are subtracted.
     CHECK(budgets[0].sharePermille == Approx(877).margin(2));
 }
 
@@ -71,7 +71,7 @@
     REQUIRE(atShare.size() == 2);
     CHECK(below[0].limit == 3 * usual.allowed);
     CHECK(below[0].workMillis > 0);
-    CHECK(atShare[0].limit == Millis(1'200)); // Some time before its objective.
+    CHECK(atShare[0].limit == Millis(1'200)); // With a margin before the objective.
     CHECK(atShare[0].workMillis < 0);
 }
 
--- a/tests/jobs/codec_test.cpp
+++ b/tests/jobs/codec_test.cpp
@@ -1,4 +1,4 @@
-/// Records in the store and settings of the job service.
+/// Codecs of store records, and the reader of the job service's settings.
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "lanemoor/jobs/service/job_service_settings.h"
@@ -74,7 +74,7 @@
     REQUIRE(settings);
     CHECK(settings->front.port == 1);
     CHECK(settings->moveTime == Millis(1'500));
-    CHECK(settings->ownershipTime == Millis(2'500)); // The store grants no shorter ones.
+    CHECK(settings->ownershipTime == Millis(2'500)); // The store's minimum lease duration.
     CHECK(settings->configurationTrust == Millis(5'000));
     CHECK(settings->configurationApplyTime == Millis(3'000));
     CHECK(settings->fleetActsPerSecond == Approx(64.5));
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -1,5 +1,5 @@
-/// Configurations are in force by the age of their proof: an instance that can't know whether its configuration is the newest
-/// turns requests away, and large documents don't keep it from knowing.
+/// An instance serves a configuration only for a limited time after it was confirmed to be the latest version; then it rejects requests.
+/// Large documents must not prevent the confirmation.
 
 #include "lanemoor/jobs/intake/job_catalog.h"
 #include "lanemoor/jobs/store/store_mirror.h"
@@ -16,11 +16,11 @@
 
 constexpr unsigned ok = 200;
 constexpr unsigned unavailable = 503;
-constexpr Millis applyTime { 2'000 }; ///< Of settings that name none.
+constexpr Millis applyTime { 2'000 }; ///< Default of the setting configurationApplyMs.
 constexpr Millis step10 { 10 };
 constexpr std::size_t narrowEntry = 1;
 
-/// \returns The queue `work` and another one whose path names the version.
+/// \returns A configuration with the queue `work` and a queue whose path contains the version.
 ServiceConfiguration withRoute(std::uint64_t version)
 {
     ServiceConfiguration configuration = smallConfiguration(version);
@@ -50,7 +50,7 @@
         m_putAt[version] = clock.now();
     }
 
-    /// \returns Whether a request that is sent now may be answered by `version`.
+    /// \returns Whether a request sent now may be answered by `version`.
     [[nodiscard]] bool mayServe(std::uint64_t version) const
     {
         const auto next = m_putAt.upper_bound(version);
@@ -58,12 +58,12 @@
     }
 
 private:
-    std::map<std::uint64_t, MonotonicInstant> m_putAt; ///< When each version was acknowledged.
+    std::map<std::uint64_t, MonotonicInstant> m_putAt; ///< When the write of each version was acknowledged.
 };
 
 } // namespace
 
-// Guards against requests that an instance answers by a configuration that was replaced longer ago than operators allow.
+// Guards against requests answered by a configuration that was replaced longer ago than configurationApplyMs allows.
 TEST_CASE("An instance that does not reach the store answers no request by a configuration that may have been replaced too long ago")
 {
     ConfiguredCluster cluster;
@@ -86,7 +86,7 @@
     CHECK(cluster.waitFor(applyTime, [&] { return cluster.askRoute(1, 3).status == ok; }));
 }
 
-// Guards against requests that wait in the backlog of a process which was paused, and are answered by what it knew before.
+// Guards against requests that wait in the backlog of a paused process and are then answered by its outdated configuration.
 TEST_CASE("An instance that was paused answers no request by a configuration that was replaced meanwhile")
 {
     ConfiguredCluster cluster;
@@ -105,7 +105,7 @@
     CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.askRoute(1, 3).status == ok; }));
 }
 
-// Guards against jobs that are let in by a configuration, wait to be written, and are kept when it has been replaced.
+// Guards against jobs that one configuration admits, that wait to be written, and that are stored after its replacement.
 TEST_CASE("A job that is no longer let in when it is sent to the store is not sent")
 {
     std::mt19937_64 random(1);
@@ -131,8 +131,8 @@
     CHECK(intake.inFlight() == 0);
 }
 
-// Guards against configurations that are in force late because the document does not get over the machine's link within the time
-// of a call, and because reads that bring nothing new take the link from the one that does.
+// Guards against configurations that apply late: a document does not cross the machine's link within the time of a call, or redundant
+// reads take bandwidth from the read of the new version.
 TEST_CASE("Large configurations that follow each other are in force in time over a narrow link")
 {
     constexpr std::size_t bytesPerMs = 1'250; // 10 Mbit/s.
@@ -163,7 +163,7 @@
     CHECK(cluster.askRoute(narrowEntry, version - 1).status == ok);
 }
 
-// Guards against a link that is filled by reading a configuration that has not changed: submissions wait behind it.
+// Guards against re-reads of an unchanged configuration that saturate the link, so that submissions wait behind them.
 TEST_CASE("A large configuration that stays as it is leaves the link to other calls")
 {
     constexpr std::size_t bytesPerMs = 1'250;
--- a/tests/jobs/job_state_test.cpp
+++ b/tests/jobs/job_state_test.cpp
@@ -1,4 +1,4 @@
-/// Transitions of a job under way.
+/// Transitions of JobState.
 
 #include "lanemoor/jobs/model/job_state.h"
 #include "support.h"
@@ -84,8 +84,8 @@
 
 TEST_CASE("A success that is heard of after the task was started elsewhere stands")
 {
-    // Found by random run 1094: the newer attempt failed, and a third one began after the
-    // worker had been told that its success was stored.
+    // Random run 1094: the success of the older attempt was acknowledged to its worker as stored; then the newer attempt failed, and a
+    // third one began.
     JobState state = open(job({ step(1) }));
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
@@ -127,7 +127,7 @@
 
 TEST_CASE("A member of a gang that failed is adopted, so that its task starts nowhere else meanwhile")
 {
-    // Found by random run 8163: the member ran on while the gang started again.
+    // Random run 8163: the member kept running while the gang started again.
     StepSpec gang = step(2);
     gang.gang = true;
     ProgressRecord progress;
@@ -203,8 +203,8 @@
 
 TEST_CASE("A failure that is heard of beside a newer attempt counts")
 {
-    // Found by random run 62262: the former owner had not stored the second failure; its successor
-    // had adopted the third attempt by then, dropped the failure, and started a fourth one.
+    // Random run 62262: the previous owner had not stored the second failure. Its successor had already adopted the third attempt,
+    // ignored the failure and started a fourth attempt.
     JobState state = open(job({ step(1) }), {}, 4'096);
     REQUIRE(state.adopt({ jobId(1), {}, 2 }, "w", start));
     const EndEffect late = state.end(ended({}, 1, AttemptEnd::Failed), "v", mostAttempts, start);
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -1,4 +1,4 @@
-/// Organisations: keys, whose jobs are whose, quotas and rates.
+/// Organisations: API keys, ownership of jobs, quotas and rates.
 
 #include "lanemoor/jobs/intake/caller_access.h"
 #include "lanemoor/jobs/model/organisation.h"
@@ -20,7 +20,7 @@
 
 constexpr const char* oneTask = R"({"spec":"x","steps":[{"count":1,"cpu":100}]})";
 
-/// \returns `work` for callers with a key, `open` for all, and two organisations.
+/// \returns A configuration with two organisations, the queue `work` that requires a key and the public queue `open`.
 ServiceConfiguration withOrganisations(std::uint64_t version = 2, const std::string& northKey = "north-key", Resources northQuota = {})
 {
     ServiceConfiguration configuration = smallConfiguration(version);
@@ -63,7 +63,7 @@
         return *answer;
     }
 
-    /// \returns Thousandths of a core that tasks of the fleet's workers take now.
+    /// \returns Thousandths of a core that running tasks use on all workers.
     std::int64_t inUse()
     {
         std::int64_t used = 0;
@@ -203,7 +203,7 @@
     CHECK(refused.status == 503);
     CHECK(refused.headers.find("Retry-After").has_value());
     CHECK(cluster.ask("GET", "/perhaps-new/", "north-key", {}, 1).status == 503);
-    // The key, and the queue, may have been taken away by now.
+    // The key and the queue may have been removed meanwhile.
     CHECK(cluster.ask("GET", "/q/", "north-key", {}, 1).status == 503);
     cluster.cutFromStore(1, false);
     CHECK(cluster.waitFor(Millis(5'000), [&] { return cluster.ask("GET", "/q/", "perhaps-new", {}, 1).status == 401; }));
@@ -211,7 +211,7 @@
 
 TEST_CASE("What an organisation has running stays within its quota, also over a change of owner")
 {
-    // Four instances of eight cores; the quota is five tasks of one core.
+    // Four instances of eight cores; the quota allows five tasks of one core.
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 5'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
     cluster.witness.noteQuota("north", { .milliCpu = 5'000 });
@@ -246,7 +246,7 @@
     cluster.submit(*cluster.owner(), "work", jobId(2), job({ step(4) }), "north");
     cluster.submit(*cluster.owner(), "work", jobId(3), job({ step(2) }), "south");
     cluster.clock.runFor(Millis(1'000));
-    CHECK(cluster.witness.starts() == 4 + 1 + 2); // One task of north's fits, and both of south's.
+    CHECK(cluster.witness.starts() == 4 + 1 + 2); // One more task of north fits its quota; both tasks of south start.
     CHECK(cluster.witness.breaches().empty());
 }
 
@@ -290,7 +290,7 @@
 
 TEST_CASE("Work that a quota holds back brings no instances to its pool, and operators are told why it waits")
 {
-    // Two tasks fit the quota: with eighteen more the pool is as large as without them.
+    // Two tasks fit the quota; eighteen more must not make the pool larger.
     std::map<std::uint32_t, std::size_t> instances;
     for (const std::uint32_t tasks : { 2U, 20U }) {
         KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 2'000 }), 1);
@@ -347,7 +347,7 @@
 
 TEST_CASE("What an organisation sends beyond its rate does not displace what others send within theirs")
 {
-    // One instance of eight cores; north sends 60 jobs where its rate is two a second.
+    // One instance of eight cores; north submits 60 jobs at once at a rate of two a second.
     ServiceConfiguration configuration = withOrganisations();
     KeyedCluster cluster(configuration, 1, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(500); };
@@ -356,7 +356,7 @@
     cluster.clock.runFor(Millis(100));
     cluster.submit(0, "work", jobId(99), job({ step(4) }), "south");
     REQUIRE(cluster.waitFor(Millis(100), [&] { return cluster.accepted().contains(jobId(99)); }));
-    // It comes next when the first two jobs end, after half a second, and takes as long itself.
+    // The job starts when the first two jobs end, after half a second, and takes half a second itself.
     CHECK(cluster.waitFor(Millis(1'400), [&] { return cluster.shows(jobId(99), JobStatus::Succeeded, cluster.owner().value()); }));
     CHECK(cluster.entry(cluster.owner().value()).organisations().organisations[0].beyondRate >= 50);
 }
@@ -382,7 +382,7 @@
     KeyedCluster cluster;
     REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
     cluster.clock.runFor(Millis(100));
-    // Another queue's callers, with no key at all, are told nothing of it.
+    // Callers of another queue without a key have no access to the job.
     CHECK(cluster.ask("POST", "/open/" + jobId(1), std::nullopt, oneTask).status == 403);
     CHECK(cluster.ask("GET", "/open/" + jobId(1), std::nullopt).status == 403);
     CHECK(cluster.ask("DELETE", "/open/" + jobId(1), std::nullopt).status == 403);
--- a/tests/jobs/plain_entry_test.cpp
+++ b/tests/jobs/plain_entry_test.cpp
@@ -1,7 +1,7 @@
-/// Entry instances on machines that are too small to take a free ownership at once.
+/// Entry instances on machines that are too small to claim a free ownership at once; they keep no copy of the jobs.
 ///
-/// Seen: with 588 entry instances each change of a job was read 588 times, which took the store's link: writes that
-/// accept a job took 300 to 870 ms where they take 13.
+/// Guards against replication to all entry instances: with 588 of them each change of a job was read 588 times, which saturated the
+/// store's link, and writes that accept a job took 300 to 870 ms instead of 13 ms.
 
 #include "lanemoor/jobs/model/job_record.h"
 #include "support.h"
@@ -84,7 +84,7 @@
     cluster.clock.runFor(Millis(3'000));
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         CHECK(cluster.pending(i, "work") == 5U);
-    // Without an owner the last count grows too old to be shown.
+    // Without an owner the last count exceeds its maximum age.
     cluster.kill(0);
     for (std::size_t i = 1; i < cluster.entries(); ++i)
         cluster.cutFromStore(i, true);
@@ -134,7 +134,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-// Guards against refusals until the next read of the configuration, after a single answer was lost.
+// Guards against rejections until the next read of the configuration after a single lost answer.
 TEST_CASE("A small entry instance takes jobs again as soon as the store has answered it")
 {
     MixedCluster cluster;
