--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -67,7 +67,7 @@
             m_cluster.start(i);
         m_cluster.clock.runFor(Millis(2'000));
         StepSpec lasting = longStep(longTasks);
-        lasting.mostPerInstance = 0;
+        lasting.maxPerInstance = 0;
         for (std::uint64_t i = 0; i < longJobs; ++i)
             m_cluster.submit(0, "work", jobId(firstLong + i), job({ lasting }));
         m_cluster.clock.runFor(Millis(2'000));
--- a/include/lanemoor/jobs/intake/admission_gate.h
+++ b/include/lanemoor/jobs/intake/admission_gate.h
@@ -28,14 +28,14 @@
 [[nodiscard]] std::string_view nameOf(AdmissionBasis basis) noexcept;
 
 /// An admission decision and the reason for it.
-struct AdmissionVerdict {
+struct AdmissionDecision {
     bool admitted = true;
     AdmissionBasis basis = AdmissionBasis::NoPressure;
     AdmissionBudget budget; ///< The current budget of this instance; meaningful under pressure.
     Millis grantAge { 0 };
     Millis retryAfter { 0 }; ///< Delay after which a refused caller should retry.
 
-    [[nodiscard]] bool operator==(const AdmissionVerdict&) const = default;
+    [[nodiscard]] bool operator==(const AdmissionDecision&) const = default;
 };
 
 /// \brief Holds the owner's latest grants and charges admitted jobs to their budgets.
@@ -53,19 +53,19 @@
     /// \brief Decides on a job and charges it to the budget if it is admitted. Jobs without an objective (hasObjective) are always
     /// admitted.
     /// \param jobsPerSecond Configured rate of the organisation over all instances; 0: none.
-    [[nodiscard]] AdmissionVerdict judge(const std::string& queue, const std::string& organisation, const JobSpec& job, double jobsPerSecond, MonotonicInstant now);
+    [[nodiscard]] AdmissionDecision decide(const std::string& queue, const std::string& organisation, const JobSpec& job, double jobsPerSecond, MonotonicInstant now);
 
     /// \returns The delay after which refused callers of the queue should retry.
     [[nodiscard]] Millis retryAfter(const std::string& queue, const std::string& organisation) const;
 
     /// After an expired grant the safe share applies for this long. Then the pressure is unknown, and jobs are admitted without limit.
-    static constexpr Millis safeShareLasts { 10'000 };
+    static constexpr Millis safeShareDuration { 10'000 };
 
 private:
     struct Budget {
         AdmissionBudget granted;
-        double left = 0; ///< Remaining budget, ms of a core.
-        MonotonicInstant countedAt;
+        double remaining = 0; ///< Remaining budget, ms of a core.
+        MonotonicInstant refilledAt;
         double threshold = 0; ///< The next job is admitted if at least this much is left, ms of a core.
         RateMeter safeShare;
     };
--- a/include/lanemoor/jobs/intake/caller_access.h
+++ b/include/lanemoor/jobs/intake/caller_access.h
@@ -31,6 +31,6 @@
 
 /// \returns Whether the caller may see, cancel and resubmit a job. Callers of a queue that requires a key have access to the jobs of
 /// their organisation and to jobs without one. Callers of an open queue also have access to all jobs of that queue.
-[[nodiscard]] bool mayUse(const Caller& caller, const JobRecord& job);
+[[nodiscard]] bool mayAccess(const Caller& caller, const JobRecord& job);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/intake/job_intake.h
+++ b/include/lanemoor/jobs/intake/job_intake.h
@@ -19,7 +19,7 @@
 /// Outcome of a job submission.
 enum class AcceptOutcome {
     Accepted, ///< The job is stored, by this or an earlier submission.
-    NotTaken, ///< The job is not stored and won't run unless it is submitted again.
+    NotAccepted, ///< The job is not stored and won't run unless it is submitted again.
     Unknown, ///< The job may have been stored, or may be stored later.
     Foreign, ///< A job of this id belongs to another organisation.
     Refused, ///< The job could not be served in time within its organisation's share; nothing was written.
@@ -64,7 +64,7 @@
 
     /// \returns Whether a write got no answer and the store has answered no later call. New jobs are then rejected as not taken, except
     /// for a periodic probe.
-    [[nodiscard]] bool isStoreSilent() const noexcept;
+    [[nodiscard]] bool isStoreUnavailable() const noexcept;
 
     /// \brief Notes that the store answered a call made outside this class.
     /// \param sentAt When that call was sent.
--- a/include/lanemoor/jobs/intake/job_lookup.h
+++ b/include/lanemoor/jobs/intake/job_lookup.h
@@ -19,9 +19,9 @@
     /// Whether the store is read for a job that the local copy does not show as finished. The copy of an instance that does not own the
     /// job lags by up to 500 ms.
     bool readsThrough = true;
-    Millis freshFor { 50 }; ///< A job is not read again within this time; callers poll a few times a second.
-    Millis patience { 400 }; ///< After this the copy answers. A slow store takes 240 ms, callers wait 3 s.
-    bool keepsCopy = true; ///< Whether the catalog holds all jobs; false: only those read or written by this instance.
+    Millis maxReadAge { 50 }; ///< A job is not read again within this time; callers poll a few times a second.
+    Millis readTimeout { 400 }; ///< After this the copy answers. A slow store takes 240 ms, callers wait 3 s.
+    bool hasFullCopy = true; ///< Whether the catalog holds all jobs; false: only those read or written by this instance.
     double readsPerSecond = 60; ///< Per instance; 32 instances then use a third of the store's 6,000 reads a second.
 
     [[nodiscard]] bool operator==(const JobLookupOptions&) const = default;
--- a/include/lanemoor/jobs/intake/refused_submissions.h
+++ b/include/lanemoor/jobs/intake/refused_submissions.h
@@ -16,8 +16,8 @@
 /// or for `memory` after its last refusal; then its caller has stopped retrying or uses another entry instance.
 class RefusedSubmissions {
 public:
-    static constexpr Millis memory { 8'000 }; ///< More than twice the maximum Retry-After plus the duration of a call.
-    static constexpr std::size_t maxWaiting = 20'000; ///< Beyond this, the oldest is dropped.
+    static constexpr Millis retention { 8'000 }; ///< More than twice the maximum Retry-After plus the duration of a call.
+    static constexpr std::size_t maxTracked = 20'000; ///< Beyond this, the oldest is dropped.
 
     /// \param usefulUntil When the job becomes useless to its caller; used only at the submission's first refusal.
     void noteRefused(const std::string& id, MonotonicInstant usefulUntil, MonotonicInstant now);
@@ -28,20 +28,20 @@
     /// \brief Notes that a submission was stored, or that its id belongs to another organisation.
     void noteSettled(const std::string& id);
 
-    [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
+    [[nodiscard]] std::size_t waiting() const noexcept { return m_tracked.size(); }
 
 private:
     struct Refused {
         MonotonicInstant usefulUntil;
-        MonotonicInstant forgetAt;
+        MonotonicInstant expiresAt;
     };
 
-    void forgetOld(MonotonicInstant now);
+    void evictExpired(MonotonicInstant now);
 
-    std::map<std::string, Refused> m_waiting; ///< By id.
-    std::multimap<MonotonicInstant, std::string> m_order; ///< When to check each id for expiry; a later refusal postpones it.
-    MonotonicInstant m_since; ///< Start of the current episode.
-    std::uint64_t m_refused = 0; ///< Distinct submissions refused in it.
+    std::map<std::string, Refused> m_tracked; ///< By id.
+    std::multimap<MonotonicInstant, std::string> m_expiries; ///< When to check each id for expiry; a later refusal postpones it.
+    MonotonicInstant m_episodeStart; ///< Start of the current episode.
+    std::uint64_t m_refusedCount = 0; ///< Distinct submissions refused in it.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/fleet_control.h
+++ b/include/lanemoor/jobs/model/fleet_control.h
@@ -35,7 +35,7 @@
 };
 
 /// Maximum age of a list when it arrives. A list that arrives this soon after an action may still show the instance's former state.
-constexpr Millis fleetListLag { 1'200 };
+constexpr Millis maxFleetListLag { 1'200 };
 
 /// Outcome of an action on an instance.
 enum class FleetOutcome {
--- a/include/lanemoor/jobs/model/job_record.h
+++ b/include/lanemoor/jobs/model/job_record.h
@@ -27,7 +27,7 @@
 constexpr std::string_view termKeyPrefix = "lanemoor/ownership/term/"; ///< Keys that outlive the owner.
 
 constexpr std::string_view ownerPrefix = "lanemoor-owner/";
-constexpr std::string_view actsKey = "lanemoor-owner/acts"; ///< Instances that the owner recently acted on.
+constexpr std::string_view actionsKey = "lanemoor-owner/acts"; ///< Instances that the owner recently acted on.
 constexpr std::string_view queueCountsKey = "lanemoor-owner/queue-counts";
 [[nodiscard]] std::string waveKey(std::uint64_t wave); ///< Instances of a wave whose maintenance has begun.
 [[nodiscard]] std::string jobKey(std::string_view id);
@@ -62,11 +62,11 @@
     std::string worker; ///< Worker id.
     std::int64_t workerStartedAt = 0; ///< Identifies the incarnation; Unix ms; 0: not reported.
     bool isAcknowledged = false; ///< That incarnation acknowledged the start.
-    bool isSilent = false; ///< An owner saw the worker become unresponsive before it had survived the start.
+    bool isUnresponsive = false; ///< An owner saw the worker become unresponsive before it had survived the start.
 
     /// \returns Whether the end of the incarnation confirms a crash by the start. If no owner saw the worker become unresponsive, the
     /// incarnation may have ended long after the attempt.
-    [[nodiscard]] bool confirmsCrash() const noexcept { return isAcknowledged && isSilent; }
+    [[nodiscard]] bool confirmsCrash() const noexcept { return isAcknowledged && isUnresponsive; }
 
     [[nodiscard]] bool operator==(const Probation&) const = default;
 };
@@ -131,8 +131,8 @@
 [[nodiscard]] std::optional<std::set<std::string>> decodeInstances(std::string_view bytes);
 
 /// \param ages Time since the latest action on each instance.
-[[nodiscard]] std::string encodeActs(const std::map<std::string, Millis>& ages);
-[[nodiscard]] std::optional<std::map<std::string, Millis>> decodeActs(std::string_view bytes);
+[[nodiscard]] std::string encodeActionAges(const std::map<std::string, Millis>& ages);
+[[nodiscard]] std::optional<std::map<std::string, Millis>> decodeActionAges(std::string_view bytes);
 [[nodiscard]] std::optional<JobRecord> decodeJob(std::string_view bytes);
 [[nodiscard]] std::optional<ProgressRecord> decodeProgress(std::string_view bytes);
 [[nodiscard]] std::optional<OwnerRecord> decodeOwner(std::string_view bytes);
--- a/include/lanemoor/jobs/model/job_spec.h
+++ b/include/lanemoor/jobs/model/job_spec.h
@@ -38,7 +38,7 @@
     bool sameRack = false; ///< A gang that is slower if spread over racks.
     std::string requiredLabel; ///< Label that the instance must have; empty: any instance.
     std::string preferredRack; ///< The rack with the data; tasks are slower elsewhere.
-    std::uint32_t mostPerInstance = 0; ///< Maximum number of these tasks on one instance; 0: no limit.
+    std::uint32_t maxPerInstance = 0; ///< Maximum number of these tasks on one instance; 0: no limit.
     bool speculative = false; ///< Copies of a task may run concurrently.
     bool longRunning = false; ///< Runs until the job is cancelled; restarted however it ends.
     std::string image; ///< Tasks of one image are assumed to behave alike.
@@ -75,8 +75,8 @@
 /// \returns A short English text for `fault`.
 [[nodiscard]] std::string_view describe(JobFault fault) noexcept;
 
-constexpr std::size_t mostPayloadBytes = 4'000; // The platform's limit on a task's payload.
-constexpr std::uint32_t mostTasksOfJob = 20'000; // Keeps a job's progress record below a tenth of the store's size limit for a value.
+constexpr std::size_t maxPayloadBytes = 4'000; // The platform's limit on a task's payload.
+constexpr std::uint32_t maxTasksPerJob = 20'000; // Keeps a job's progress record below a tenth of the store's size limit for a value.
 
 /// \returns A fault of `job`, or nothing.
 [[nodiscard]] std::optional<JobFault> faultOf(const JobSpec& job);
@@ -112,7 +112,7 @@
 [[nodiscard]] std::string_view nameOf(JobStatus status) noexcept;
 
 /// \returns The duration of the critical path: the largest sum of estimates along a chain of dependent steps.
-[[nodiscard]] Millis longestChain(const JobSpec& spec);
+[[nodiscard]] Millis criticalPathDuration(const JobSpec& spec);
 
 /// \returns The declared work of all tasks of one occurrence, in thousandths of a core times ms.
 [[nodiscard]] std::int64_t declaredWork(const JobSpec& job) noexcept;
--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -18,9 +18,9 @@
 /// Phase of an attempt that has not ended, as known to the owner.
 enum class AttemptPhase {
     Recording, ///< The start is sent once its probation is stored.
-    Ordered, ///< The start was sent and is not answered yet.
+    Sent, ///< The start was sent and is not answered yet.
     Running, ///< The worker confirmed it.
-    Doubtful, ///< The start got no usable answer: the attempt may be running, or may begin later.
+    OutcomeUnknown, ///< The start got no usable answer: the attempt may be running, or may begin later.
     Stopping, ///< A stop was sent.
 };
 
@@ -31,7 +31,7 @@
 struct LiveAttempt {
     std::uint64_t number = 0;
     std::string worker; ///< Id of the worker incarnation that the start was sent to.
-    AttemptPhase phase = AttemptPhase::Ordered;
+    AttemptPhase phase = AttemptPhase::Sent;
     MonotonicInstant startedAt; ///< When the start was sent, or the attempt was found running at the worker.
     MonotonicInstant phaseSince;
     std::optional<MonotonicInstant> stopAnsweredAt;
@@ -39,17 +39,17 @@
     std::uint32_t percent = 0; ///< Progress as last reported.
     MonotonicInstant percentSince; ///< When `percent` last changed.
     bool listed = false; ///< A status report of this worker incarnation listed it.
-    std::int64_t confirmedOnClock = 0; ///< The worker's clock, ms, when it first confirmed the attempt; 0: not confirmed.
+    std::int64_t confirmedAtWorkerClock = 0; ///< The worker's clock, ms, when it first confirmed the attempt; 0: not confirmed.
     /// The worker's clock, ms, when the start was sent; 0: unknown, as the worker had not answered shortly before.
-    std::int64_t sentOnClock = 0;
+    std::int64_t sentAtWorkerClock = 0;
     bool crashAttributed = false; ///< A crash is attributed to it already; one start crashes at most one incarnation.
     bool keepsProbation = false; ///< Its probation outlives it, since the worker was unresponsive until the lease expired.
 
     /// \returns When the attempt last made reported progress or changed its phase.
-    [[nodiscard]] MonotonicInstant standsSince() const noexcept { return std::max(percentSince, phaseSince); }
+    [[nodiscard]] MonotonicInstant lastProgressAt() const noexcept { return std::max(percentSince, phaseSince); }
 
     /// \returns Whether the worker has ever reported or acknowledged the attempt.
-    [[nodiscard]] bool wasConfirmed() const noexcept { return listed || confirmedOnClock > 0; }
+    [[nodiscard]] bool wasConfirmed() const noexcept { return listed || confirmedAtWorkerClock > 0; }
 
     [[nodiscard]] bool operator==(const LiveAttempt&) const = default;
 };
@@ -64,7 +64,7 @@
     std::string avoidWorker; ///< The worker where it failed last; other workers are preferred.
     MonotonicInstant notBefore; ///< Earliest time of the next start.
     CrashCount crashes; ///< Consecutive crashes.
-    std::uint64_t crashedAttempt = 0; ///< Survived attempts with lower numbers don't reset `crashes`.
+    std::uint64_t lastCrashedAttempt = 0; ///< Survived attempts with lower numbers don't reset `crashes`.
     std::vector<Probation> probations; ///< Of the live attempt and of earlier ones, if the task is suspect or a worker is unresponsive.
     bool givenUp = false; ///< The task crashes its workers and is not started again; a long-running job continues without it.
 
@@ -181,8 +181,8 @@
     void noteReport(const RunningAttempt& report, MonotonicInstant now);
 
     /// \brief Notes that an attempt ended at `worker`.
-    /// \param mostAttempts Number of failures of one task at which the job fails.
-    EndEffect end(const EndedAttempt& ended, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now);
+    /// \param maxAttempts Number of failures of one task at which the job fails.
+    EndEffect end(const EndedAttempt& ended, const std::string& worker, std::uint32_t maxAttempts, MonotonicInstant now);
 
     /// \brief Drops a live attempt that never ran, vanished or ended with its worker.
     /// \param retryAt When the task may start again.
@@ -231,7 +231,7 @@
     void clearLive(const TaskId& task, TaskState& state);
     void succeed(const TaskId& task);
     void succeedOne(const TaskId& task);
-    EndEffect fail(const Attempt& attempt, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now);
+    EndEffect fail(const Attempt& attempt, const std::string& worker, std::uint32_t maxAttempts, MonotonicInstant now);
     void closeFinishedOccurrences();
     [[nodiscard]] bool hasSucceeded(std::uint32_t occurrence) const;
     [[nodiscard]] std::uint32_t occurrences() const noexcept;
--- a/include/lanemoor/jobs/model/key_value_store.h
+++ b/include/lanemoor/jobs/model/key_value_store.h
@@ -56,7 +56,7 @@
 };
 
 /// Limit on the sum of a transaction's conditions, writes and removals.
-constexpr std::size_t mostTransactionEntries = 32; // The platform's limit.
+constexpr std::size_t maxTransactionEntries = 32; // The platform's limit.
 
 /// \brief An atomic transaction: the writes and removals are applied if every condition holds.
 struct Transaction {
@@ -86,9 +86,9 @@
 struct DocumentQuery {
     std::string key;
     std::uint64_t after = 0; ///< Only changes after this revision of the store; 0: the current document.
-    std::uint64_t unless = 0; ///< Without `after`: nothing if the document was last changed at this revision; 0: always the document.
+    std::uint64_t unlessRevision = 0; ///< Without `after`: nothing if the document was last changed at this revision; 0: always the document.
     Millis wait { 0 }; ///< With `after`: how long the store may wait for a change.
-    Millis patience { 1'000 }; ///< Timeout for the first bytes of the answer, in addition to `wait`.
+    Millis timeout { 1'000 }; ///< Timeout for the first bytes of the answer, in addition to `wait`.
     /// Called at most once, when a first part of the answer's body has arrived, but not all of it. \returns Whether to receive the rest;
     /// if false, the call ends with Abandoned. May be null.
     std::function<bool()> begun;
@@ -119,7 +119,7 @@
 
     /// \param afterKey The page starts after this key; empty: at the beginning.
     /// \param patience Timeout for the answer, which has up to a megabyte.
-    virtual void range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done) = 0;
+    virtual void range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done) = 0;
 
     /// \brief Waits up to `wait` for changes under `prefix` after revision `after`.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done) = 0;
--- a/include/lanemoor/jobs/model/organisation.h
+++ b/include/lanemoor/jobs/model/organisation.h
@@ -25,8 +25,8 @@
 /// A fault in a list of organisations.
 enum class OrganisationFaultCode {
     NoName,
-    NameTwice,
-    KeyTwice, ///< Two organisations have the same key, so it does not identify the caller.
+    DuplicateName,
+    DuplicateKey, ///< Two organisations have the same key, so it does not identify the caller.
     NegativeQuota,
     NegativeWeight,
 };
@@ -59,7 +59,7 @@
     [[nodiscard]] const OrganisationSettings* find(std::string_view name) const noexcept;
 
     /// \returns The organisation with the key, or null.
-    [[nodiscard]] const OrganisationSettings* holderOf(const ApiKeyDigest& key) const noexcept;
+    [[nodiscard]] const OrganisationSettings* findByKey(const ApiKeyDigest& key) const noexcept;
 
     /// \returns All faults, in the order of the list.
     [[nodiscard]] std::vector<OrganisationFault> faults() const;
--- a/include/lanemoor/jobs/model/pool_load.h
+++ b/include/lanemoor/jobs/model/pool_load.h
@@ -20,8 +20,8 @@
     std::string kind; ///< A pool accepts instances of certain kinds only.
     std::string rack;
     Resources capacity;
-    bool sound = true; ///< Accepts work now, or will once it has arrived.
-    bool coming = false; ///< Moving to the pool or in maintenance; accepts no work yet.
+    bool healthy = true; ///< Accepts work now, or will once it has arrived.
+    bool arriving = false; ///< Moving to the pool or in maintenance; accepts no work yet.
     std::optional<MonotonicInstant> idleSince; ///< Set if the instance is up, has no running tasks and may be moved.
     std::string drainable; ///< Id of its worker, if that is busy and may be drained; else empty.
     MonotonicInstant emptyBy; ///< Expected end of its attempts, without long-running ones.
@@ -40,7 +40,7 @@
     /// Running and waiting tasks of jobs that will miss their objective anyway; served with otherwise unused capacity.
     std::int64_t backlogMilliCpu = 0;
     bool backlogWaits = false; ///< Whether a part of the backlog found no capacity.
-    std::uint32_t leastInstances = 0; ///< Minimum number of healthy instances that its jobs need, regardless of load.
+    std::uint32_t minInstances = 0; ///< Minimum number of healthy instances that its jobs need, regardless of load.
     bool hasWaiting = false; ///< Whether tasks wait only for capacity.
     Resources largestWaiting; ///< The largest need of each resource among the waiting tasks.
 
--- a/include/lanemoor/jobs/model/service_configuration.h
+++ b/include/lanemoor/jobs/model/service_configuration.h
@@ -30,7 +30,7 @@
     std::string pathPrefix;
     std::string pool; ///< The pool whose instances run the queue's tasks.
     std::uint32_t priority = 0; ///< Lower values are served first.
-    std::uint32_t mostAttempts = 1; ///< Number of failures of one task at which its job fails.
+    std::uint32_t maxAttempts = 1; ///< Number of failures of one task at which its job fails.
     double stretch = 1.0; ///< The objective is `stretch` times the job's critical path plus `latencyTarget`.
     Millis latencyTarget { 0 };
     std::optional<AdvicePolicy> advice;
@@ -42,8 +42,8 @@
 struct PoolSettings {
     std::string name;
     bool reserve = false; ///< Its instances are switched off and cost nothing.
-    bool guardsCapacity = false; ///< Its workers reject starts that exceed their capacity.
-    std::uint32_t mostConnections = 0; ///< Maximum number of connections to one worker from all entry instances; 0: no limit.
+    bool enforcesCapacity = false; ///< Its workers reject starts that exceed their capacity.
+    std::uint32_t maxConnections = 0; ///< Maximum number of connections to one worker from all entry instances; 0: no limit.
 
     [[nodiscard]] bool operator==(const PoolSettings&) const = default;
 };
@@ -54,7 +54,7 @@
     std::vector<QueueSettings> queues;
     std::vector<PoolSettings> pools;
     OrganisationTable organisations; ///< If empty, callers need no key and there are no quotas.
-    std::uint64_t mostBodyBytes = 262'144; ///< Maximum size of a request body; 262'144 is the default.
+    std::uint64_t maxBodyBytes = 262'144; ///< Maximum size of a request body; 262'144 is the default.
 
     /// \returns The queue with `name`, or null.
     [[nodiscard]] const QueueSettings* queue(std::string_view name) const noexcept;
@@ -88,11 +88,11 @@
     None,
     Unreadable, ///< Not a document in the workers' format.
     Address, ///< The address is missing, or is not an IP address with a port.
-    Place, ///< The pool or the data hall is missing.
+    Location, ///< The pool or the data hall is missing.
     State, ///< The state is missing or unknown.
     Capacity, ///< The capacity is missing or invalid.
     Start, ///< The start time is not an integer.
-    OtherField, ///< Another field has the wrong type.
+    WrongFieldType, ///< Another field has the wrong type.
 };
 
 /// \returns A short name of `fault` for logs.
@@ -103,7 +103,7 @@
     std::uint64_t number = 0;
     std::vector<std::string> instances; ///< Each instance is maintained once.
     Millis duration { 0 }; ///< Time from the request in which the wave must finish.
-    std::uint32_t mostAtOnce = 1; ///< Maximum number of instances that are down for this wave at one time.
+    std::uint32_t maxConcurrent = 1; ///< Maximum number of instances that are down for this wave at one time.
 
     /// \returns Whether the wave includes the instance.
     [[nodiscard]] bool contains(std::string_view instance) const { return std::find(instances.begin(), instances.end(), instance) != instances.end(); }
--- a/include/lanemoor/jobs/model/store_condition.h
+++ b/include/lanemoor/jobs/model/store_condition.h
@@ -14,16 +14,16 @@
     Writing, ///< Reads and writes are answered, or no fault was observed.
     ReadingOnly, ///< Reads are answered, writes are not.
     Refused, ///< No call is answered; the last one was certainly not carried out.
-    Silent, ///< No call is answered; calls may have been carried out.
+    Unresponsive, ///< No call is answered; calls may have been carried out.
 };
 
-constexpr std::size_t storeStates = 4;
+constexpr std::size_t storeStateCount = 4;
 
 /// \returns A short name of `state` for logs and metrics.
 [[nodiscard]] std::string_view nameOf(StoreState state) noexcept;
 
 /// \returns Whether no call is answered.
-[[nodiscard]] constexpr bool isOutage(StoreState state) noexcept { return state == StoreState::Refused || state == StoreState::Silent; }
+[[nodiscard]] constexpr bool isOutage(StoreState state) noexcept { return state == StoreState::Refused || state == StoreState::Unresponsive; }
 
 /// The observed state of the store with its start time.
 struct StoreCondition {
--- a/include/lanemoor/jobs/model/work_meter.h
+++ b/include/lanemoor/jobs/model/work_meter.h
@@ -17,18 +17,18 @@
     FleetPlan, ///< Sizes of pools, moves and waves.
     Reports, ///< Processing the workers' status reports.
     Progress, ///< Writing progress to the store.
-    StoreNews, ///< Applying changes that watches of the store deliver.
+    StoreChanges, ///< Applying changes that watches of the store deliver.
     RelayFrames, ///< Encoding and decoding relay frames.
 };
 
-constexpr std::size_t workKinds = 6;
+constexpr std::size_t workKindCount = 6;
 
 /// \returns The name of `kind` in logs and metrics.
 [[nodiscard]] std::string_view nameOf(WorkKind kind) noexcept;
 
 /// Time spent, by kind of work.
 struct WorkReading {
-    std::array<std::chrono::microseconds, workKinds> spent {}; ///< Exclusive times: nested work counts only under its own kind.
+    std::array<std::chrono::microseconds, workKindCount> spent {}; ///< Exclusive times: nested work counts only under its own kind.
     std::chrono::microseconds longest {}; ///< Inclusive time of the longest piece of work.
     WorkKind longestKind = WorkKind::Placement; ///< Kind of the longest piece.
 
@@ -63,7 +63,7 @@
         WorkKind m_kind;
         Piece* m_outer = nullptr; ///< The enclosing piece, or null.
         MonotonicInstant m_begin;
-        std::chrono::microseconds m_within {}; ///< Total time of the nested pieces.
+        std::chrono::microseconds m_nested {}; ///< Total time of the nested pieces.
     };
 
     /// \returns All work since the process started; `longest` is only recorded in `takeRecent`.
--- a/include/lanemoor/jobs/model/worker_control.h
+++ b/include/lanemoor/jobs/model/worker_control.h
@@ -15,7 +15,7 @@
 namespace lanemoor::jobs {
 
 /// \brief One incarnation of a worker. A restarted worker is a new incarnation; its id and address may be the same as before.
-struct WorkerLife {
+struct WorkerIncarnation {
     std::string id; ///< Worker id; a later incarnation may have the same one.
     std::string address; ///< IP:port.
     /// Start time by its own wall clock, Unix ms; 0: not reported. Distinguishes incarnations with the same id, but does not order them,
@@ -23,7 +23,7 @@
     std::int64_t startedAt = 0;
     std::string dataHall; ///< Empty: unknown.
 
-    [[nodiscard]] bool operator==(const WorkerLife&) const = default;
+    [[nodiscard]] bool operator==(const WorkerIncarnation&) const = default;
 };
 
 /// Identifies one attempt of one task.
@@ -36,28 +36,28 @@
 };
 
 /// Outcome of a command to a worker.
-enum class OrderOutcome {
+enum class CommandOutcome {
     Done,
     Fenced, ///< The worker has received a command with a higher epoch.
     Superseded, ///< The worker already has an attempt of the task with the same or a higher number.
-    LeaseOver, ///< The lease in the command had expired.
+    LeaseExpired, ///< The lease in the command had expired.
     NoRoom,
     BadTicket,
-    OtherLife, ///< Another incarnation answers at this address; the addressed one has ended.
+    OtherIncarnation, ///< Another incarnation answers at this address; the addressed one has ended.
     NotDone, ///< Certainly not carried out.
     Rejected, ///< The worker can't read the command.
     Unknown, ///< No usable answer; the command may have been carried out, or may be carried out later.
 };
 
 /// \returns A short name of `outcome` for logs and metrics.
-[[nodiscard]] std::string_view nameOf(OrderOutcome outcome) noexcept;
+[[nodiscard]] std::string_view nameOf(CommandOutcome outcome) noexcept;
 
 /// How an attempt ended.
 enum class AttemptEnd {
     Succeeded,
     Failed,
     Stopped,
-    LeaseLapsed,
+    LeaseExpired,
     GangBroken, ///< Another member of its gang ended.
     GangIncomplete, ///< The other members of its gang did not start in time.
 };
@@ -86,7 +86,7 @@
 };
 
 /// Command to start an attempt.
-struct StartOrder {
+struct StartCommand {
     Attempt attempt;
     std::string payload;
     std::int64_t leaseUntil = 0; ///< On the worker's clock, ms.
@@ -96,7 +96,7 @@
 };
 
 /// Command to renew the lease on all attempts at a worker; the result lists running and ended attempts.
-struct RenewOrder {
+struct RenewCommand {
     std::int64_t leaseUntil = 0; ///< On the worker's clock, ms; 0: don't change the lease.
     std::uint64_t epoch = 0;
     std::uint64_t endsStoredUpTo = 0; ///< The worker discards ends with sequences up to this one.
@@ -104,14 +104,14 @@
 };
 
 /// Result of a start, a stop or a throttle.
-struct OrderResult {
-    OrderOutcome outcome = OrderOutcome::Unknown;
+struct CommandResult {
+    CommandOutcome outcome = CommandOutcome::Unknown;
     std::int64_t workerClock = 0; ///< The worker's clock, ms; 0: not reported.
 };
 
 /// Result of a renewal.
 struct RenewResult {
-    OrderOutcome outcome = OrderOutcome::Unknown;
+    CommandOutcome outcome = CommandOutcome::Unknown;
     std::int64_t workerClock = 0;
     std::int64_t startedAt = 0; ///< Start time of the answering incarnation by its own wall clock, Unix ms; 0: not reported.
     std::vector<RunningAttempt> running;
@@ -122,18 +122,18 @@
 class WorkerControl {
 public:
     virtual ~WorkerControl() = default;
-    virtual void start(const WorkerLife& worker, const StartOrder& order, std::function<void(OrderResult)> done) = 0;
-    virtual void stop(const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(OrderResult)> done) = 0;
-    virtual void renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done) = 0;
+    virtual void start(const WorkerIncarnation& worker, const StartCommand& command, std::function<void(CommandResult)> done) = 0;
+    virtual void stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done) = 0;
+    virtual void renew(const WorkerIncarnation& worker, const RenewCommand& command, std::function<void(RenewResult)> done) = 0;
 
     /// \param percent Limit on the attempt's speed.
-    virtual void throttle(const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(OrderResult)> done) = 0;
+    virtual void throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done) = 0;
 
     /// \brief Notes that a call to the worker is overdue; later calls take another path, if there is one.
-    virtual void noteOverdue(const WorkerLife& /*worker*/) { }
+    virtual void noteOverdue(const WorkerIncarnation& /*worker*/) { }
 
     /// \brief Closes the connections to an incarnation that has ended.
-    virtual void forget(const WorkerLife& worker) = 0;
+    virtual void forget(const WorkerIncarnation& worker) = 0;
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -75,7 +75,7 @@
     std::uint32_t pinned = 0; ///< Of the long-running ones, those that require a label.
     MonotonicInstant emptyBy; ///< When the other ones should have ended, by their declared times and what is observed.
     bool known = false; ///< What runs there is known: it was met in this term, or every lease there is over.
-    bool sound = false; ///< Listed, answering, not draining, not ejected.
+    bool healthy = false; ///< Listed, answering, not draining, not ejected.
     bool evacuating = false;
     MonotonicInstant evacuatingSince; ///< Meaningful while evacuating.
 };
@@ -96,7 +96,7 @@
     WaitingTasks waiting;
     std::int64_t runningMilliCpu = 0;
     std::int64_t runningBacklogMilliCpu = 0; ///< Of it, what jobs take that end late whatever is done.
-    std::uint32_t leastInstances = 0; ///< For steps whose tasks must not share an instance.
+    std::uint32_t minInstances = 0; ///< For steps whose tasks must not share an instance.
     std::int64_t forecastMilliCpu = 0; ///< What jobs arriving as they do now will keep busy.
 };
 
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -68,7 +68,7 @@
 /// clock from the worker's answers and tells when the longest lease it gave is surely over.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
 public:
-    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife life, WorkerSessionOptions options, WorkerSessionObserver& observer);
+    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerIncarnation life, WorkerSessionOptions options, WorkerSessionObserver& observer);
 
     /// \brief Sends the first renewal, which also keeps earlier owners out.
     void start();
@@ -112,7 +112,7 @@
     /// \returns Whether the worker is known to have been up at or after `instant`.
     [[nodiscard]] bool answeredSince(MonotonicInstant instant) const noexcept { return m_heardOnClock > 0 && m_answeredAt >= instant; }
 
-    [[nodiscard]] const WorkerLife& life() const noexcept { return m_life; }
+    [[nodiscard]] const WorkerIncarnation& life() const noexcept { return m_life; }
 
     /// \returns Whether the worker answered a renewal of this owner, which keeps all earlier ones out.
     [[nodiscard]] bool isMet() const noexcept { return m_met; }
@@ -148,7 +148,7 @@
 
     EventLoop& m_loop;
     WorkerControl& m_control;
-    WorkerLife m_life;
+    WorkerIncarnation m_life;
     WorkerSessionOptions m_options;
     WorkerSessionObserver& m_observer;
     bool m_closed = false;
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -60,7 +60,7 @@
     Millis sustainTime { 500 };
     double idleShareOfRoom = 0.25; ///< Of a pool's sound instances: with so many idle and no task waiting, the pool has room.
     Millis idleBeforeOff { 1'200 }; ///< A move costs what an instance costs in about this time.
-    std::uint32_t leastInstances = 2; ///< Of a pool with queues, so that one may fail.
+    std::uint32_t minInstances = 2; ///< Of a pool with queues, so that one may fail.
     bool sharesFairly = true; ///< Whether a pool that has more than another empties instances for it.
     /// By how many of an instance's processor time a pool must have more than another to do so: a
     /// drain and a move waste some 2.5 s of the instance. 5 measured 0.020 better than 2 on changed
--- a/include/lanemoor/jobs/policy/ejection_bound.h
+++ b/include/lanemoor/jobs/policy/ejection_bound.h
@@ -37,7 +37,7 @@
 /// since the share of a small group would allow none.
 ///
 /// \code
-/// EjectionBound bound(options, members, leastInstances);
+/// EjectionBound bound(options, members, minInstances);
 /// for (const EjectionCandidate& candidate : bound.choose(candidates))
 ///     eject(candidate);
 /// \endcode
--- a/include/lanemoor/jobs/relay/relayed_workers.h
+++ b/include/lanemoor/jobs/relay/relayed_workers.h
@@ -61,12 +61,12 @@
     /// \brief Lets all relays go; calls under way are answered as unknown.
     void deactivate();
 
-    void start(const WorkerLife& worker, const StartOrder& order, std::function<void(OrderResult)> done) override;
-    void stop(const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(OrderResult)> done) override;
-    void renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done) override;
-    void throttle(const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(OrderResult)> done) override;
-    void noteOverdue(const WorkerLife& worker) override;
-    void forget(const WorkerLife& worker) override;
+    void start(const WorkerIncarnation& worker, const StartCommand& order, std::function<void(CommandResult)> done) override;
+    void stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done) override;
+    void renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done) override;
+    void throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done) override;
+    void noteOverdue(const WorkerIncarnation& worker) override;
+    void forget(const WorkerIncarnation& worker) override;
 
     /// \brief Sends each linked instance its part of what all may admit; those that link later get it too.
     /// \returns The part of one instance, this one included.
--- a/include/lanemoor/jobs/store/observed_store.h
+++ b/include/lanemoor/jobs/store/observed_store.h
@@ -29,7 +29,7 @@
     ObservedStore& operator=(const ObservedStore&) = delete;
 
     void read(const std::string& key, std::function<void(ReadResult)> done) override;
-    void range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done) override;
+    void range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done) override;
     void watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done) override;
     void fetch(DocumentQuery query, std::function<void(ItemsResult)> done) override;
     void commit(const Transaction& transaction, std::function<void(CommitResult)> done) override;
--- a/src/jobs/intake/admission_gate.cpp
+++ b/src/jobs/intake/admission_gate.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr Millis leastRetry { 1'000 };
-constexpr Millis mostRetry { 3'000 }; // Jobs lose most of their value to the caller within seconds.
+constexpr Millis minRetryAfter { 1'000 };
+constexpr Millis maxRetryAfter { 3'000 }; // Jobs lose most of their value to the caller within seconds.
 constexpr double milli = 1'000;
 
 Millis retryAfterOf(const AdmissionBudget& budget)
 {
-    return std::clamp(budget.expectedEnd - budget.limit, leastRetry, mostRetry);
+    return std::clamp(budget.expectedEnd - budget.limit, minRetryAfter, maxRetryAfter);
 }
 
 } // namespace
@@ -49,8 +49,8 @@
         const Name name { granted.queue, granted.organisation };
         const auto before = m_budgets.find(name);
         Budget budget = before == m_budgets.end() ? Budget {} : std::move(before->second);
-        budget.left = static_cast<double>(granted.workMillis);
-        budget.countedAt = now;
+        budget.remaining = static_cast<double>(granted.workMillis);
+        budget.refilledAt = now;
         budget.granted = std::move(granted);
         budget.threshold = nextThreshold(budget);
         budgets.emplace(name, std::move(budget));
@@ -58,32 +58,32 @@
     m_budgets = std::move(budgets);
 }
 
-AdmissionVerdict AdmissionGate::judge(const std::string& queue, const std::string& organisation, const JobSpec& job, double jobsPerSecond, MonotonicInstant now)
+AdmissionDecision AdmissionGate::decide(const std::string& queue, const std::string& organisation, const JobSpec& job, double jobsPerSecond, MonotonicInstant now)
 {
     const auto found = m_budgets.find({ queue, organisation });
-    if (found == m_budgets.end() || now >= m_expiresAt + safeShareLasts || !hasObjective(job))
+    if (found == m_budgets.end() || now >= m_expiresAt + safeShareDuration || !hasObjective(job))
         return {};
     Budget& budget = found->second;
-    AdmissionVerdict verdict { .admitted = false, .basis = AdmissionBasis::Budget, .budget = budget.granted, .grantAge = std::chrono::duration_cast<Millis>(now - m_grantedAt), .retryAfter = retryAfterOf(budget.granted) };
+    AdmissionDecision decision { .admitted = false, .basis = AdmissionBasis::Budget, .budget = budget.granted, .grantAge = std::chrono::duration_cast<Millis>(now - m_grantedAt), .retryAfter = retryAfterOf(budget.granted) };
     if (now >= m_expiresAt) {
-        verdict.basis = AdmissionBasis::SafeShare;
-        verdict.admitted = budget.safeShare.take(std::max(jobsPerSecond / m_entries, 1.0), now);
-        return verdict;
+        decision.basis = AdmissionBasis::SafeShare;
+        decision.admitted = budget.safeShare.take(std::max(jobsPerSecond / m_entries, 1.0), now);
+        return decision;
     }
     refill(budget, now);
-    verdict.budget.workMillis = static_cast<std::int64_t>(budget.left);
-    verdict.admitted = budget.left >= budget.threshold;
-    if (verdict.admitted) {
-        budget.left -= static_cast<double>(declaredWork(job)) / milli * budget.granted.correction;
+    decision.budget.workMillis = static_cast<std::int64_t>(budget.remaining);
+    decision.admitted = budget.remaining >= budget.threshold;
+    if (decision.admitted) {
+        budget.remaining -= static_cast<double>(declaredWork(job)) / milli * budget.granted.correction;
         budget.threshold = nextThreshold(budget);
     }
-    return verdict;
+    return decision;
 }
 
 void AdmissionGate::refill(Budget& budget, MonotonicInstant now) const
 {
-    const double passed = std::chrono::duration<double, std::milli>(now - std::exchange(budget.countedAt, now)).count();
-    budget.left += passed * static_cast<double>(budget.granted.milliCpu) / milli;
+    const double elapsedMillis = std::chrono::duration<double, std::milli>(now - std::exchange(budget.refilledAt, now)).count();
+    budget.remaining += elapsedMillis * static_cast<double>(budget.granted.milliCpu) / milli;
 }
 
 double AdmissionGate::nextThreshold(const Budget& budget)
@@ -94,7 +94,7 @@
 Millis AdmissionGate::retryAfter(const std::string& queue, const std::string& organisation) const
 {
     const auto found = m_budgets.find({ queue, organisation });
-    return found == m_budgets.end() ? leastRetry : retryAfterOf(found->second.granted);
+    return found == m_budgets.end() ? minRetryAfter : retryAfterOf(found->second.granted);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/intake/caller_access.cpp
+++ b/src/jobs/intake/caller_access.cpp
@@ -7,13 +7,13 @@
 std::optional<Caller> identify(const ServiceConfiguration& configuration, const QueueSettings& queue, std::optional<std::string_view> key)
 {
     const bool isOpen = queue.isPublic || configuration.organisations.empty();
-    const OrganisationSettings* holder = key ? configuration.organisations.holderOf(ApiKeyDigest::of(*key)) : nullptr;
+    const OrganisationSettings* holder = key ? configuration.organisations.findByKey(ApiKeyDigest::of(*key)) : nullptr;
     if (!isOpen && !holder)
         return std::nullopt;
     return Caller { .queue = queue.name, .organisation = holder ? holder->name : std::string(), .isOpen = isOpen };
 }
 
-bool mayUse(const Caller& caller, const JobRecord& job)
+bool mayAccess(const Caller& caller, const JobRecord& job)
 {
     if (job.organisation.empty() || job.organisation == caller.organisation)
         return true;
--- a/src/jobs/intake/job_intake.cpp
+++ b/src/jobs/intake/job_intake.cpp
@@ -15,28 +15,28 @@
 namespace {
 
 /// Jobs in one transaction; each job needs a condition and a write.
-constexpr std::size_t mostJobsOfBatch = mostTransactionEntries / 2;
+constexpr std::size_t maxJobsPerBatch = maxTransactionEntries / 2;
 /// Concurrent transactions, so that one slow answer delays only the jobs of its own batch.
-constexpr std::size_t mostBatches = 8;
+constexpr std::size_t maxConcurrentBatches = 8;
 
 /// Interval at which a job is sent to the store while it is unavailable; other jobs are rejected unsent.
-constexpr Millis probePause { 500 };
+constexpr Millis probeInterval { 500 };
 
 /// An unanswered write may be carried out seconds later; delays of 6 s occur.
-constexpr Millis doubtLasts { 15'000 };
+constexpr Millis unsettledWriteLifetime { 15'000 };
 
 /// A job that waits to be stored.
 struct WaitingJob {
     std::string id;
     std::string value;
     Caller caller; ///< The same for all submissions in `waiting`.
-    std::vector<std::function<void(AcceptOutcome)>> waiting;
+    std::vector<std::function<void(AcceptOutcome)>> callbacks;
     std::function<bool()> isAdmitted; ///< Of the latest submission; null: always admitted.
-    bool inDoubt = false; ///< An earlier write of the job may still be carried out.
+    bool hasUnsettledWrite = false; ///< An earlier write of the job may still be carried out.
 
     void answer(AcceptOutcome outcome) const
     {
-        for (const auto& done : waiting)
+        for (const auto& done : callbacks)
             done(outcome);
     }
 };
@@ -48,7 +48,7 @@
     switch (outcome) {
     case AcceptOutcome::Accepted:
         return "accepted";
-    case AcceptOutcome::NotTaken:
+    case AcceptOutcome::NotAccepted:
         return "not-taken";
     case AcceptOutcome::Unknown:
         return "unknown";
@@ -87,7 +87,7 @@
 
     std::size_t inFlight = 0;
 
-    [[nodiscard]] bool isStoreSilent() const { return m_unansweredSentAt && m_mirror.answeredAt() < *m_unansweredSentAt; }
+    [[nodiscard]] bool isStoreUnavailable() const { return m_unansweredSentAt && m_mirror.answeredAt() < *m_unansweredSentAt; }
 
     void noteAnswered(MonotonicInstant sentAt)
     {
@@ -98,27 +98,27 @@
     void accept(const Caller& caller, const std::string& id, const JobRecord& record, std::function<bool()> isAdmitted, std::function<void(AcceptOutcome)> done)
     {
         if (const CatalogEntry* known = m_catalog.find(id); known && known->record) {
-            done(mayUse(caller, *known->record) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
+            done(mayAccess(caller, *known->record) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
             return;
         }
-        // Without a write the definite answer NotTaken is correct; after Unknown a caller could only retry.
-        if (isStoreSilent() && m_loop.now() < m_probeAt) {
-            done(mayBeKept(id) ? AcceptOutcome::Unknown : AcceptOutcome::NotTaken);
+        // Without a write the definite answer NotAccepted is correct; after Unknown a caller could only retry.
+        if (isStoreUnavailable() && m_loop.now() < m_nextProbeAt) {
+            done(mayBeStored(id) ? AcceptOutcome::Unknown : AcceptOutcome::NotAccepted);
             return;
         }
-        const auto same = std::find_if(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
+        const auto queued = std::find_if(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
         // Undecided whose job is stored; the caller's next attempt gets a definite answer.
-        if (same != m_queue.end() && same->caller != caller) {
+        if (queued != m_queue.end() && queued->caller != caller) {
             done(AcceptOutcome::Unknown);
             return;
         }
         ++inFlight;
-        if (same != m_queue.end()) {
-            same->waiting.push_back(std::move(done));
-            same->isAdmitted = std::move(isAdmitted);
+        if (queued != m_queue.end()) {
+            queued->callbacks.push_back(std::move(done));
+            queued->isAdmitted = std::move(isAdmitted);
             return;
         }
-        m_queue.push_back({ .id = id, .value = encode(record), .caller = caller, .waiting = { std::move(done) }, .isAdmitted = std::move(isAdmitted), .inDoubt = mayBeKept(id) });
+        m_queue.push_back({ .id = id, .value = encode(record), .caller = caller, .callbacks = { std::move(done) }, .isAdmitted = std::move(isAdmitted), .hasUnsettledWrite = mayBeStored(id) });
         // Jobs submitted in the same iteration of the event loop share a batch.
         if (m_queue.size() == 1)
             m_loop.callAt(m_loop.now(), [self = shared_from_this()] { self->send(); });
@@ -127,16 +127,16 @@
     [[nodiscard]] bool isKnown(const std::string& id)
     {
         const CatalogEntry* known = m_catalog.find(id);
-        const bool waits = std::any_of(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
-        return (known && known->record) || waits || mayBeKept(id);
+        const bool isQueued = std::any_of(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
+        return (known && known->record) || isQueued || mayBeStored(id);
     }
 
     void refuse(const Caller& caller, const std::string& id, const JobRecord& record, std::function<void(AcceptOutcome)> done)
     {
         ++inFlight;
-        m_store.read(jobKey(id), [self = shared_from_this(), job = WaitingJob { .id = id, .value = encode(record), .caller = caller, .waiting = { std::move(done) }, .isAdmitted = nullptr }](const ReadResult& result) {
+        m_store.read(jobKey(id), [self = shared_from_this(), job = WaitingJob { .id = id, .value = encode(record), .caller = caller, .callbacks = { std::move(done) }, .isAdmitted = nullptr }](const ReadResult& result) {
             if (result.outcome == StoreOutcome::Done)
-                self->keep(job, result.item);
+                self->finishStored(job, result.item);
             else
                 self->finishRefused(job, result.outcome == StoreOutcome::NotFound);
         });
@@ -170,14 +170,14 @@
         const std::vector<WaitingJob> refused(std::make_move_iterator(dropped), std::make_move_iterator(m_queue.end()));
         m_queue.erase(dropped, m_queue.end());
         for (const WaitingJob& job : refused)
-            finish(job, job.inDoubt ? AcceptOutcome::Unknown : AcceptOutcome::NotTaken);
+            finish(job, job.hasUnsettledWrite ? AcceptOutcome::Unknown : AcceptOutcome::NotAccepted);
     }
 
     void send()
     {
         dropUnadmitted();
-        while (!m_queue.empty() && m_batches < mostBatches) {
-            const std::size_t count = std::min(m_queue.size(), mostJobsOfBatch);
+        while (!m_queue.empty() && m_activeBatches < maxConcurrentBatches) {
+            const std::size_t count = std::min(m_queue.size(), maxJobsPerBatch);
             std::vector<WaitingJob> batch(std::make_move_iterator(m_queue.begin()), std::make_move_iterator(m_queue.begin() + static_cast<std::ptrdiff_t>(count)));
             m_queue.erase(m_queue.begin(), m_queue.begin() + static_cast<std::ptrdiff_t>(count));
             commit(std::move(batch));
@@ -191,11 +191,11 @@
             transaction.expected.push_back({ jobKey(job.id), 0 });
             transaction.writes.push_back({ jobKey(job.id), job.value, 0 });
         }
-        ++m_batches;
+        ++m_activeBatches;
         for (const WaitingJob& job : batch)
-            m_inDoubt[job.id] = m_loop.now() + doubtLasts;
+            m_unsettledWrites[job.id] = m_loop.now() + unsettledWriteLifetime;
         m_store.commit(transaction, [self = shared_from_this(), batch = std::move(batch), sentAt = m_loop.now()](const CommitResult& result) mutable {
-            --self->m_batches;
+            --self->m_activeBatches;
             if (result.outcome == StoreOutcome::Unknown)
                 self->noteUnanswered(sentAt);
             else
@@ -210,14 +210,14 @@
         switch (result.outcome) {
         case StoreOutcome::Done:
             for (const WaitingJob& job : batch)
-                keep(job, { .key = jobKey(job.id), .value = job.value, .revision = result.revision });
+                finishStored(job, { .key = jobKey(job.id), .value = job.value, .revision = result.revision });
             return;
         case StoreOutcome::Conflict:
-            separate(std::move(batch), result.current);
+            resolveConflict(std::move(batch), result.current);
             return;
         case StoreOutcome::NotDone:
             for (const WaitingJob& job : batch)
-                finish(job, job.inDoubt ? AcceptOutcome::Unknown : AcceptOutcome::NotTaken);
+                finish(job, job.hasUnsettledWrite ? AcceptOutcome::Unknown : AcceptOutcome::NotAccepted);
             return;
         default:
             for (WaitingJob& job : batch)
@@ -226,36 +226,36 @@
     }
 
     /// \returns Whether a pending or unanswered write may still store the job.
-    [[nodiscard]] bool mayBeKept(const std::string& id)
+    [[nodiscard]] bool mayBeStored(const std::string& id)
     {
         const MonotonicInstant now = m_loop.now();
-        std::erase_if(m_inDoubt, [&](const auto& job) { return now >= job.second; });
-        return m_inDoubt.contains(id);
+        std::erase_if(m_unsettledWrites, [&](const auto& job) { return now >= job.second; });
+        return m_unsettledWrites.contains(id);
     }
 
     void noteUnanswered(MonotonicInstant sentAt)
     {
         m_unansweredSentAt = sentAt;
-        m_probeAt = m_loop.now() + probePause;
+        m_nextProbeAt = m_loop.now() + probeInterval;
     }
 
     /// Finishes the jobs that were stored before and sends the others again.
-    void separate(std::vector<WaitingJob> batch, const std::vector<StoreItem>& current)
+    void resolveConflict(std::vector<WaitingJob> batch, const std::vector<StoreItem>& current)
     {
-        std::vector<WaitingJob> again;
+        std::vector<WaitingJob> remaining;
         for (WaitingJob& job : batch) {
             const std::string key = jobKey(job.id);
-            const auto kept = std::find_if(current.begin(), current.end(), [&](const StoreItem& item) { return item.key == key && item.revision > 0; });
-            if (kept != current.end())
-                keep(job, *kept);
+            const auto stored = std::find_if(current.begin(), current.end(), [&](const StoreItem& item) { return item.key == key && item.revision > 0; });
+            if (stored != current.end())
+                finishStored(job, *stored);
             else
-                again.push_back(std::move(job));
+                remaining.push_back(std::move(job));
         }
-        if (!again.empty() && again.size() < batch.size())
-            commit(std::move(again));
+        if (!remaining.empty() && remaining.size() < batch.size())
+            commit(std::move(remaining));
         else
             // The conflict names none of the keys, so each job's outcome is read back.
-            for (WaitingJob& job : again)
+            for (WaitingJob& job : remaining)
                 readBack(std::move(job));
     }
 
@@ -266,31 +266,31 @@
             if (result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::NotFound)
                 self->noteAnswered(sentAt);
             if (result.outcome == StoreOutcome::Done)
-                self->keep(job, result.item);
+                self->finishStored(job, result.item);
             else
                 self->finish(job, AcceptOutcome::Unknown);
         });
     }
 
-    void keep(const WaitingJob& job, const StoreItem& item)
+    void finishStored(const WaitingJob& job, const StoreItem& item)
     {
         m_mirror.noteWritten(item);
-        const std::optional<JobRecord> kept = item.value == job.value ? std::nullopt : decodeJob(item.value);
-        finish(job, !kept || mayUse(job.caller, *kept) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
+        const std::optional<JobRecord> stored = item.value == job.value ? std::nullopt : decodeJob(item.value);
+        finish(job, !stored || mayAccess(job.caller, *stored) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
     }
 
     void finish(const WaitingJob& job, AcceptOutcome outcome)
     {
-        inFlight -= job.waiting.size();
+        inFlight -= job.callbacks.size();
         if (outcome != AcceptOutcome::Unknown)
-            m_inDoubt.erase(job.id);
+            m_unsettledWrites.erase(job.id);
         job.answer(outcome);
     }
 
     /// Another submission of the id may have been sent to the store meanwhile. Its write stays unsettled, and Refused would be wrong.
     void finishRefused(const WaitingJob& job, bool isAbsent)
     {
-        inFlight -= job.waiting.size();
+        inFlight -= job.callbacks.size();
         job.answer(isAbsent && !isKnown(job.id) ? AcceptOutcome::Refused : AcceptOutcome::Unknown);
     }
 
@@ -305,8 +305,8 @@
                 return;
             }
             --self->inFlight;
-            const bool stands = result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::Conflict;
-            done(stands ? LookupOutcome::Done : LookupOutcome::Unavailable);
+            const bool isCancelled = result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::Conflict;
+            done(isCancelled ? LookupOutcome::Done : LookupOutcome::Unavailable);
         });
     }
 
@@ -325,10 +325,10 @@
     StoreMirror& m_mirror;
     const JobCatalog& m_catalog;
     std::optional<MonotonicInstant> m_unansweredSentAt; ///< When the last write without an answer was sent.
-    MonotonicInstant m_probeAt;
-    std::map<std::string, MonotonicInstant> m_inDoubt; ///< Jobs with an unsettled write, and the time until which it may be carried out.
+    MonotonicInstant m_nextProbeAt;
+    std::map<std::string, MonotonicInstant> m_unsettledWrites; ///< Jobs with an unsettled write, and the time until which it may be carried out.
     std::vector<WaitingJob> m_queue;
-    std::size_t m_batches = 0;
+    std::size_t m_activeBatches = 0;
 };
 
 JobIntake::JobIntake(EventLoop& loop, KeyValueStore& store, StoreMirror& mirror, const JobCatalog& catalog)
@@ -363,9 +363,9 @@
     m_impl->noteAnswered(sentAt);
 }
 
-bool JobIntake::isStoreSilent() const noexcept
+bool JobIntake::isStoreUnavailable() const noexcept
 {
-    return m_impl->isStoreSilent();
+    return m_impl->isStoreUnavailable();
 }
 
 std::size_t JobIntake::inFlight() const noexcept
--- a/src/jobs/intake/job_lookup.cpp
+++ b/src/jobs/intake/job_lookup.cpp
@@ -16,7 +16,7 @@
 using StatusCallback = std::function<void(LookupOutcome, JobStatus)>;
 
 /// Callers that wait for one read of a job's progress.
-struct WaitingRead {
+struct PendingRead {
     std::vector<StatusCallback> callers;
 };
 
@@ -31,8 +31,8 @@
         , m_catalog(catalog)
         , m_isCurrent(std::move(isCurrent))
         , m_options(options)
-        , m_readsLeft(options.readsPerSecond)
-        , m_readsCountedAt(loop.now())
+        , m_readTokens(options.readsPerSecond)
+        , m_readTokensRefilledAt(loop.now())
     {
     }
 
@@ -43,11 +43,11 @@
             readJob(id, done);
             return;
         }
-        const auto underWay = m_reads.find(id);
+        const auto pendingRead = m_reads.find(id);
         const bool isUpToDate = isFinal(known->status()) || !m_options.readsThrough || m_isCurrent() || isFresh(id);
-        if (underWay != m_reads.end())
-            underWay->second.callers.push_back(done);
-        else if (isUpToDate || (m_options.keepsCopy && !takeRead()))
+        if (pendingRead != m_reads.end())
+            pendingRead->second.callers.push_back(done);
+        else if (isUpToDate || (m_options.hasFullCopy && !tryConsumeReadToken()))
             done(LookupOutcome::Done, known->status());
         else
             readProgress(id, done);
@@ -71,7 +71,7 @@
                 return;
             }
             self->m_mirror.noteWritten(result.item);
-            if (self->m_options.keepsCopy)
+            if (self->m_options.hasFullCopy)
                 done(LookupOutcome::Done, self->known(id));
             else
                 self->readProgress(id, done);
@@ -89,7 +89,7 @@
                 self->noteRead(id);
             self->answer(id);
         });
-        m_loop.callAt(m_loop.now() + m_options.patience, [self = weak_from_this(), id] {
+        m_loop.callAt(m_loop.now() + m_options.readTimeout, [self = weak_from_this(), id] {
             if (const auto impl = self.lock())
                 impl->answer(id);
         });
@@ -118,26 +118,26 @@
     void noteRead(const std::string& id)
     {
         const MonotonicInstant now = m_loop.now();
-        std::erase_if(m_readAt, [&](const auto& read) { return now - read.second > m_options.freshFor; });
+        std::erase_if(m_readAt, [&](const auto& read) { return now - read.second > m_options.maxReadAge; });
         m_readAt[id] = now;
     }
 
     [[nodiscard]] bool isFresh(const std::string& id) const
     {
         const auto found = m_readAt.find(id);
-        return found != m_readAt.end() && m_loop.now() - found->second <= m_options.freshFor;
+        return found != m_readAt.end() && m_loop.now() - found->second <= m_options.maxReadAge;
     }
 
     /// Consumes a token of the read rate limit. \returns Whether there was one.
-    [[nodiscard]] bool takeRead()
+    [[nodiscard]] bool tryConsumeReadToken()
     {
         const MonotonicInstant now = m_loop.now();
-        const double seconds = std::chrono::duration<double>(now - m_readsCountedAt).count();
-        m_readsLeft = std::min(m_readsLeft + seconds * m_options.readsPerSecond, m_options.readsPerSecond);
-        m_readsCountedAt = now;
-        if (m_readsLeft < 1)
+        const double seconds = std::chrono::duration<double>(now - m_readTokensRefilledAt).count();
+        m_readTokens = std::min(m_readTokens + seconds * m_options.readsPerSecond, m_options.readsPerSecond);
+        m_readTokensRefilledAt = now;
+        if (m_readTokens < 1)
             return false;
-        m_readsLeft -= 1;
+        m_readTokens -= 1;
         return true;
     }
 
@@ -147,10 +147,10 @@
     const JobCatalog& m_catalog;
     std::function<bool()> m_isCurrent;
     JobLookupOptions m_options;
-    std::map<std::string, WaitingRead> m_reads; ///< Pending reads, by job.
+    std::map<std::string, PendingRead> m_reads; ///< Pending reads, by job.
     std::map<std::string, MonotonicInstant> m_readAt; ///< Time of the latest read of recently read jobs.
-    double m_readsLeft;
-    MonotonicInstant m_readsCountedAt;
+    double m_readTokens;
+    MonotonicInstant m_readTokensRefilledAt;
 };
 
 JobLookup::JobLookup(EventLoop& loop, KeyValueStore& store, StoreMirror& mirror, const JobCatalog& catalog, std::function<bool()> isCurrent, JobLookupOptions options)
--- a/src/jobs/intake/queue_counts_reader.cpp
+++ b/src/jobs/intake/queue_counts_reader.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis readFor { 500 }; // Lifetime of cached counts.
+constexpr Millis cacheDuration { 500 }; // Lifetime of cached counts.
 
 } // namespace
 
@@ -24,7 +24,7 @@
 
     void pending(const std::string& queue, std::function<void(std::optional<std::uint64_t>)> done)
     {
-        if (m_readAt && m_loop.now() - *m_readAt < readFor) {
+        if (m_readAt && m_loop.now() - *m_readAt < cacheDuration) {
             done(countOf(queue));
             return;
         }
--- a/src/jobs/intake/refused_submissions.cpp
+++ b/src/jobs/intake/refused_submissions.cpp
@@ -7,47 +7,47 @@
 
 void RefusedSubmissions::noteRefused(const std::string& id, MonotonicInstant usefulUntil, MonotonicInstant now)
 {
-    forgetOld(now);
-    if (m_waiting.empty()) {
-        m_since = now;
-        m_refused = 0;
+    evictExpired(now);
+    if (m_tracked.empty()) {
+        m_episodeStart = now;
+        m_refusedCount = 0;
     }
-    const auto [refused, isFirst] = m_waiting.try_emplace(id, Refused { .usefulUntil = usefulUntil, .forgetAt = now + memory });
-    refused->second.forgetAt = now + memory;
+    const auto [refused, isFirst] = m_tracked.try_emplace(id, Refused { .usefulUntil = usefulUntil, .expiresAt = now + retention });
+    refused->second.expiresAt = now + retention;
     if (isFirst) {
-        ++m_refused;
-        m_order.emplace(now + memory, id);
+        ++m_refusedCount;
+        m_expiries.emplace(now + retention, id);
     }
 }
 
 RefusalSituation RefusedSubmissions::situationOf(const std::string& id, MonotonicInstant now) const
 {
-    const auto refused = m_waiting.find(id);
-    if (refused == m_waiting.end())
+    const auto refused = m_tracked.find(id);
+    if (refused == m_tracked.end())
         return {};
-    return { .refused = m_refused,
-        .waiting = m_waiting.size(),
-        .lasted = std::chrono::duration_cast<Millis>(now - m_since),
+    return { .refused = m_refusedCount,
+        .waiting = m_tracked.size(),
+        .lasted = std::chrono::duration_cast<Millis>(now - m_episodeStart),
         .useful = std::chrono::duration_cast<Millis>(refused->second.usefulUntil - now) };
 }
 
 void RefusedSubmissions::noteSettled(const std::string& id)
 {
-    m_waiting.erase(id);
+    m_tracked.erase(id);
 }
 
-void RefusedSubmissions::forgetOld(MonotonicInstant now)
+void RefusedSubmissions::evictExpired(MonotonicInstant now)
 {
-    while (!m_order.empty() && (m_order.begin()->first <= now || m_waiting.size() >= maxWaiting)) {
-        const std::string id = std::move(m_order.begin()->second);
-        m_order.erase(m_order.begin());
-        const auto refused = m_waiting.find(id);
-        if (refused == m_waiting.end())
+    while (!m_expiries.empty() && (m_expiries.begin()->first <= now || m_tracked.size() >= maxTracked)) {
+        const std::string id = std::move(m_expiries.begin()->second);
+        m_expiries.erase(m_expiries.begin());
+        const auto refused = m_tracked.find(id);
+        if (refused == m_tracked.end())
             continue;
-        if (refused->second.forgetAt <= now || m_waiting.size() >= maxWaiting)
-            m_waiting.erase(refused);
+        if (refused->second.expiresAt <= now || m_tracked.size() >= maxTracked)
+            m_tracked.erase(refused);
         else
-            m_order.emplace(refused->second.forgetAt, id);
+            m_expiries.emplace(refused->second.expiresAt, id);
     }
 }
 
--- a/src/jobs/model/admission_grants.cpp
+++ b/src/jobs/model/admission_grants.cpp
@@ -10,8 +10,8 @@
 /// \returns Whether two amounts differ by more than a tenth of the larger absolute value.
 bool differs(std::int64_t a, std::int64_t b)
 {
-    constexpr std::int64_t notable = 10;
-    return std::abs(a - b) * notable > std::max(std::abs(a), std::abs(b));
+    constexpr std::int64_t inverseThreshold = 10;
+    return std::abs(a - b) * inverseThreshold > std::max(std::abs(a), std::abs(b));
 }
 
 bool differs(const AdmissionBudget& a, const AdmissionBudget& b)
@@ -21,7 +21,7 @@
 
 } // namespace
 
-AdmissionGrants partOf(const AdmissionGrants& grants, std::uint32_t entries)
+AdmissionGrants grantsPerEntry(const AdmissionGrants& grants, std::uint32_t entries)
 {
     AdmissionGrants part = grants;
     part.entries = std::max(entries, 1U);
@@ -32,7 +32,7 @@
     return part;
 }
 
-bool differsNotably(const AdmissionGrants& before, const AdmissionGrants& now)
+bool differsSignificantly(const AdmissionGrants& before, const AdmissionGrants& now)
 {
     if (before.term != now.term || before.budgets.size() != now.budgets.size())
         return true;
--- a/src/jobs/model/api_key.cpp
+++ b/src/jobs/model/api_key.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Domain separation: the same text hashed for another purpose has a different digest.
-constexpr std::string_view purpose = "lanemoor caller key";
+constexpr std::string_view domainSeparator = "lanemoor caller key";
 constexpr std::size_t fingerprintBytes = 4; // Two keys have the same fingerprint with a probability of one in four billion.
 
 } // namespace
@@ -17,7 +17,7 @@
 {
     ApiKeyDigest digest;
     crypto_generichash(digest.m_bytes.data(), digest.m_bytes.size(), reinterpret_cast<const unsigned char*>(key.data()), key.size(),
-        reinterpret_cast<const unsigned char*>(purpose.data()), purpose.size());
+        reinterpret_cast<const unsigned char*>(domainSeparator.data()), domainSeparator.size());
     return digest;
 }
 
--- a/src/jobs/model/job_record.cpp
+++ b/src/jobs/model/job_record.cpp
@@ -27,7 +27,7 @@
     out.set_same_rack(step.sameRack);
     out.set_required_label(step.requiredLabel);
     out.set_preferred_rack(step.preferredRack);
-    out.set_most_per_instance(step.mostPerInstance);
+    out.set_most_per_instance(step.maxPerInstance);
     out.set_speculative(step.speculative);
     out.set_long_running(step.longRunning);
     out.set_image(step.image);
@@ -48,7 +48,7 @@
     step.sameRack = in.same_rack();
     step.requiredLabel = in.required_label();
     step.preferredRack = in.preferred_rack();
-    step.mostPerInstance = in.most_per_instance();
+    step.maxPerInstance = in.most_per_instance();
     step.speculative = in.speculative();
     step.longRunning = in.long_running();
     step.image = in.image();
@@ -120,7 +120,7 @@
     return std::set<std::string>(document.instances().begin(), document.instances().end());
 }
 
-std::string encodeActs(const std::map<std::string, Millis>& ages)
+std::string encodeActionAges(const std::map<std::string, Millis>& ages)
 {
     wire::InstancesDocument document;
     for (const auto& [instance, age] : ages) {
@@ -130,7 +130,7 @@
     return document.SerializeAsString();
 }
 
-std::optional<std::map<std::string, Millis>> decodeActs(std::string_view bytes)
+std::optional<std::map<std::string, Millis>> decodeActionAges(std::string_view bytes)
 {
     wire::InstancesDocument document;
     if (!parse(bytes, document))
@@ -205,7 +205,7 @@
             entry.set_worker(probation.worker);
             entry.set_worker_started_at(probation.workerStartedAt);
             entry.set_acknowledged(probation.isAcknowledged);
-            entry.set_silent(probation.isSilent);
+            entry.set_silent(probation.isUnresponsive);
         }
         out.set_given_up(task.givenUp);
     }
@@ -228,7 +228,7 @@
         out.checkpoint = task.checkpoint();
         out.crashes = { .confirmed = task.confirmed_crashes(), .unconfirmed = task.unconfirmed_crashes() };
         for (const wire::StartProbation& probation : task.probations())
-            out.probations.push_back({ .attempt = probation.attempt(), .worker = probation.worker(), .workerStartedAt = probation.worker_started_at(), .isAcknowledged = probation.acknowledged(), .isSilent = probation.silent() });
+            out.probations.push_back({ .attempt = probation.attempt(), .worker = probation.worker(), .workerStartedAt = probation.worker_started_at(), .isAcknowledged = probation.acknowledged(), .isUnresponsive = probation.silent() });
         out.givenUp = task.given_up();
     }
     return record;
--- a/src/jobs/model/job_spec.cpp
+++ b/src/jobs/model/job_spec.cpp
@@ -94,7 +94,7 @@
 
 std::optional<JobFault> faultOf(const JobSpec& job)
 {
-    if (job.payload.size() > mostPayloadBytes)
+    if (job.payload.size() > maxPayloadBytes)
         return JobFault::PayloadTooLong;
     if (job.steps.empty())
         return JobFault::NoSteps;
@@ -106,7 +106,7 @@
     }
     if (job.interval.count() < 0)
         return JobFault::BadNumber;
-    if (tasks * std::max(job.occurrences, 1U) > mostTasksOfJob)
+    if (tasks * std::max(job.occurrences, 1U) > maxTasksPerJob)
         return JobFault::TooManyTasks;
     if (!isAcyclic(job.steps))
         return JobFault::CyclicDependency;
@@ -137,7 +137,7 @@
     return "unknown";
 }
 
-Millis longestChain(const JobSpec& spec)
+Millis criticalPathDuration(const JobSpec& spec)
 {
     std::vector<Millis> ends(spec.steps.size(), Millis(0));
     // Dependencies may point forwards, so the longest path is found by relaxation.
--- a/src/jobs/model/job_state.cpp
+++ b/src/jobs/model/job_state.cpp
@@ -9,7 +9,7 @@
 
 /// Delay before a failed task starts again, so that a task which fails immediately does not take up the owner's event loop. A start
 /// takes a few milliseconds.
-constexpr Millis retryPause { 20 };
+constexpr Millis retryDelay { 20 };
 
 Probation* findProbation(TaskState& task, std::uint64_t attempt)
 {
@@ -132,11 +132,11 @@
         for (std::uint32_t i = 0; i < step.tasks.size(); ++i) {
             const TaskState& task = step.tasks[i];
             const TaskId taskId { id.occurrence, id.step, i };
-            const TaskRecord kept { task.failedAttempts, task.checkpoint, task.crashes, task.probations, task.givenUp };
-            if (task.succeeded || kept == TaskRecord {})
+            const TaskRecord stored { task.failedAttempts, task.checkpoint, task.crashes, task.probations, task.givenUp };
+            if (task.succeeded || stored == TaskRecord {})
                 record.tasks.erase(taskId);
             else
-                record.tasks[taskId] = kept;
+                record.tasks[taskId] = stored;
         }
     }
     return record;
@@ -168,16 +168,16 @@
                 task.succeeded = true;
                 ++step.succeeded;
             }
-            const auto kept = progress.tasks.find({ occurrence, s, i });
-            if (kept == progress.tasks.end())
+            const auto stored = progress.tasks.find({ occurrence, s, i });
+            if (stored == progress.tasks.end())
                 continue;
-            task.failedAttempts = kept->second.failedAttempts;
-            task.checkpoint = kept->second.checkpoint;
-            task.crashes = kept->second.crashes;
+            task.failedAttempts = stored->second.failedAttempts;
+            task.checkpoint = stored->second.checkpoint;
+            task.crashes = stored->second.crashes;
             // The stored record does not identify the attempts that crashed their workers.
-            task.crashedAttempt = task.crashes.total() > 0 ? m_attemptBase : 0;
-            task.probations = kept->second.probations;
-            task.givenUp = kept->second.givenUp;
+            task.lastCrashedAttempt = task.crashes.total() > 0 ? m_attemptBase : 0;
+            task.probations = stored->second.probations;
+            task.givenUp = stored->second.givenUp;
         }
     }
 }
@@ -221,7 +221,7 @@
     begin(attempt.task, attempt.number, worker, now);
     setPhase(attempt, AttemptPhase::Running, now);
     state->live->adopted = true;
-    state->crashedAttempt = 0; // This attempt began after all others had ended.
+    state->lastCrashedAttempt = 0; // This attempt began after all others had ended.
     return true;
 }
 
@@ -248,8 +248,8 @@
     TaskState* state = findLive(attempt);
     if (!state)
         return;
-    state->live->sentOnClock = workerClock;
-    state->live->phase = AttemptPhase::Ordered;
+    state->live->sentAtWorkerClock = workerClock;
+    state->live->phase = AttemptPhase::Sent;
     state->live->startedAt = state->live->phaseSince = state->live->percentSince = now;
 }
 
@@ -258,8 +258,8 @@
     TaskState* state = findLive(attempt);
     if (!state)
         return false;
-    if (state->live->confirmedOnClock == 0)
-        state->live->confirmedOnClock = workerClock;
+    if (state->live->confirmedAtWorkerClock == 0)
+        state->live->confirmedAtWorkerClock = workerClock;
     Probation* probation = findProbation(*state, attempt.number);
     return probation && !std::exchange(probation->isAcknowledged, true);
 }
@@ -333,7 +333,7 @@
         m_status = JobStatus::Succeeded;
 }
 
-EndEffect JobState::fail(const Attempt& attempt, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now)
+EndEffect JobState::fail(const Attempt& attempt, const std::string& worker, std::uint32_t maxAttempts, MonotonicInstant now)
 {
     EndEffect effect;
     // A gang fails as a whole; its failures are recorded with its first task.
@@ -347,16 +347,16 @@
         return effect;
     failed.push_back(attempt.number);
     effect.toBeStored = true;
-    own.notBefore = now + retryPause;
+    own.notBefore = now + retryDelay;
     ++m_changes;
-    if (failed.size() >= mostAttempts && !isFinal(m_status)) {
+    if (failed.size() >= maxAttempts && !isFinal(m_status)) {
         m_status = JobStatus::Failed;
         effect.finished = true;
     }
     return effect;
 }
 
-EndEffect JobState::end(const EndedAttempt& ended, const std::string& worker, std::uint32_t mostAttempts, MonotonicInstant now)
+EndEffect JobState::end(const EndedAttempt& ended, const std::string& worker, std::uint32_t maxAttempts, MonotonicInstant now)
 {
     TaskState* state = mutableTask(ended.attempt.task);
     if (!state)
@@ -371,7 +371,7 @@
         return {};
     // A late failure counts too, since the previous owner may not have stored it.
     if (otherIsLive && ended.end == AttemptEnd::Failed)
-        return fail(ended.attempt, worker, mostAttempts, now);
+        return fail(ended.attempt, worker, maxAttempts, now);
     if (otherIsLive && !lateSuccess)
         return {};
     clearLive(ended.attempt.task, *state);
@@ -389,7 +389,7 @@
         return { .toBeStored = true, .finished = isFinal(m_status) && !wasFinal, .counted = true };
     }
     if (ended.end == AttemptEnd::Failed) {
-        const EndEffect failure = fail(ended.attempt, worker, mostAttempts, now);
+        const EndEffect failure = fail(ended.attempt, worker, maxAttempts, now);
         effect.toBeStored = effect.toBeStored || failure.toBeStored;
         effect.finished = failure.finished;
     }
@@ -410,7 +410,7 @@
     TaskState* state = findLive(attempt);
     if (!state || state->probationOf(attempt.number))
         return false;
-    state->probations.push_back({ .attempt = attempt.number, .worker = state->live->worker, .workerStartedAt = workerStartedAt, .isAcknowledged = state->live->confirmedOnClock > 0 });
+    state->probations.push_back({ .attempt = attempt.number, .worker = state->live->worker, .workerStartedAt = workerStartedAt, .isAcknowledged = state->live->confirmedAtWorkerClock > 0 });
     return true;
 }
 
@@ -420,7 +420,7 @@
     if (!state)
         return false;
     Probation* probation = state->live->phase == AttemptPhase::Recording ? nullptr : findProbation(*state, attempt.number);
-    return probation && !std::exchange(probation->isSilent, true);
+    return probation && !std::exchange(probation->isUnresponsive, true);
 }
 
 void JobState::keepProbation(const Attempt& attempt)
@@ -442,7 +442,7 @@
         return;
     eraseProbation(*state, attempt.number);
     ++(isConfirmed ? state->crashes.confirmed : state->crashes.unconfirmed);
-    state->crashedAttempt = std::max(state->crashedAttempt, attempt.number);
+    state->lastCrashedAttempt = std::max(state->lastCrashedAttempt, attempt.number);
     if (findLive(attempt))
         state->live->crashAttributed = true;
 }
@@ -454,7 +454,7 @@
         return false;
     const bool wasSuspect = state->suspicion() > 0;
     std::erase_if(state->probations, [&](const Probation& probation) { return probation.attempt <= attempt.number; });
-    if (attempt.number < state->crashedAttempt)
+    if (attempt.number < state->lastCrashedAttempt)
         return wasSuspect;
     state->givenUp = false;
     state->crashes = {};
--- a/src/jobs/model/names.cpp
+++ b/src/jobs/model/names.cpp
@@ -31,11 +31,11 @@
     switch (phase) {
     case AttemptPhase::Recording:
         return "recording";
-    case AttemptPhase::Ordered:
+    case AttemptPhase::Sent:
         return "ordered";
     case AttemptPhase::Running:
         return "running";
-    case AttemptPhase::Doubtful:
+    case AttemptPhase::OutcomeUnknown:
         return "in-doubt";
     case AttemptPhase::Stopping:
         return "stopping";
@@ -43,28 +43,28 @@
     return "unknown";
 }
 
-std::string_view nameOf(OrderOutcome outcome) noexcept
+std::string_view nameOf(CommandOutcome outcome) noexcept
 {
     switch (outcome) {
-    case OrderOutcome::Done:
+    case CommandOutcome::Done:
         return "done";
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         return "fenced";
-    case OrderOutcome::Superseded:
+    case CommandOutcome::Superseded:
         return "superseded";
-    case OrderOutcome::LeaseOver:
+    case CommandOutcome::LeaseExpired:
         return "lease-over";
-    case OrderOutcome::NoRoom:
+    case CommandOutcome::NoRoom:
         return "no-room";
-    case OrderOutcome::BadTicket:
+    case CommandOutcome::BadTicket:
         return "bad-ticket";
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         return "other-life";
-    case OrderOutcome::NotDone:
+    case CommandOutcome::NotDone:
         return "not-done";
-    case OrderOutcome::Rejected:
+    case CommandOutcome::Rejected:
         return "rejected";
-    case OrderOutcome::Unknown:
+    case CommandOutcome::Unknown:
         return "unknown";
     }
     return "unknown";
@@ -79,7 +79,7 @@
         return "failed";
     case AttemptEnd::Stopped:
         return "stopped";
-    case AttemptEnd::LeaseLapsed:
+    case AttemptEnd::LeaseExpired:
         return "lease-lapsed";
     case AttemptEnd::GangBroken:
         return "gang-broken";
--- a/src/jobs/model/organisation.cpp
+++ b/src/jobs/model/organisation.cpp
@@ -36,9 +36,9 @@
     switch (code) {
     case OrganisationFaultCode::NoName:
         return "an organisation has no name";
-    case OrganisationFaultCode::NameTwice:
+    case OrganisationFaultCode::DuplicateName:
         return "two organisations have one name";
-    case OrganisationFaultCode::KeyTwice:
+    case OrganisationFaultCode::DuplicateKey:
         return "another organisation holds the same key";
     case OrganisationFaultCode::NegativeQuota:
         return "a quota is negative";
@@ -74,7 +74,7 @@
     return found == m_impl->byName.end() ? nullptr : &m_impl->organisations[found->second];
 }
 
-const OrganisationSettings* OrganisationTable::holderOf(const ApiKeyDigest& key) const noexcept
+const OrganisationSettings* OrganisationTable::findByKey(const ApiKeyDigest& key) const noexcept
 {
     const auto found = m_impl->byKey.find(key);
     return found == m_impl->byKey.end() ? nullptr : &m_impl->organisations[found->second];
@@ -89,9 +89,9 @@
         if (organisation.name.empty())
             note(OrganisationFaultCode::NoName);
         else if (m_impl->byName.at(organisation.name) != i)
-            note(OrganisationFaultCode::NameTwice);
+            note(OrganisationFaultCode::DuplicateName);
         if (std::any_of(organisation.keys.begin(), organisation.keys.end(), [&](const ApiKeyDigest& key) { return m_impl->byKey.at(key) != i; }))
-            note(OrganisationFaultCode::KeyTwice);
+            note(OrganisationFaultCode::DuplicateKey);
         if (organisation.quota.milliCpu < 0 || organisation.quota.memoryMb < 0 || organisation.quota.accelerators < 0)
             note(OrganisationFaultCode::NegativeQuota);
         if (organisation.weight < 0)
--- a/src/jobs/model/service_configuration.cpp
+++ b/src/jobs/model/service_configuration.cpp
@@ -48,7 +48,7 @@
         return "unreadable";
     case WorkerEntryFault::Address:
         return "address";
-    case WorkerEntryFault::Place:
+    case WorkerEntryFault::Location:
         return "pool-or-data-hall";
     case WorkerEntryFault::State:
         return "state";
@@ -56,7 +56,7 @@
         return "start";
     case WorkerEntryFault::Capacity:
         return "capacity";
-    case WorkerEntryFault::OtherField:
+    case WorkerEntryFault::WrongFieldType:
         return "field-of-another-type";
     }
     return "unknown";
--- a/src/jobs/model/store_condition.cpp
+++ b/src/jobs/model/store_condition.cpp
@@ -11,7 +11,7 @@
         return "reading-only";
     case StoreState::Refused:
         return "refused";
-    case StoreState::Silent:
+    case StoreState::Unresponsive:
         return "silent";
     }
     return "unknown";
--- a/src/jobs/model/work_meter.cpp
+++ b/src/jobs/model/work_meter.cpp
@@ -15,7 +15,7 @@
         return "reports";
     case WorkKind::Progress:
         return "progress";
-    case WorkKind::StoreNews:
+    case WorkKind::StoreChanges:
         return "store-news";
     case WorkKind::RelayFrames:
         return "relay-frames";
@@ -42,17 +42,17 @@
 {
     if (!m_meter)
         return;
-    const std::chrono::microseconds whole = m_meter->m_loop.now() - m_begin;
-    const std::chrono::microseconds own = whole - m_within;
+    const std::chrono::microseconds inclusive = m_meter->m_loop.now() - m_begin;
+    const std::chrono::microseconds exclusive = inclusive - m_nested;
     const auto index = static_cast<std::size_t>(m_kind);
-    m_meter->m_total.spent.at(index) += own;
-    m_meter->m_recent.spent.at(index) += own;
+    m_meter->m_total.spent.at(index) += exclusive;
+    m_meter->m_recent.spent.at(index) += exclusive;
     m_meter->m_current = m_outer;
     if (m_outer)
-        m_outer->m_within += whole;
-    if (whole <= m_meter->m_recent.longest)
+        m_outer->m_nested += inclusive;
+    if (inclusive <= m_meter->m_recent.longest)
         return;
-    m_meter->m_recent.longest = whole;
+    m_meter->m_recent.longest = inclusive;
     m_meter->m_recent.longestKind = m_kind;
 }
 
--- a/src/jobs/owner/admission_desk.cpp
+++ b/src/jobs/owner/admission_desk.cpp
@@ -79,7 +79,7 @@
     notePressed(grants.budgets);
     const MonotonicInstant now = m_state.now();
     const bool expires = !grants.budgets.empty() && now - m_publishedAt >= options.grantValidity / 2;
-    if (expires || differsNotably(m_published, grants)) {
+    if (expires || differsSignificantly(m_published, grants)) {
         m_published = std::move(grants);
         m_publishedAt = now;
         m_state.options.publishGrants(m_published);
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -25,7 +25,7 @@
 /// \returns Whether an unacknowledged start probably reached the worker: it was up when the start was sent, and was not heard of again.
 bool wasProbablyDelivered(const LiveAttempt& live, const WorkerSession& session)
 {
-    return live.sentOnClock > 0 && Millis(session.heardOnClock() - live.sentOnClock) < minProbation;
+    return live.sentAtWorkerClock > 0 && Millis(session.heardOnClock() - live.sentAtWorkerClock) < minProbation;
 }
 
 /// \returns Whether its progress tells that an attempt has run for much longer than the longest probation.
@@ -140,7 +140,7 @@
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isLive = task && task->live && task->live->number == attempt.number;
-        if (!isLive || (!task->live->crashAttributed && task->live->confirmedOnClock > 0 && Millis(worker.session->heardOnClock() - task->live->confirmedOnClock) >= probation))
+        if (!isLive || (!task->live->crashAttributed && task->live->confirmedAtWorkerClock > 0 && Millis(worker.session->heardOnClock() - task->live->confirmedAtWorkerClock) >= probation))
             survived.push_back(attempt);
     }
     for (const OpenStart& start : openStartsOf(worker)) {
@@ -211,8 +211,8 @@
         LostAttempt& entry = booked.emplace_back(LostAttempt { .attempt = attempt, .isLongRunning = booking.step->longRunning, .survived = std::nullopt, .isAdopted = task->live->adopted && !worker.bookings.suspects().contains(attempt), .isInherited = job->inherited, .before = task->crashes });
         if (entry.isAdopted && hasProgressed(*task->live, *booking.step))
             continue;
-        if (task->live->confirmedOnClock > 0)
-            entry.survived = Millis(std::max<std::int64_t>(worker.session->heardOnClock() - task->live->confirmedOnClock, 0));
+        if (task->live->confirmedAtWorkerClock > 0)
+            entry.survived = Millis(std::max<std::int64_t>(worker.session->heardOnClock() - task->live->confirmedAtWorkerClock, 0));
         else if (wasProbablyDelivered(*task->live, *worker.session))
             entry.survived = Millis(0);
     }
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -45,7 +45,7 @@
     for (auto& [id, worker] : m_state.workers) {
         if (worker.entry.pool != pool || !worker.isOpen(m_state.now()) || !hasLabel(worker.entry, spec.requiredLabel))
             continue;
-        if (spec.mostPerInstance > 0 && worker.tasksOf(job.id(), step) >= spec.mostPerInstance)
+        if (spec.maxPerInstance > 0 && worker.tasksOf(job.id(), step) >= spec.maxPerInstance)
             continue;
         const std::vector<Attempt> moved = movable(worker, spec);
         if (moved.empty())
--- a/src/jobs/owner/fleet_keeper.cpp
+++ b/src/jobs/owner/fleet_keeper.cpp
@@ -98,7 +98,7 @@
     {
         if (!m_waves.emplace(wave.number, wave).second)
             return;
-        m_options.log->change("wave-asked", { { "wave", static_cast<std::int64_t>(wave.number) }, { "instances", static_cast<std::int64_t>(wave.instances.size()) }, { "at_once", std::int64_t { wave.mostAtOnce } } });
+        m_options.log->change("wave-asked", { { "wave", static_cast<std::int64_t>(wave.number) }, { "instances", static_cast<std::int64_t>(wave.instances.size()) }, { "at_once", std::int64_t { wave.maxConcurrent } } });
         if (m_active)
             begin(wave);
     }
@@ -152,12 +152,12 @@
     /// else may be acted on at once.
     void readActs()
     {
-        m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
+        m_options.store->read(std::string(actionsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
                 laterAtStore([this] { readActs(); });
                 return;
             }
-            for (const auto& [instance, age] : decodeActs(result.item.value).value_or(std::map<std::string, Millis> {}))
+            for (const auto& [instance, age] : decodeActionAges(result.item.value).value_or(std::map<std::string, Millis> {}))
                 noteFormerAct(instance, age);
             for (auto& [number, plan] : m_plans)
                 noteFormerMaintenance(plan);
@@ -170,7 +170,7 @@
     /// After a record without an answer: the next one must replace what is there now.
     void readActsRevision()
     {
-        m_options.store->read(std::string(actsKey), inTerm<ReadResult>([this](const ReadResult& result) {
+        m_options.store->read(std::string(actionsKey), inTerm<ReadResult>([this](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
                 laterAtStore([this] { readActsRevision(); });
                 return;
@@ -232,7 +232,7 @@
         for (const auto& [instance, at] : m_recentActs)
             ages[instance] = std::chrono::duration_cast<Millis>(now - at);
         // Under its own revision too: a record that is carried out late must not undo a newer one.
-        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actsKey), m_actsRevision } }, .writes = { { std::string(actsKey), encodeActs(ages), 0 } }, .removals = {} };
+        const Transaction transaction { .expected = { m_options.ownership->condition(), { std::string(actionsKey), m_actsRevision } }, .writes = { { std::string(actionsKey), encodeActionAges(ages), 0 } }, .removals = {} };
         m_mayAct = false;
         const MonotonicInstant sentAt = m_options.loop->now();
         m_options.store->commit(transaction, inTerm<CommitResult>([this, sends = std::exchange(m_unsent, {}), sentAt](const CommitResult& result) {
@@ -366,7 +366,7 @@
         }
         if (!life.goneSince)
             life.goneSince = now;
-        if (now - *life.goneSince < fleetListLag)
+        if (now - *life.goneSince < maxFleetListLag)
             return;
         m_options.scheduler->noteLifeUnlisted(life.worker, *life.goneSince);
         life = { instance.worker, std::nullopt };
@@ -380,7 +380,7 @@
         instance.pool = pool;
         instance.state = state;
         instance.worker.clear();
-        m_acted[id] = { instance, m_options.loop->now() + time + fleetListLag, {} };
+        m_acted[id] = { instance, m_options.loop->now() + time + maxFleetListLag, {} };
     }
 
     /// Instances that take work, by pool and kind.
@@ -393,23 +393,23 @@
         return use == m_uses.end() ? nullptr : &use->second;
     }
 
-    [[nodiscard]] static bool takesWork(const WorkerUse* use) { return use && use->sound && !use->evacuating; }
+    [[nodiscard]] static bool takesWork(const WorkerUse* use) { return use && use->healthy && !use->evacuating; }
 
     [[nodiscard]] SoundCounts countSound() const
     {
-        SoundCounts sound;
+        SoundCounts healthy;
         for (const auto& [id, instance] : m_list) {
             if (takesWork(useOf(instance)))
-                ++sound[{ instance.pool, instance.kind }];
+                ++healthy[{ instance.pool, instance.kind }];
         }
-        return sound;
+        return healthy;
     }
 
     /// \returns Whether tasks that need the worker's kind of instance have no other one of its pool.
-    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const SoundCounts& sound)
+    [[nodiscard]] static bool isLastOfKind(const FleetInstance& instance, const WorkerUse* use, const SoundCounts& healthy)
     {
-        const auto known = sound.find({ instance.pool, instance.kind });
-        const std::size_t all = known == sound.end() ? 0 : known->second;
+        const auto known = healthy.find({ instance.pool, instance.kind });
+        const std::size_t all = known == healthy.end() ? 0 : known->second;
         return all == (takesWork(use) ? 1U : 0U);
     }
 
@@ -426,7 +426,7 @@
 
     [[nodiscard]] std::vector<MaintenanceCandidate> candidates() const
     {
-        const SoundCounts sound = countSound();
+        const SoundCounts healthy = countSound();
         const std::shared_ptr<const ServiceConfiguration> configuration = m_options.configuration();
         std::vector<MaintenanceCandidate> fleet;
         for (const auto& [id, instance] : m_list) {
@@ -440,7 +440,7 @@
                 candidate.attempts = use->attempts;
                 candidate.up = candidate.up && use->known;
                 candidate.pinned = use->pinned > 0;
-                candidate.lastOfKind = candidate.pinned && isLastOfKind(instance, use, sound);
+                candidate.lastOfKind = candidate.pinned && isLastOfKind(instance, use, healthy);
                 candidate.evacuatingSince = use->evacuatingSince;
             } else if (!candidate.reserve) {
                 // A worker that is not known here may run what nobody has looked at.
@@ -486,7 +486,7 @@
                 ++away;
             } else if (use->evacuating) {
                 ++evacuating;
-            } else if (!use->sound) {
+            } else if (!use->healthy) {
                 ++unsound;
             } else {
                 ++open;
@@ -510,7 +510,7 @@
                 load.requirements[requirement] = { .demandMilliCpu = std::max(isApart ? timely : timely + backlog, demand.forecastMilliCpu),
                     .backlogMilliCpu = isApart ? backlog : 0,
                     .backlogWaits = isApart && demand.waiting.backlogMilliCpu > 0,
-                    .leastInstances = demand.leastInstances,
+                    .minInstances = demand.minInstances,
                     .hasWaiting = demand.waiting.milliCpu > 0 || (!isApart && demand.waiting.backlogMilliCpu > 0),
                     .largestWaiting = demand.waiting.largest };
                 load.hasArrivals = load.hasArrivals || demand.forecastMilliCpu > 0;
@@ -529,11 +529,11 @@
         const auto draining = m_draining.find(instance.id);
         if (draining != m_draining.end())
             seen.drainingFrom = draining->second.from;
-        seen.sound = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
-        seen.coming = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
+        seen.healthy = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
+        seen.arriving = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
         const bool isClosed = this->isClosed(instance, use);
         // One on its way there will take no work either.
-        seen.sound = seen.sound && (reserve || !isClosed);
+        seen.healthy = seen.healthy && (reserve || !isClosed);
         if (isOrdered(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
         if (isUp && !reserve && isSound && use->attempts > 0 && use->pinned == 0) {
@@ -612,7 +612,7 @@
     }
 
     /// \returns Whether the instance's data hall is evacuated or lost. Of a lost one, workers serve that were taken back.
-    [[nodiscard]] bool isClosed(const FleetInstance& instance, const WorkerUse* use) const { return !m_domains->serves(instance.dataHall) && !(use && use->sound); }
+    [[nodiscard]] bool isClosed(const FleetInstance& instance, const WorkerUse* use) const { return !m_domains->serves(instance.dataHall) && !(use && use->healthy); }
 
     /// An instance of a data hall that is evacuated or lost is no help to the pool that it is emptied for.
     void undrainClosed()
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -42,7 +42,7 @@
         worker.probingAttempt = attempt;
 }
 
-void HealthMonitor::noteStartSent(WorkerBook& worker, const StartOrder& order)
+void HealthMonitor::noteStartSent(WorkerBook& worker, const StartCommand& order)
 {
     if (!isOn())
         return;
@@ -150,13 +150,13 @@
     return members;
 }
 
-LeastInstances HealthMonitor::leastInstances() const
+LeastInstances HealthMonitor::minInstances() const
 {
     LeastInstances least;
     for (const auto& [pool, demand] : m_state.demands) {
         for (const auto& [requirement, asked] : demand) {
-            if (asked.leastInstances > 0 && !requirement.preferred)
-                least[{ pool, requirement.label }] = asked.leastInstances;
+            if (asked.minInstances > 0 && !requirement.preferred)
+                least[{ pool, requirement.label }] = asked.minInstances;
         }
     }
     return least;
@@ -179,7 +179,7 @@
     if (candidates.empty())
         return;
     if (isOn())
-        candidates = EjectionBound(m_state.options.health, members(), leastInstances()).choose(std::move(candidates));
+        candidates = EjectionBound(m_state.options.health, members(), minInstances()).choose(std::move(candidates));
     for (const EjectionCandidate& candidate : candidates)
         eject(*m_state.worker(candidate.member.worker->id), candidate.fault);
     if (!m_failing.empty())
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -25,7 +25,7 @@
     /// \name Calls
     ///@{
     void noteStartBooked(WorkerBook& worker, const Attempt& attempt);
-    void noteStartSent(WorkerBook& worker, const StartOrder& order);
+    void noteStartSent(WorkerBook& worker, const StartCommand& order);
     void noteStartOverdue(WorkerBook& worker, const Attempt& attempt);
     void noteStartAnswered(WorkerBook& worker, const Attempt& attempt);
     void noteStopOverdue(WorkerBook& worker);
@@ -63,7 +63,7 @@
     void eject(WorkerBook& worker, HealthFault fault);
     void findReadmitted();
     [[nodiscard]] std::vector<EjectionMember> members() const;
-    [[nodiscard]] LeastInstances leastInstances() const;
+    [[nodiscard]] LeastInstances minInstances() const;
     [[nodiscard]] bool isOn() const { return m_state.options.health.enabled; }
 
     OwnerState& m_state;
--- a/src/jobs/owner/job_retirement.cpp
+++ b/src/jobs/owner/job_retirement.cpp
@@ -20,7 +20,7 @@
 /// For callers whose call is on its way, and for ends heard a little late elsewhere.
 constexpr Millis margin { 5'000 };
 /// Each job takes three removals of a transaction, the ownership's condition one entry.
-constexpr std::size_t mostAtOnce = (mostTransactionEntries - 1) / 3;
+constexpr std::size_t mostAtOnce = (maxTransactionEntries - 1) / 3;
 
 std::array<std::string, 3> keysOf(const std::string& id)
 {
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -68,7 +68,7 @@
 {
     for (const auto& [id, step] : job.steps()) {
         const StepSpec& spec = job.spec(id.step);
-        const std::uint32_t most = spec.mostPerInstance;
+        const std::uint32_t most = spec.maxPerInstance;
         const auto left = static_cast<std::uint32_t>(step.tasks.size()) - step.succeeded;
         // Tasks that last need a second instance with their label to move to.
         const std::uint32_t least = most > 0 ? (left + most - 1) / most : 1;
@@ -76,7 +76,7 @@
             continue;
         for (const Requirement& requirement : requirementsOf(spec)) {
             if (!requirement.preferred)
-                demand[requirement].leastInstances = std::max(demand[requirement].leastInstances, least);
+                demand[requirement].minInstances = std::max(demand[requirement].minInstances, least);
         }
     }
 }
@@ -312,7 +312,7 @@
                 use.pinned += booking.step->longRunning && !booking.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = book.session->isMet() || now >= book.session->leaseOverBy();
-            use.sound = book.listed && !book.entry.draining && book.isHallOpen() && book.session->isMet() && !book.session->isSilent() && !book.session->isLifeOver() && !book.health.isEjected(now);
+            use.healthy = book.listed && !book.entry.draining && book.isHallOpen() && book.session->isMet() && !book.session->isSilent() && !book.session->isLifeOver() && !book.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -386,7 +386,7 @@
     void noteLifeUnlisted(const std::string& worker, MonotonicInstant since)
     {
         const WorkerBook* book = m_term ? m_term->state.worker(worker) : nullptr;
-        const bool mayMeanFormer = book && !book->formerStarts.empty() && book->knownSince + fleetListLag >= since;
+        const bool mayMeanFormer = book && !book->formerStarts.empty() && book->knownSince + maxFleetListLag >= since;
         if (!mayMeanFormer)
             noteLifeOver(worker);
     }
@@ -529,7 +529,7 @@
         const Millis age = m_options.loop->timeOfDay() - entry.record->acceptedAt;
         const QueueSettings* queue = state.configuration()->queue(entry.record->queue);
         const double stretch = queue ? queue->stretch : 1.0;
-        job.chain = longestChain(entry.record->spec);
+        job.chain = criticalPathDuration(entry.record->spec);
         const Millis allowed(static_cast<std::int64_t>(stretch * static_cast<double>(job.chain.count())));
         job.objective = state.now() - age + allowed + (queue ? queue->latencyTarget : Millis(0));
         m_term->admission->noteArrival(job);
@@ -607,7 +607,7 @@
         // What was sent to a former life and reached this one brought a lease on a clock that it doesn't have.
         if (!book.formerStarts.empty())
             options.inheritedLeaseOverBy = std::max(options.inheritedLeaseOverBy, state.now() + longestLateRun);
-        book.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { book.entry.id, book.entry.address, startedAt, book.entry.dataHall }, std::move(options), m_term->reports);
+        book.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerIncarnation { book.entry.id, book.entry.address, startedAt, book.entry.dataHall }, std::move(options), m_term->reports);
         book.session->start();
         // Also one whose entry comes later: it may have been missing while its tasks ran on.
         m_term->unmet.insert(book.entry.id);
@@ -718,7 +718,7 @@
         for (auto& [id, book] : m_term->state.workers) {
             if (lives.names(id))
                 book.unlistedSince.reset();
-            else if (lives.isComplete() && !book.unlistedSince && askedAt - book.knownSince >= fleetListLag)
+            else if (lives.isComplete() && !book.unlistedSince && askedAt - book.knownSince >= maxFleetListLag)
                 book.unlistedSince = askedAt;
         }
     }
@@ -731,7 +731,7 @@
         for (const auto& [id, book] : m_term->state.workers) {
             if (!book.unlistedSince || book.session->isLifeOver())
                 continue;
-            const bool isGone = !book.session->isMet() || (book.session->isSilent() && m_options.loop->now() - *book.unlistedSince >= fleetListLag);
+            const bool isGone = !book.session->isMet() || (book.session->isSilent() && m_options.loop->now() - *book.unlistedSince >= maxFleetListLag);
             if (isGone)
                 over.push_back(id);
         }
--- a/src/jobs/owner/order_desk.cpp
+++ b/src/jobs/owner/order_desk.cpp
@@ -136,7 +136,7 @@
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
-    const StartOrder order { .attempt = attempt,
+    const StartCommand order { .attempt = attempt,
         .payload = job.record().spec.payload,
         .leaseUntil = worker.session->leaseForOrder().value_or(0),
         .epoch = m_state.ownership.epoch,
@@ -145,8 +145,8 @@
     ++m_counts.starts;
     m_health.noteStartSent(worker, order);
     m_state.options.log->decision("task-start",
-        { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentOnClock > 0 } } });
-    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session)](const OrderResult& result) {
+        { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentAtWorkerClock > 0 } } });
+    m_state.options.workers->start(worker.session->life(), order, [self = weak_from_this(), attempt, id = worker.entry.id, life = std::weak_ptr(worker.session)](const CommandResult& result) {
         const auto desk = self.lock();
         if (desk && !desk->m_closed)
             desk->started(attempt, id, life.lock().get(), result);
@@ -171,16 +171,16 @@
             return;
         const LiveAttempt* live = desk->findLive(attempt, worker);
         WorkerBook* book = desk->m_state.worker(worker);
-        if (!live || !book || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
+        if (!live || !book || (live->phase != AttemptPhase::Sent && live->phase != AttemptPhase::OutcomeUnknown))
             return;
         // Where the event loop itself is late the answer may wait behind this call.
         if (desk->m_state.now() - due > ResponseTime::minOverdue / 2) {
             desk->watchStart(attempt, worker, pause, probes);
             return;
         }
-        if (live->phase == AttemptPhase::Ordered) {
+        if (live->phase == AttemptPhase::Sent) {
             desk->m_state.options.log->decision("start-overdue", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "after_ms", static_cast<std::int64_t>(pause.count()) } });
-            desk->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, desk->m_state.now());
+            desk->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, desk->m_state.now());
         }
         desk->m_health.noteStartOverdue(*book, attempt);
         book->session->noteOverdue();
@@ -192,17 +192,17 @@
 }
 
 /// An answer does not say which life gave it: after a restart it tells nothing of the clock, and a start nothing but that it is open.
-void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result)
+void OrderDesk::started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const CommandResult& result)
 {
     WorkerBook* book = bookOfLife(worker, life);
     OwnerJob* job = m_state.job(attempt.job);
     bool isOfLife = false;
-    if (book && result.outcome != OrderOutcome::OtherLife)
+    if (book && result.outcome != CommandOutcome::OtherIncarnation)
         isOfLife = book->session->noteClock(result.workerClock);
-    if (book && result.outcome != OrderOutcome::OtherLife && result.outcome != OrderOutcome::Unknown)
+    if (book && result.outcome != CommandOutcome::OtherIncarnation && result.outcome != CommandOutcome::Unknown)
         m_health.noteStartAnswered(*book, attempt);
     switch (result.outcome) {
-    case OrderOutcome::Done:
+    case CommandOutcome::Done:
         if (!book)
             return;
         if (job && isOfLife && job->state.noteConfirmed(attempt, result.workerClock))
@@ -211,21 +211,21 @@
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
         if (book->bookings.suspects().contains(attempt))
             probeSoon(*book->session);
-        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Ordered || (live->phase == AttemptPhase::Doubtful && isOfLife)))
+        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isOfLife)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
         return;
-    case OrderOutcome::Unknown:
+    case CommandOutcome::Unknown:
         ++m_counts.doubts;
         m_state.options.log->decision("start-in-doubt", { { "attempt", nameOf(attempt) }, { "worker", worker } });
         // A stop that was sent meanwhile settles it.
-        if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Ordered)
-            job->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
+        if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Sent)
+            job->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
         return;
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         if (book)
             book->session->noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
         return;
     default:
@@ -233,14 +233,14 @@
     }
 }
 
-void OrderDesk::refused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome)
+void OrderDesk::refused(const Attempt& attempt, const std::string& worker, CommandOutcome outcome)
 {
     ++m_counts.refusals;
     m_state.options.log->decision("start-refused", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "reason", std::string(nameOf(outcome)) } });
     const MonotonicInstant now = m_state.now();
     if (WorkerBook* book = m_state.worker(worker)) {
-        const bool full = outcome == OrderOutcome::NoRoom;
-        const bool stale = outcome == OrderOutcome::LeaseOver || outcome == OrderOutcome::Superseded || outcome == OrderOutcome::BadTicket;
+        const bool full = outcome == CommandOutcome::NoRoom;
+        const bool stale = outcome == CommandOutcome::LeaseExpired || outcome == CommandOutcome::Superseded || outcome == CommandOutcome::BadTicket;
         if (!stale)
             book->noWorkBefore = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
     }
@@ -281,7 +281,7 @@
     if (OwnerJob* job = m_state.job(attempt.job))
         job->state.setPhase(attempt, AttemptPhase::Stopping, m_state.now());
     m_state.options.log->decision("task-stop", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-    m_state.options.workers->stop(book->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, life = std::weak_ptr(book->session)](const OrderResult& result) {
+    m_state.options.workers->stop(book->session->life(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, life = std::weak_ptr(book->session)](const CommandResult& result) {
         const auto desk = self.lock();
         if (desk && !desk->m_closed)
             desk->stopped(attempt, worker, number, life.lock().get(), result);
@@ -314,7 +314,7 @@
     return book && book->session.get() == life ? book : nullptr;
 }
 
-void OrderDesk::stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result)
+void OrderDesk::stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const CommandResult& result)
 {
     WorkerBook* book = bookOfLife(worker, life);
     if (!book) {
@@ -323,7 +323,7 @@
         return;
     }
     switch (result.outcome) {
-    case OrderOutcome::Done: {
+    case CommandOutcome::Done: {
         m_stopsSent.erase(attempt);
         m_health.noteStopAnswered(*book);
         book->session->noteClock(result.workerClock);
@@ -335,10 +335,10 @@
             book->session->probe();
         return;
     }
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         book->session->noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
         return;
     default:
@@ -420,9 +420,9 @@
         worker.bookings.noteThrottled(attempt, percent);
         m_state.options.log->decision("task-throttle", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "percent", std::int64_t { percent } } });
         m_state.options.workers->throttle(worker.session->life(), attempt, percent, m_state.ownership.epoch,
-            [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const OrderResult& result) {
+            [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const CommandResult& result) {
                 const auto desk = self.lock();
-                if (!desk || desk->m_closed || result.outcome == OrderOutcome::Done)
+                if (!desk || desk->m_closed || result.outcome == CommandOutcome::Done)
                     return;
                 // Told again with the next report.
                 if (WorkerBook* book = desk->m_state.worker(id))
--- a/src/jobs/owner/order_desk.h
+++ b/src/jobs/owner/order_desk.h
@@ -60,15 +60,15 @@
     void sendOnAnswer(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
     void withdrawRecorded(const Attempt& attempt, const std::string& worker);
     void send(const Attempt& attempt, WorkerBook& worker, const std::string& ticket);
-    void started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const OrderResult& result);
-    void refused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
+    void started(const Attempt& attempt, const std::string& worker, const WorkerSession* life, const CommandResult& result);
+    void refused(const Attempt& attempt, const std::string& worker, CommandOutcome outcome);
     void stopLater(const Attempt& attempt, const std::string& worker, Millis pause);
     void watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes);
     void watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number);
     [[nodiscard]] const LiveAttempt* findLive(const Attempt& attempt, const std::string& worker) const;
     [[nodiscard]] WorkerBook* bookOfLife(const std::string& worker, const WorkerSession* life) const;
     [[nodiscard]] bool mayStopNow(const Attempt& attempt) const;
-    void stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const OrderResult& result);
+    void stopped(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* life, const CommandResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
--- a/src/jobs/owner/other_sites.cpp
+++ b/src/jobs/owner/other_sites.cpp
@@ -22,7 +22,7 @@
             continue;
         if (!avoidLabel.empty() && hasLabel(other.entry, avoidLabel))
             continue;
-        if (spec.mostPerInstance > 0 && other.tasksOf(job.id(), step) >= spec.mostPerInstance)
+        if (spec.maxPerInstance > 0 && other.tasksOf(job.id(), step) >= spec.maxPerInstance)
             continue;
         if (freeOn(other).covers(needed))
             return true;
--- a/src/jobs/owner/owner_load.cpp
+++ b/src/jobs/owner/owner_load.cpp
@@ -64,7 +64,7 @@
     m_options.log->decision("owner-load",
         { { "passes", static_cast<std::int64_t>(m_counts.passes - m_told.passes) }, { "starts", static_cast<std::int64_t>(m_counts.starts - m_told.starts) }, { "sites_inspected", static_cast<std::int64_t>(m_counts.sitesInspected - m_told.sitesInspected) },
             { "placement_ms", millis(work.of(WorkKind::Placement)) }, { "fleet_plan_ms", millis(work.of(WorkKind::FleetPlan)) }, { "reports_ms", millis(work.of(WorkKind::Reports)) },
-            { "progress_ms", millis(work.of(WorkKind::Progress)) }, { "store_news_ms", millis(work.of(WorkKind::StoreNews)) }, { "relay_frames_ms", millis(work.of(WorkKind::RelayFrames)) },
+            { "progress_ms", millis(work.of(WorkKind::Progress)) }, { "store_news_ms", millis(work.of(WorkKind::StoreChanges)) }, { "relay_frames_ms", millis(work.of(WorkKind::RelayFrames)) },
             { "longest_ms", millis(work.longest) }, { "longest", std::string(nameOf(work.longestKind)) }, { "timer_late_ms", millis(std::exchange(m_latest, {})) } });
     m_told = m_counts;
 }
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -20,7 +20,7 @@
 bool mayWaitInGroup(const OwnerJob& job, const QueueSettings* queue)
 {
     const JobRecord& record = job.state.record();
-    const bool isPlain = std::none_of(record.spec.steps.begin(), record.spec.steps.end(), [](const StepSpec& step) { return step.longRunning || step.gang || step.mostPerInstance > 0 || !step.requiredLabel.empty() || !step.preferredRack.empty(); });
+    const bool isPlain = std::none_of(record.spec.steps.begin(), record.spec.steps.end(), [](const StepSpec& step) { return step.longRunning || step.gang || step.maxPerInstance > 0 || !step.requiredLabel.empty() || !step.preferredRack.empty(); });
     return job.account && job.state.status() == JobStatus::Queued && record.spec.occurrences == 0 && isPlain && queue && !queue->advice;
 }
 
@@ -202,7 +202,7 @@
 std::uint32_t OwnerState::mostAttemptsOf(const JobState& job) const
 {
     const QueueSettings* queue = configuration()->queue(job.record().queue);
-    return queue ? std::max(queue->mostAttempts, 1U) : attemptsWithoutQueue;
+    return queue ? std::max(queue->maxAttempts, 1U) : attemptsWithoutQueue;
 }
 
 std::string nameOf(const Attempt& attempt)
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -456,7 +456,7 @@
         wait.labelled += isLabelled ? 1 : 0;
         wait.labelledWithRoom += isLabelled && hasRoom ? 1 : 0;
         wait.near += !step.preferredRack.empty() && list[i].worker->rack == step.preferredRack ? 1 : 0;
-        wait.belowSpread += step.mostPerInstance == 0 || query.tasksOfStep(i) < step.mostPerInstance ? 1 : 0;
+        wait.belowSpread += step.maxPerInstance == 0 || query.tasksOfStep(i) < step.maxPerInstance ? 1 : 0;
     }
     waiting.explainedAt = now;
     waiting.wait = wait;
--- a/src/jobs/owner/report_reader.cpp
+++ b/src/jobs/owner/report_reader.cpp
@@ -91,7 +91,7 @@
         { { "attempt", nameOf(ended.attempt) }, { "worker", worker.entry.id }, { "end", std::string(nameOf(ended.end)) }, { "counted", std::int64_t { effect.counted } } });
     m_counts.successes += effect.counted && ended.end == AttemptEnd::Succeeded ? 1 : 0;
     m_counts.failures += effect.counted && ended.end == AttemptEnd::Failed ? 1 : 0;
-    m_counts.lapses += effect.counted && ended.end == AttemptEnd::LeaseLapsed ? 1 : 0;
+    m_counts.lapses += effect.counted && ended.end == AttemptEnd::LeaseExpired ? 1 : 0;
     if (effect.counted && ended.end == AttemptEnd::Succeeded)
         m_health.noteSuccess(worker);
     if (effect.counted && ended.end == AttemptEnd::Failed)
@@ -131,7 +131,7 @@
 {
     JobState& job = m_state.job(report.attempt.job)->state;
     const AttemptPhase phase = job.find(report.attempt.task)->live->phase;
-    if (phase == AttemptPhase::Ordered || phase == AttemptPhase::Doubtful)
+    if (phase == AttemptPhase::Sent || phase == AttemptPhase::OutcomeUnknown)
         job.setPhase(report.attempt, AttemptPhase::Running, m_state.now());
     if (job.noteConfirmed(report.attempt, workerClock))
         m_state.store(report.attempt.job);
@@ -147,7 +147,7 @@
     readEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running) {
         const TaskState* task = m_state.liveTask(running.attempt, worker->entry.id);
-        if (task && task->live->phase == AttemptPhase::Doubtful) {
+        if (task && task->live->phase == AttemptPhase::OutcomeUnknown) {
             m_health.noteStartConfirmed(*worker, running.attempt);
             confirm(running, result.workerClock);
         }
@@ -159,7 +159,7 @@
     std::vector<Attempt> missing;
     for (const auto& [attempt, booking] : worker->bookings) {
         const TaskState* task = m_state.liveTask(attempt, worker->entry.id);
-        const bool isOpen = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
+        const bool isOpen = task && (task->live->phase == AttemptPhase::OutcomeUnknown || task->live->phase == AttemptPhase::Stopping);
         if (isOpen && !isListed(attempt))
             missing.push_back(attempt);
     }
@@ -226,7 +226,7 @@
         return;
     }
     const LiveAttempt& live = *task->live;
-    const bool isOpen = live.phase == AttemptPhase::Doubtful || live.phase == AttemptPhase::Stopping;
+    const bool isOpen = live.phase == AttemptPhase::OutcomeUnknown || live.phase == AttemptPhase::Stopping;
     if (isOpen && !live.wasConfirmed() && worker.starts.hasExpired(attempt, workerClock, m_state.now())) {
         m_state.options.log->decision("start-expired", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
         m_desk.release(attempt, worker.entry.id, m_state.now());
@@ -234,13 +234,13 @@
     }
     switch (live.phase) {
     case AttemptPhase::Recording:
-    case AttemptPhase::Ordered:
+    case AttemptPhase::Sent:
         return;
-    case AttemptPhase::Doubtful:
+    case AttemptPhase::OutcomeUnknown:
         if (live.phaseSince > sentAt)
             return;
         // Confirmed at a time that the clock of this life has not reached: by a former one, with which it is over.
-        if (live.confirmedOnClock > workerClock)
+        if (live.confirmedAtWorkerClock > workerClock)
             m_desk.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
         else
             m_desk.stop(attempt, worker.entry.id);
@@ -266,14 +266,14 @@
         if (!task || !task->live || task->live->phase != AttemptPhase::Running || booking.step->bestEffort)
             continue;
         const bool atWork = booking.step->longRunning && task->live->percent >= 100;
-        if (!atWork && now - task->live->standsSince() > (booking.step->gang ? gangStuckAfter : stuckAfter))
+        if (!atWork && now - task->live->lastProgressAt() > (booking.step->gang ? gangStuckAfter : stuckAfter))
             stuck.push_back(attempt);
     }
     for (const Attempt& attempt : stuck) {
         // It may come to work just as it is stopped. But others of its step that stand still are away too: they would wait for
         // each other for ever.
         const OwnerJob* job = m_state.job(attempt.job);
-        const bool standsForGood = now - job->state.find(attempt.task)->live->standsSince() > stuckForGood;
+        const bool standsForGood = now - job->state.find(attempt.task)->live->lastProgressAt() > stuckForGood;
         if (job->state.spec(attempt.task.step).longRunning && !standsForGood && !mayDisrupt(m_state, job->state, attempt.task))
             continue;
         m_state.options.log->decision("task-stuck", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
@@ -371,7 +371,7 @@
             continue;
         }
         worker.bookings.put(attempt, std::move(booking));
-        m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
+        m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
     }
     if (failed)
         m_desk.giveUp(*m_state.job(failed->job), failed->task);
--- a/src/jobs/owner/worker_book.cpp
+++ b/src/jobs/owner/worker_book.cpp
@@ -55,7 +55,7 @@
 
 MonotonicInstant WorkerBook::establishedAt() const
 {
-    return knownSince + fleetListLag + fleetListPause;
+    return knownSince + maxFleetListLag + fleetListPause;
 }
 
 bool WorkerBook::isVerifiedUp(MonotonicInstant now) const
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife life, WorkerSessionOptions options, WorkerSessionObserver& observer)
+WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerIncarnation life, WorkerSessionOptions options, WorkerSessionObserver& observer)
     : m_loop(loop)
     , m_control(control)
     , m_life(std::move(life))
@@ -128,7 +128,7 @@
     watchProbe(m_loop.now(), m_probeFrom);
     m_control.renew(m_life, { .epoch = m_options.epoch }, [self = weak_from_this(), sentAt = m_loop.now()](const RenewResult& result) {
         const auto session = self.lock();
-        if (!session || session->m_closed || result.outcome != OrderOutcome::Done)
+        if (!session || session->m_closed || result.outcome != CommandOutcome::Done)
             return;
         session->m_probeFrom = session->m_loop.now();
         if (!session->isOfThisLife(result)) {
@@ -184,7 +184,7 @@
     // lease would move on for ever, and with it the time when the tasks may start elsewhere. Nor does one that another life may
     // answer: that one has another clock and counts its ends anew.
     const bool onlyAsks = m_silent || mayBeAnotherLife();
-    RenewOrder order { .leaseUntil = onlyAsks ? 0 : leaseForOrder().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = onlyAsks ? 0 : m_storedUpTo };
+    RenewCommand order { .leaseUntil = onlyAsks ? 0 : leaseForOrder().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = onlyAsks ? 0 : m_storedUpTo };
     if (m_met && !onlyAsks && !m_awaitingAcknowledgement)
         order.wait = m_loop.now() < m_shortWaitUntil ? std::min(m_options.wait, shortWait) : m_options.wait;
     m_renewing = true;
@@ -223,12 +223,12 @@
 {
     m_renewing = false;
     switch (result.outcome) {
-    case OrderOutcome::Done:
+    case CommandOutcome::Done:
         break;
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_observer.onFenced(*this);
         renewAt(m_loop.now() + m_options.retryPause);
         return;
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -20,14 +20,14 @@
     {
         milliCpu += static_cast<double>(instance.capacity.milliCpu);
         ++instances;
-        present += instance.coming ? 0 : 1;
+        present += instance.arriving ? 0 : 1;
     }
 
     void remove(const PoolInstance& instance)
     {
         milliCpu -= static_cast<double>(instance.capacity.milliCpu);
         --instances;
-        present -= instance.coming ? 0 : 1;
+        present -= instance.arriving ? 0 : 1;
     }
 
     [[nodiscard]] bool covers(const CapacityNeed& need) const { return milliCpu >= need.milliCpu && instances >= need.instances; }
@@ -65,7 +65,7 @@
     std::vector<ClassBalance> classes;
     std::vector<const PoolInstance*> idle; ///< Longest idle first.
     std::vector<const PoolInstance*> drainable; ///< Those without long-running tasks first, then those that are empty soonest.
-    std::unordered_set<const PoolInstance*> sound;
+    std::unordered_set<const PoolInstance*> healthy;
     mutable std::map<std::string, double> soundMilliCpu; ///< Of the sound instances, by label, of labels that were asked for.
     mutable std::uint64_t inspected = 0; ///< Instances looked at, each time that one was.
 
@@ -112,8 +112,8 @@
         const auto [size, isNew] = soundMilliCpu.try_emplace(label);
         if (!isNew)
             return size->second;
-        inspected += sound.size();
-        for (const PoolInstance* instance : sound)
+        inspected += healthy.size();
+        for (const PoolInstance* instance : healthy)
             size->second += instance->has(label) ? static_cast<double>(instance->capacity.milliCpu) : 0;
         return size->second;
     }
@@ -161,7 +161,7 @@
 
     void take(const PoolInstance& instance)
     {
-        sound.insert(&instance);
+        healthy.insert(&instance);
         resize(instance, 1);
         for (ClassBalance& each : classes) {
             if (instance.has(each.requirement.label))
@@ -173,7 +173,7 @@
     {
         std::erase(idle, &instance);
         std::erase(drainable, &instance);
-        if (sound.erase(&instance) == 0)
+        if (healthy.erase(&instance) == 0)
             return;
         resize(instance, -1);
         for (ClassBalance& each : classes) {
@@ -212,11 +212,11 @@
     const bool isAny = requirement.label.empty();
     CapacityNeed need { .milliCpu = static_cast<double>(milliCpu) * m_options.margin / m_options.packing };
     // One more than what must be spread, so that one can fail or be maintained.
-    const std::uint32_t spread = load.leastInstances > 0 ? load.leastInstances + 1 : 0;
+    const std::uint32_t spread = load.minInstances > 0 ? load.minInstances + 1 : 0;
     // What waits found no room on any instance, whatever the sum of what is free. One that comes
     // may be enough.
     const std::uint32_t more = load.hasWaiting ? present + 1 : 0;
-    need.instances = std::max({ isAny ? m_options.leastInstances : 0, spread, more });
+    need.instances = std::max({ isAny ? m_options.minInstances : 0, spread, more });
     return need;
 }
 
@@ -226,42 +226,42 @@
     if (pool.reserve || any == pool.requirements.end())
         return 0;
     Supply all;
-    Supply sound;
+    Supply healthy;
     for (const PoolInstance& instance : pool.instances) {
         all.add(instance);
-        if (instance.sound)
-            sound.add(instance);
+        if (instance.healthy)
+            healthy.add(instance);
     }
     std::int64_t demand = 0;
     for (const auto& [requirement, load] : pool.requirements)
         demand += requirement.preferred ? 0 : load.demandMilliCpu;
-    const CapacityNeed need = needOf(any->first, any->second, demand, sound.present);
+    const CapacityNeed need = needOf(any->first, any->second, demand, healthy.present);
     const double mean = all.instances > 0 ? all.milliCpu / all.instances : 0;
     const auto byCpu = mean > 0 ? static_cast<std::uint32_t>(std::ceil(need.milliCpu / mean)) : 0;
-    return std::max(byCpu, need.instances) + (all.instances - sound.instances);
+    return std::max(byCpu, need.instances) + (all.instances - healthy.instances);
 }
 
 bool CapacityPlan::hasIdleRoom(const PoolLoad& pool) const
 {
-    std::size_t sound = 0;
+    std::size_t healthy = 0;
     std::size_t idle = 0;
     for (const PoolInstance& instance : pool.instances) {
-        sound += instance.sound ? 1 : 0;
-        idle += instance.sound && instance.idleSince ? 1 : 0;
+        healthy += instance.healthy ? 1 : 0;
+        idle += instance.healthy && instance.idleSince ? 1 : 0;
     }
-    return static_cast<double>(idle) >= m_options.idleShareOfRoom * static_cast<double>(sound);
+    return static_cast<double>(idle) >= m_options.idleShareOfRoom * static_cast<double>(healthy);
 }
 
 CapacityPlan::Balance CapacityPlan::balanceOf(const PoolLoad& pool, MonotonicInstant now)
 {
-    Balance balance { .load = &pool, .classes = {}, .idle = {}, .drainable = {}, .sound = {} };
+    Balance balance { .load = &pool, .classes = {}, .idle = {}, .drainable = {}, .healthy = {} };
     const bool hasRoom = m_peaks.hasAmpleRoom() && hasIdleRoom(pool);
     for (const auto& [requirement, load] : pool.requirements) {
         if (pool.reserve)
             break;
         ClassBalance each { .requirement = requirement, .load = &load, .now = {}, .ofLate = {}, .lasting = {}, .least = {}, .supply = {} };
         for (const PoolInstance& instance : pool.instances) {
-            if (instance.sound && instance.has(requirement.label))
+            if (instance.healthy && instance.has(requirement.label))
                 each.supply.add(instance);
         }
         DemandHistory& history = m_demands[{ pool.pool, requirement }];
@@ -271,12 +271,12 @@
         each.ofLate = needOf(requirement, load, history.highest.note(demand, now, m_options.demandMemory), each.supply.present);
         each.lasting = needOf(requirement, load, lasting, each.supply.present);
         if (!requirement.preferred)
-            each.least = { .milliCpu = static_cast<double>(load.demandMilliCpu) / m_options.packing, .instances = load.leastInstances };
+            each.least = { .milliCpu = static_cast<double>(load.demandMilliCpu) / m_options.packing, .instances = load.minInstances };
         balance.classes.push_back(std::move(each));
     }
     for (const PoolInstance& instance : pool.instances) {
-        if (instance.sound)
-            balance.sound.insert(&instance);
+        if (instance.healthy)
+            balance.healthy.insert(&instance);
         if (instance.idleSince)
             balance.idle.push_back(&instance);
         else if (!instance.drainable.empty())
@@ -334,7 +334,7 @@
     std::vector<PoolNeed> needs;
     double fleet = 0;
     for (const Balance& pool : pools) {
-        for (const PoolInstance* instance : pool.sound)
+        for (const PoolInstance* instance : pool.healthy)
             fleet += static_cast<double>(instance->capacity.milliCpu);
         for (const ClassBalance& each : pool.classes) {
             if (each.isAny())
--- a/src/jobs/policy/maintenance_plan.cpp
+++ b/src/jobs/policy/maintenance_plan.cpp
@@ -44,9 +44,9 @@
 {
     const std::size_t left = m_wave.instances.size() - std::min(m_done.size(), m_wave.instances.size());
     if (now >= m_paceBy)
-        return m_wave.mostAtOnce;
+        return m_wave.maxConcurrent;
     const double needed = static_cast<double>(left) * std::chrono::duration<double>(timeOfOne) / std::chrono::duration<double>(m_paceBy - now);
-    return std::min(m_wave.mostAtOnce, static_cast<std::uint32_t>(std::ceil(needed)));
+    return std::min(m_wave.maxConcurrent, static_cast<std::uint32_t>(std::ceil(needed)));
 }
 
 MaintenanceStep MaintenancePlan::next(const std::vector<MaintenanceCandidate>& fleet, bool hasShortage, MonotonicInstant now)
@@ -68,7 +68,7 @@
         return std::tuple(!a->reserve, !a->evacuating, a->attempts, a->instance) < std::tuple(!b->reserve, !b->evacuating, b->attempts, b->instance);
     });
     const std::uint32_t downNow = down(now);
-    const std::uint32_t most = hasShortage ? pace(now) : m_wave.mostAtOnce;
+    const std::uint32_t most = hasShortage ? pace(now) : m_wave.maxConcurrent;
     std::uint32_t slots = most > downNow ? most - downNow : 0;
     // While a pool is short, those being emptied and those that are down are paced together.
     std::uint32_t evacuations = hasShortage ? std::max(slots, 1U) : most + evacuateAhead;
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -69,7 +69,7 @@
 bool asksOnlyRoom(const StepSpec& step, const PlacementQuery& query)
 {
     const bool isNear = query.nearOnly && !step.preferredRack.empty();
-    return query.rack.empty() && !isNear && !query.admits && step.mostPerInstance == 0;
+    return query.rack.empty() && !isNear && !query.admits && step.maxPerInstance == 0;
 }
 
 } // namespace
@@ -170,7 +170,7 @@
         }
         if (query.admits && !query.admits(index))
             continue;
-        if (step.mostPerInstance > 0 && query.tasksOfStep && query.tasksOfStep(index) >= step.mostPerInstance)
+        if (step.maxPerInstance > 0 && query.tasksOfStep && query.tasksOfStep(index) >= step.maxPerInstance)
             continue;
         const Rank rank { drawbacksOf(site, step, query), fullnessOf(site, step, query), index };
         if (!choice.best || rank < *choice.best)
--- a/src/jobs/relay/order_relay.cpp
+++ b/src/jobs/relay/order_relay.cpp
@@ -202,7 +202,7 @@
     {
         wire::RelayAnswer& answer = *m_frame.add_answers();
         answer.set_call(call.call());
-        answer.set_outcome(static_cast<std::uint32_t>(OrderOutcome::NotDone));
+        answer.set_outcome(static_cast<std::uint32_t>(CommandOutcome::NotDone));
         sendSoon();
     }
 
@@ -210,19 +210,19 @@
     {
         ++calls;
         ++inFlight;
-        const WorkerLife worker = lifeOf(call);
+        const WorkerIncarnation worker = lifeOf(call);
         switch (call.kind_case()) {
         case wire::RelayCall::kStart:
             start(worker, call);
             return;
         case wire::RelayCall::kStop:
-            m_parts.workers->stop(worker, attemptOf(call.stop().attempt()), call.epoch(), answerTo<OrderResult>(call.call()));
+            m_parts.workers->stop(worker, attemptOf(call.stop().attempt()), call.epoch(), answerTo<CommandResult>(call.call()));
             return;
         case wire::RelayCall::kRenew:
             m_parts.workers->renew(worker, renewalOf(call), answerTo<RenewResult>(call.call()));
             return;
         case wire::RelayCall::kThrottle:
-            m_parts.workers->throttle(worker, attemptOf(call.throttle().attempt()), call.throttle().percent(), call.epoch(), answerTo<OrderResult>(call.call()));
+            m_parts.workers->throttle(worker, attemptOf(call.throttle().attempt()), call.throttle().percent(), call.epoch(), answerTo<CommandResult>(call.call()));
             return;
         case wire::RelayCall::KIND_NOT_SET:
             --inFlight;
@@ -230,21 +230,21 @@
         }
     }
 
-    void start(const WorkerLife& worker, const wire::RelayCall& call)
+    void start(const WorkerIncarnation& worker, const wire::RelayCall& call)
     {
-        StartOrder order = startOf(call);
+        StartCommand order = startOf(call);
         if (!call.start().payload_in_store()) {
-            m_parts.workers->start(worker, order, answerTo<OrderResult>(call.call()));
+            m_parts.workers->start(worker, order, answerTo<CommandResult>(call.call()));
             return;
         }
         // Whoever comes first decides: the payload, or the end of the patience. What is not sent by then is never sent.
         const auto isSettled = std::make_shared<bool>(false);
-        const std::function<void(OrderResult)> done = answerTo<OrderResult>(call.call());
+        const std::function<void(CommandResult)> done = answerTo<CommandResult>(call.call());
         const auto refuse = [self = shared_from_this(), isSettled, done] {
             if (std::exchange(*isSettled, true))
                 return;
             self->m_storeSilentUntil = self->m_parts.loop->now() + storePause;
-            done({ .outcome = OrderOutcome::NotDone });
+            done({ .outcome = CommandOutcome::NotDone });
         };
         if (m_parts.loop->now() < m_storeSilentUntil) {
             m_parts.loop->callAt(m_parts.loop->now(), refuse);
--- a/src/jobs/relay/relay_codec.cpp
+++ b/src/jobs/relay/relay_codec.cpp
@@ -17,7 +17,7 @@
     message.set_number(attempt.number);
 }
 
-void writeLife(wire::RelayCall& message, const WorkerLife& worker, std::uint64_t epoch)
+void writeLife(wire::RelayCall& message, const WorkerIncarnation& worker, std::uint64_t epoch)
 {
     message.set_worker(worker.id);
     message.set_address(worker.address);
@@ -25,9 +25,9 @@
 }
 
 /// Codes are the enumerators' numbers: both ends are of one version but for a rolling update.
-OrderOutcome outcomeOf(std::uint32_t code)
+CommandOutcome outcomeOf(std::uint32_t code)
 {
-    return code <= static_cast<std::uint32_t>(OrderOutcome::Unknown) ? static_cast<OrderOutcome>(code) : OrderOutcome::Unknown;
+    return code <= static_cast<std::uint32_t>(CommandOutcome::Unknown) ? static_cast<CommandOutcome>(code) : CommandOutcome::Unknown;
 }
 
 AttemptEnd endOf(std::uint32_t code)
@@ -37,12 +37,12 @@
 
 } // namespace
 
-bool isLongPayload(const StartOrder& order) noexcept
+bool isLongPayload(const StartCommand& order) noexcept
 {
     return order.payload.size() > mostPayloadInCall;
 }
 
-void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refers)
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const StartCommand& order, bool refers)
 {
     writeLife(message, worker, order.epoch);
     wire::RelayCall::Start& start = *message.mutable_start();
@@ -56,13 +56,13 @@
     start.set_ticket(order.ticket);
 }
 
-void fillStop(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch)
+void fillStop(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch)
 {
     writeLife(message, worker, epoch);
     write(*message.mutable_stop()->mutable_attempt(), attempt);
 }
 
-void fill(wire::RelayCall& message, const WorkerLife& worker, const RenewOrder& order)
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const RenewCommand& order)
 {
     writeLife(message, worker, order.epoch);
     wire::RelayCall::Renew& renew = *message.mutable_renew();
@@ -71,14 +71,14 @@
     renew.set_wait_ms(static_cast<std::uint32_t>(order.wait.count()));
 }
 
-void fillThrottle(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch)
+void fillThrottle(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch)
 {
     writeLife(message, worker, epoch);
     write(*message.mutable_throttle()->mutable_attempt(), attempt);
     message.mutable_throttle()->set_percent(percent);
 }
 
-void fill(wire::RelayAnswer& message, const OrderResult& result)
+void fill(wire::RelayAnswer& message, const CommandResult& result)
 {
     message.set_outcome(static_cast<std::uint32_t>(result.outcome));
     message.set_worker_clock(result.workerClock);
@@ -105,7 +105,7 @@
     }
 }
 
-WorkerLife lifeOf(const wire::RelayCall& message)
+WorkerIncarnation lifeOf(const wire::RelayCall& message)
 {
     return { .id = message.worker(), .address = message.address(), .dataHall = {} };
 }
@@ -115,19 +115,19 @@
     return { message.job(), { message.occurrence(), message.step(), message.index() }, message.number() };
 }
 
-StartOrder startOf(const wire::RelayCall& message)
+StartCommand startOf(const wire::RelayCall& message)
 {
     const wire::RelayCall::Start& start = message.start();
     return { .attempt = attemptOf(start.attempt()), .payload = start.payload(), .leaseUntil = start.lease_until(), .epoch = message.epoch(), .checkpoint = start.checkpoint(), .ticket = start.ticket() };
 }
 
-RenewOrder renewalOf(const wire::RelayCall& message)
+RenewCommand renewalOf(const wire::RelayCall& message)
 {
     const wire::RelayCall::Renew& renew = message.renew();
     return { .leaseUntil = renew.lease_until(), .epoch = message.epoch(), .endsStoredUpTo = renew.ends_stored_up_to(), .wait = Millis(renew.wait_ms()) };
 }
 
-OrderResult orderResultOf(const wire::RelayAnswer& message)
+CommandResult orderResultOf(const wire::RelayAnswer& message)
 {
     return { .outcome = outcomeOf(message.outcome()), .workerClock = message.worker_clock() };
 }
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -79,7 +79,7 @@
             giveUp(call);
     }
 
-    using Done = std::variant<std::function<void(OrderResult)>, std::function<void(RenewResult)>>;
+    using Done = std::variant<std::function<void(CommandResult)>, std::function<void(RenewResult)>>;
 
     /// A call that a relay carries, to be filled in.
     struct RelayedCall {
@@ -90,7 +90,7 @@
     };
 
     /// \param wait The worker may wait so long before it answers.
-    RelayedCall relayed(const WorkerLife& worker, Millis wait, Done& done)
+    RelayedCall relayed(const WorkerIncarnation& worker, Millis wait, Done& done)
     {
         const WorkMeter::Piece piece(m_parts.meter, WorkKind::RelayFrames);
         const std::string name = m_active ? pathTo(worker) : std::string();
@@ -105,7 +105,7 @@
         return relayedOver(relay->second, worker, wait, std::move(done));
     }
 
-    RelayedCall relayedOver(std::uint64_t relay, const WorkerLife& worker, Millis wait, Done done)
+    RelayedCall relayedOver(std::uint64_t relay, const WorkerIncarnation& worker, Millis wait, Done done)
     {
         const MonotonicInstant now = m_parts.loop->now();
         ++m_counts.relayed;
@@ -124,7 +124,7 @@
     }
 
     /// A renewal through a relay, or directly. Beside it, an unreachable path to the worker's data hall may be retried.
-    void renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done)
+    void renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done)
     {
         Done wrapped(std::move(done));
         if (wire::RelayCall* message = relayed(worker, order.wait, wrapped).message)
@@ -138,7 +138,7 @@
     }
 
     /// A call to the worker is overdue: the path may not reach its data hall.
-    void noteOverdue(const WorkerLife& worker)
+    void noteOverdue(const WorkerIncarnation& worker)
     {
         if (!m_active || !m_reachability.enabled)
             return;
@@ -160,14 +160,14 @@
 
     /// Starts an attempt through a relay, or directly. One that the relay did not make, since it could not read the
     /// payload, goes again with the payload in it.
-    void start(const WorkerLife& worker, const StartOrder& order, const std::function<void(OrderResult)>& done, bool mayRefer)
+    void start(const WorkerIncarnation& worker, const StartCommand& order, const std::function<void(CommandResult)>& done, bool mayRefer)
     {
         const auto relay = std::make_shared<std::uint64_t>(0);
         const bool isLong = mayRefer && isLongPayload(order);
-        std::function<void(OrderResult)> heard = done;
+        std::function<void(CommandResult)> heard = done;
         if (isLong) {
-            heard = [self = shared_from_this(), relay, worker, order, done](const OrderResult& result) {
-                if (result.outcome != OrderOutcome::NotDone || *relay == 0) {
+            heard = [self = shared_from_this(), relay, worker, order, done](const CommandResult& result) {
+                if (result.outcome != CommandOutcome::NotDone || *relay == 0) {
                     done(result);
                     return;
                 }
@@ -178,7 +178,7 @@
         Done wrapped(std::move(heard));
         const RelayedCall call = relayed(worker, Millis(0), wrapped);
         if (!call.message) {
-            direct().start(worker, order, std::move(std::get<std::function<void(OrderResult)>>(wrapped)));
+            direct().start(worker, order, std::move(std::get<std::function<void(CommandResult)>>(wrapped)));
             return;
         }
         const bool refers = isLong && call.readsStore;
@@ -187,7 +187,7 @@
         fill(*call.message, worker, order, refers);
     }
 
-    void forget(const WorkerLife& worker)
+    void forget(const WorkerIncarnation& worker)
     {
         const std::string name = m_plan.forget(worker.id);
         m_openCalls.forget(worker.id);
@@ -204,7 +204,7 @@
 
     AdmissionGrants grant(const AdmissionGrants& grants)
     {
-        AdmissionGrants part = partOf(grants, static_cast<std::uint32_t>(m_byName.size() + 1));
+        AdmissionGrants part = grantsPerEntry(grants, static_cast<std::uint32_t>(m_byName.size() + 1));
         m_granted = part;
         for (const auto& [name, number] : m_byName)
             sendGranted(m_relays.at(number));
@@ -223,10 +223,10 @@
 
 private:
     /// \returns The data hall of a worker, as far as it counts.
-    [[nodiscard]] std::string hallOf(const WorkerLife& worker) const { return m_reachability.enabled ? worker.dataHall : std::string(); }
+    [[nodiscard]] std::string hallOf(const WorkerIncarnation& worker) const { return m_reachability.enabled ? worker.dataHall : std::string(); }
 
     /// \returns The worker's path, or another one while calls over that are overdue.
-    [[nodiscard]] std::string pathTo(const WorkerLife& worker)
+    [[nodiscard]] std::string pathTo(const WorkerIncarnation& worker)
     {
         const MonotonicInstant now = m_parts.loop->now();
         const std::string path = m_plan.relayOf(worker.id, now, hallOf(worker));
@@ -235,12 +235,12 @@
     }
 
     /// Notes the outcome of the owner's own call as that of a relayed one.
-    Done watched(const WorkerLife& worker, Millis wait, Done done)
+    Done watched(const WorkerIncarnation& worker, Millis wait, Done done)
     {
         const std::uint64_t call = ++m_lastCall;
         m_openCalls.add(call, { .path = {}, .worker = worker.id, .dataHall = worker.dataHall, .expectedAt = m_parts.loop->now() + wait });
-        if (auto* order = std::get_if<std::function<void(OrderResult)>>(&done))
-            return watchedAs<OrderResult>(call, std::move(*order));
+        if (auto* order = std::get_if<std::function<void(CommandResult)>>(&done))
+            return watchedAs<CommandResult>(call, std::move(*order));
         return watchedAs<RenewResult>(call, std::move(std::get<std::function<void(RenewResult)>>(done)));
     }
 
@@ -254,7 +254,7 @@
         };
     }
 
-    [[nodiscard]] static bool isAnswer(OrderOutcome outcome) { return outcome != OrderOutcome::Unknown && outcome != OrderOutcome::NotDone; }
+    [[nodiscard]] static bool isAnswer(CommandOutcome outcome) { return outcome != CommandOutcome::Unknown && outcome != CommandOutcome::NotDone; }
 
     /// Takes in what a call says about its path. \param saysNothing The call failed for another cause than the path.
     void noteOutcome(std::uint64_t number, bool isAnswered, bool saysNothing)
@@ -287,9 +287,9 @@
     }
 
     /// Asks one worker over a path that did not reach its data hall what it holds: its own calls keep their path.
-    void retry(const std::string& path, const WorkerLife& worker, std::uint64_t epoch)
+    void retry(const std::string& path, const WorkerIncarnation& worker, std::uint64_t epoch)
     {
-        const RenewOrder order { .epoch = epoch };
+        const RenewCommand order { .epoch = epoch };
         std::function<void(RenewResult)> ignored = [](const RenewResult&) {};
         const auto relay = m_byName.find(path);
         if (relay != m_byName.end())
@@ -404,7 +404,7 @@
         judge(answer.call(), found->second, answer);
         const Done done = std::move(found->second.done);
         m_pending.erase(found);
-        if (const auto* order = std::get_if<std::function<void(OrderResult)>>(&done))
+        if (const auto* order = std::get_if<std::function<void(CommandResult)>>(&done))
             (*order)(orderResultOf(answer));
         else
             std::get<std::function<void(RenewResult)>>(done)(renewResultOf(answer));
@@ -419,7 +419,7 @@
             return;
         }
         const auto outcome = orderResultOf(answer).outcome;
-        noteOutcome(call, isAnswer(outcome), outcome == OrderOutcome::NotDone && pending.refersPayload);
+        noteOutcome(call, isAnswer(outcome), outcome == CommandOutcome::NotDone && pending.refersPayload);
         if (!isAnswer(outcome))
             m_plan.noteUnanswered(relay->second.name, pending.worker, m_parts.loop->now());
     }
@@ -429,7 +429,7 @@
         ++m_counts.unanswered;
         wire::RelayAnswer unknown;
         unknown.set_call(call);
-        unknown.set_outcome(static_cast<std::uint32_t>(OrderOutcome::Unknown));
+        unknown.set_outcome(static_cast<std::uint32_t>(CommandOutcome::Unknown));
         answered(unknown);
     }
 
@@ -592,26 +592,26 @@
     m_impl->deactivate();
 }
 
-void RelayedWorkers::start(const WorkerLife& worker, const StartOrder& order, std::function<void(OrderResult)> done)
+void RelayedWorkers::start(const WorkerIncarnation& worker, const StartCommand& order, std::function<void(CommandResult)> done)
 {
     m_impl->start(worker, order, done, true);
 }
 
-void RelayedWorkers::stop(const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(OrderResult)> done)
+void RelayedWorkers::stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done)
 {
     Impl::Done relayed(std::move(done));
     if (wire::RelayCall* message = m_impl->relayed(worker, Millis(0), relayed).message)
         fillStop(*message, worker, attempt, epoch);
     else
-        m_impl->direct().stop(worker, attempt, epoch, std::move(std::get<std::function<void(OrderResult)>>(relayed)));
+        m_impl->direct().stop(worker, attempt, epoch, std::move(std::get<std::function<void(CommandResult)>>(relayed)));
 }
 
-void RelayedWorkers::renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done)
+void RelayedWorkers::renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done)
 {
     m_impl->renew(worker, order, std::move(done));
 }
 
-void RelayedWorkers::noteOverdue(const WorkerLife& worker)
+void RelayedWorkers::noteOverdue(const WorkerIncarnation& worker)
 {
     m_impl->noteOverdue(worker);
 }
@@ -621,16 +621,16 @@
     return m_impl->reachability();
 }
 
-void RelayedWorkers::throttle(const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(OrderResult)> done)
+void RelayedWorkers::throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done)
 {
     Impl::Done relayed(std::move(done));
     if (wire::RelayCall* message = m_impl->relayed(worker, Millis(0), relayed).message)
         fillThrottle(*message, worker, attempt, percent, epoch);
     else
-        m_impl->direct().throttle(worker, attempt, percent, epoch, std::move(std::get<std::function<void(OrderResult)>>(relayed)));
+        m_impl->direct().throttle(worker, attempt, percent, epoch, std::move(std::get<std::function<void(CommandResult)>>(relayed)));
 }
 
-void RelayedWorkers::forget(const WorkerLife& worker)
+void RelayedWorkers::forget(const WorkerIncarnation& worker)
 {
     m_impl->forget(worker);
 }
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -113,7 +113,7 @@
 void addStore(std::vector<prometheus::MetricFamily>& families, const MetricsReading& reading)
 {
     prometheus::MetricFamily condition { "lanemoor_store_condition", "1 for the state of the store that this process observes", prometheus::MetricType::Gauge, {} };
-    for (std::size_t i = 0; i < storeStates; ++i) {
+    for (std::size_t i = 0; i < storeStateCount; ++i) {
         const auto state = static_cast<StoreState>(i);
         prometheus::ClientMetric metric;
         metric.label.push_back({ "state", std::string(nameOf(state)) });
@@ -234,7 +234,7 @@
 void addWork(std::vector<prometheus::MetricFamily>& families, const WorkReading& work)
 {
     prometheus::MetricFamily family { "lanemoor_work_seconds_total", "Time that the process's thread was at work, by kind", prometheus::MetricType::Counter, {} };
-    for (std::size_t i = 0; i < workKinds; ++i) {
+    for (std::size_t i = 0; i < workKindCount; ++i) {
         const auto kind = static_cast<WorkKind>(i);
         prometheus::ClientMetric metric;
         metric.label.push_back({ "kind", std::string(nameOf(kind)) });
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -100,7 +100,7 @@
 JobLookupOptions lookupOptions(const JobServiceSettings& settings)
 {
     JobLookupOptions options = settings.policies.lookup;
-    options.keepsCopy = isStandbyMachine(settings);
+    options.hasFullCopy = isStandbyMachine(settings);
     return options;
 }
 
@@ -115,7 +115,7 @@
 {
     constexpr double objectives = 3;
     const double stretch = queue ? queue->stretch : 1.0;
-    const Millis objective = Millis(static_cast<Millis::rep>(stretch * static_cast<double>(longestChain(spec).count()))) + (queue ? queue->latencyTarget : Millis(0));
+    const Millis objective = Millis(static_cast<Millis::rep>(stretch * static_cast<double>(criticalPathDuration(spec).count()))) + (queue ? queue->latencyTarget : Millis(0));
     return Millis(static_cast<Millis::rep>(objectives * static_cast<double>(objective.count())));
 }
 
@@ -162,7 +162,7 @@
         , m_fleet(fleetOptions())
         , m_intake(*parts.loop, *parts.store, m_jobs, m_catalog)
         , m_lookup(
-              *parts.loop, *parts.store, m_jobs, m_catalog, [this] { return (m_ownership.isHeld() && hasCopy()) || m_intake.isStoreSilent(); }, lookupOptions(settings))
+              *parts.loop, *parts.store, m_jobs, m_catalog, [this] { return (m_ownership.isHeld() && hasCopy()) || m_intake.isStoreUnavailable(); }, lookupOptions(settings))
         , m_countsReader(*parts.loop, *parts.store)
         , m_countsWriter({ .loop = parts.loop, .store = parts.store, .catalog = &m_catalog, .ownership = &m_ownership, .configuration = [this] { return m_configuration; }, .isCurrent = [this] { return m_parts.loop->now() - m_jobs.freshAt() < countableCopyAge; } })
         , m_retirement({ .loop = parts.loop, .store = parts.store, .mirror = &m_jobs, .catalog = &m_catalog, .ownership = &m_ownership, .log = parts.log, .statusTime = settings.statusTime })
@@ -235,7 +235,7 @@
 
     [[nodiscard]] bool isReady() const
     {
-        return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreSilent() && m_parts.loop->now() - storeAnsweredAt() < storeMissedAfter;
+        return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreUnavailable() && m_parts.loop->now() - storeAnsweredAt() < storeMissedAfter;
     }
 
     /// \returns Whether every configuration that should be in force by now is known. What it decides is decided by no other one.
@@ -252,7 +252,7 @@
         const QueueSettings* settings = m_configuration->queue(caller.queue);
         const MonotonicInstant usefulUntil = m_parts.loop->now() + usefulTime(settings, spec);
         const JobRecord record { .queue = caller.queue, .pool = settings ? settings->pool : std::string(), .acceptedAt = m_parts.loop->timeOfDay(), .spec = std::move(spec), .organisation = caller.organisation };
-        const AdmissionVerdict verdict = judge(caller, id, record.spec);
+        const AdmissionDecision verdict = decide(caller, id, record.spec);
         const auto answer = [this, id, caller, verdict, usefulUntil, spec = record.spec, done = std::move(done), sentAt = m_parts.loop->now(), version = m_configuration->version, configurationAge = configurationAge()](AcceptOutcome outcome) {
             metrics.noteHandedIn(caller.queue, outcome, secondsSince(sentAt));
             noteSubmission(caller, id, spec, usefulUntil, outcome);
@@ -276,15 +276,15 @@
     }
 
     /// A job that was handed in before is not refused: it may be kept.
-    AdmissionVerdict judge(const Caller& caller, const std::string& id, const JobSpec& spec)
+    AdmissionDecision decide(const Caller& caller, const std::string& id, const JobSpec& spec)
     {
         if (!m_settings.policies.admission.enabled || caller.organisation.empty() || m_intake.isKnown(id))
             return {};
         const OrganisationSettings* organisation = m_configuration->organisations.find(caller.organisation);
-        return m_gate.judge(caller.queue, caller.organisation, spec, organisation ? organisation->weight : 0, m_parts.loop->now());
+        return m_gate.decide(caller.queue, caller.organisation, spec, organisation ? organisation->weight : 0, m_parts.loop->now());
     }
 
-    void noteRefused(const Caller& caller, const std::string& id, const AdmissionVerdict& verdict)
+    void noteRefused(const Caller& caller, const std::string& id, const AdmissionDecision& verdict)
     {
         metrics.noteRefused(caller.queue, std::string(nameOf(verdict.basis)));
         const AdmissionBudget& budget = verdict.budget;
@@ -305,7 +305,7 @@
             return;
         }
         m_refusals.noteRefused(id, usefulUntil, m_parts.loop->now());
-        if (outcome != AcceptOutcome::NotTaken)
+        if (outcome != AcceptOutcome::NotAccepted)
             return;
         m_demand.noteRefused(caller.queue, caller.organisation, spec);
         if (!m_scheduler.isActive()) {
@@ -519,7 +519,7 @@
     bool isForeign(const Caller& caller, const std::string& id)
     {
         const CatalogEntry* entry = m_catalog.find(id);
-        if (!entry || !entry->record || mayUse(caller, *entry->record))
+        if (!entry || !entry->record || mayAccess(caller, *entry->record))
             return false;
         metrics.noteTurnedAway("other-organisation");
         m_parts.log->decision("caller-refused", { { "job", id }, { "queue", caller.queue }, { "reason", std::string("other-organisation") }, { "organisation", caller.organisation } });
@@ -598,7 +598,7 @@
 
     void onItem(const StoreItem& item)
     {
-        const WorkMeter::Piece piece(&m_meter, WorkKind::StoreNews);
+        const WorkMeter::Piece piece(&m_meter, WorkKind::StoreChanges);
         if (item.key.compare(0, ownershipPrefix.size(), ownershipPrefix) == 0)
             m_owners.noteWritten(item);
         static_cast<void>(m_catalog.apply(item));
@@ -627,7 +627,7 @@
 
     void onWorker(const StoreItem& item)
     {
-        const WorkMeter::Piece piece(&m_meter, WorkKind::StoreNews);
+        const WorkMeter::Piece piece(&m_meter, WorkKind::StoreChanges);
         const std::string id = item.key.substr(m_parts.documents->workerPrefix().size());
         if (item.removed) {
             if (m_ownership.isHeld())
--- a/src/jobs/store/document_copy.cpp
+++ b/src/jobs/store/document_copy.cpp
@@ -73,7 +73,7 @@
     {
         auto open = std::make_shared<OpenCall>(OpenCall { .reading = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .heldRevision = m_revision });
         m_lastSentAt = open->reading.sentAt;
-        DocumentQuery query { .key = m_options.key, .patience = beginPatience, .begun = [self = weak_from_this(), open] {
+        DocumentQuery query { .key = m_options.key, .timeout = beginPatience, .begun = [self = weak_from_this(), open] {
                                  const auto impl = self.lock();
                                  return impl && impl->beginTransfer(*open);
                              } };
@@ -81,7 +81,7 @@
             query.after = m_at;
             query.wait = m_options.watchTime;
         } else if (call == DocumentCall::Compare) {
-            query.unless = m_revision;
+            query.unlessRevision = m_revision;
         }
         m_store.fetch(std::move(query), [self = weak_from_this(), open](const ItemsResult& result) {
             if (const auto impl = self.lock(); impl && !impl->m_stopped)
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -440,9 +440,9 @@
     m_impl->read(key, std::move(done));
 }
 
-void HedgedStore::range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done)
+void HedgedStore::range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done)
 {
-    m_impl->store().range(prefix, afterKey, patience, std::move(done));
+    m_impl->store().range(prefix, afterKey, timeout, std::move(done));
 }
 
 void HedgedStore::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
--- a/src/jobs/store/observed_store.cpp
+++ b/src/jobs/store/observed_store.cpp
@@ -66,9 +66,9 @@
     m_impl->store.read(key, m_impl->noting(StoreCallKind::Read, std::move(done)));
 }
 
-void ObservedStore::range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done)
+void ObservedStore::range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done)
 {
-    m_impl->store.range(prefix, afterKey, patience, m_impl->noting(StoreCallKind::Read, std::move(done)));
+    m_impl->store.range(prefix, afterKey, timeout, m_impl->noting(StoreCallKind::Read, std::move(done)));
 }
 
 void ObservedStore::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
@@ -79,7 +79,7 @@
 void ObservedStore::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
 {
     // The store carries a condition out as a transaction.
-    const StoreCallKind kind = query.unless > 0 ? StoreCallKind::Write : StoreCallKind::Read;
+    const StoreCallKind kind = query.unlessRevision > 0 ? StoreCallKind::Write : StoreCallKind::Read;
     m_impl->store.fetch(std::move(query), m_impl->noting(kind, std::move(done)));
 }
 
--- a/src/jobs/store/progress_writer.cpp
+++ b/src/jobs/store/progress_writer.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Jobs in one transaction: each takes a condition and a write, the ownership one condition.
-constexpr std::size_t mostJobsOfWrite = (mostTransactionEntries - 1) / 2;
+constexpr std::size_t mostJobsOfWrite = (maxTransactionEntries - 1) / 2;
 /// Between two writes that are not full: each call is paid for, and an end waits this long only for being
 /// told to the worker, not for what follows it. Measured on tellelag-drift-grown quiet-1: full writes
 /// without a pause write each job at each end and take the owner's processor (served 0.84), 40 ms
--- a/src/jobs/store/store_condition_tracker.cpp
+++ b/src/jobs/store/store_condition_tracker.cpp
@@ -83,7 +83,7 @@
         return StoreState::ReadingOnly;
     if (readsFail && !writesFail && writes.answeredAt > *reads.failedSince)
         return StoreState::Writing;
-    return m_lastFailure == StoreOutcome::NotDone ? StoreState::Refused : StoreState::Silent;
+    return m_lastFailure == StoreOutcome::NotDone ? StoreState::Refused : StoreState::Unresponsive;
 }
 
 } // namespace lanemoor::jobs
--- a/src/serve/process/readiness.cpp
+++ b/src/serve/process/readiness.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// Within this time a change of configuration must be in force everywhere.
-constexpr Millis freshFor = std::chrono::seconds(5);
+constexpr Millis maxReadAge = std::chrono::seconds(5);
 
 } // namespace
 
@@ -34,7 +34,7 @@
         return Readiness::NoConfiguration;
     if (!facts.hasSeat)
         return Readiness::NoSeat;
-    const bool storeFresh = now < facts.storeReachedAt + freshFor;
+    const bool storeFresh = now < facts.storeReachedAt + maxReadAge;
     const bool hearsMost = 2 * (facts.peersHeard + 1) > facts.peersKnown + 1;
     return storeFresh || hearsMost ? Readiness::Ready : Readiness::CutOff;
 }
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -87,7 +87,7 @@
     for (const json& key : body.value("remove", json::array()))
         transaction.removals.push_back(key.is_string() ? key.get<std::string>() : std::string());
     const std::size_t entries = transaction.expected.size() + transaction.writes.size() + transaction.removals.size();
-    return entries <= mostTransactionEntries ? std::optional(std::move(transaction)) : std::nullopt;
+    return entries <= maxTransactionEntries ? std::optional(std::move(transaction)) : std::nullopt;
 }
 
 std::uint64_t leaseIn(std::string_view path, std::string_view before)
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -65,11 +65,11 @@
         onBreach(m_breaches.back());
 }
 
-void JobWitness::noteSubmitted(const std::string& id, const JobSpec& spec, std::uint32_t mostAttempts)
+void JobWitness::noteSubmitted(const std::string& id, const JobSpec& spec, std::uint32_t maxAttempts)
 {
     Job& job = m_jobs[id];
     job.spec = spec;
-    job.mostAttempts = mostAttempts;
+    job.maxAttempts = maxAttempts;
 }
 
 void JobWitness::noteEvacuation(const std::string& dataHall, bool on)
@@ -119,7 +119,7 @@
     return found == m_running.end() || found->second.empty() ? std::string() : *found->second.begin();
 }
 
-void JobWitness::onStart(const std::string& worker, const StartOrder& order, bool late)
+void JobWitness::onStart(const std::string& worker, const StartCommand& order, bool late)
 {
     ++m_starts;
     const Attempt& attempt = order.attempt;
@@ -141,7 +141,7 @@
                 breach("ORDER", nameOf(attempt.job, attempt.task) + " starts before its dependencies");
         }
     }
-    if (!step.longRunning && m_storedFailures[task].size() >= job.mostAttempts)
+    if (!step.longRunning && m_storedFailures[task].size() >= job.maxAttempts)
         breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts after its last attempt");
     if (!late && m_clock.now() >= m_inTouchFrom && workersEndedBy(attempt.job, attempt.task) >= endsThatCount && ++m_startsSince[task] >= startsTooMany)
         breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts again and again after it has ended three workers");
@@ -287,7 +287,7 @@
 
 void JobWitness::noteWave(const WaveRequest& wave)
 {
-    m_mostAtOnce[wave.number] = wave.mostAtOnce;
+    m_mostAtOnce[wave.number] = wave.maxConcurrent;
 }
 
 void JobWitness::onMaintenance(const std::string& instance, std::uint64_t wave, Millis time)
@@ -323,7 +323,7 @@
 {
     const Job& job = m_jobs.at(id);
     const auto isOfJob = [&](const auto& entry) { return entry.first.first == id; };
-    return std::any_of(m_failures.begin(), m_failures.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second.size() >= job.mostAttempts; })
+    return std::any_of(m_failures.begin(), m_failures.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second.size() >= job.maxAttempts; })
         || std::any_of(m_workersCrashed.begin(), m_workersCrashed.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second >= endsToGiveUp; });
 }
 
@@ -501,7 +501,7 @@
         return;
     }
     const QueueSettings* settings = m_entries[index].service->configuration()->queue(queue);
-    witness.noteSubmitted(id, spec, settings ? settings->mostAttempts : 1);
+    witness.noteSubmitted(id, spec, settings ? settings->maxAttempts : 1);
     if (!organisation.empty())
         witness.noteOrganisation(id, organisation);
     const Caller caller { .queue = queue, .organisation = organisation, .isOpen = organisation.empty() };
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -53,7 +53,7 @@
     std::function<std::vector<std::string>(const std::string& worker)> labelsOf; ///< Null: labels are not checked.
     std::function<std::string(const std::string& worker)> hallOf; ///< Null: evacuations are not checked.
 
-    void noteSubmitted(const std::string& id, const jobs::JobSpec& spec, std::uint32_t mostAttempts);
+    void noteSubmitted(const std::string& id, const jobs::JobSpec& spec, std::uint32_t maxAttempts);
     /// \brief Names the organisation whose quota a job counts for.
     void noteOrganisation(const std::string& id, const std::string& organisation) { m_organisations[id] = organisation; }
 
@@ -67,7 +67,7 @@
     void noteWave(const jobs::WaveRequest& wave);
     /// \brief Notes that operators ask to evacuate a data hall, or take that back.
     void noteEvacuation(const std::string& dataHall, bool on);
-    void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) override;
+    void onStart(const std::string& worker, const jobs::StartCommand& order, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
     void onDead(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
     void onAct(const std::string& instance, const jobs::FleetHolder& holder) override;
@@ -78,7 +78,7 @@
 
     [[nodiscard]] const std::vector<Breach>& breaches() const noexcept { return m_breaches; }
     [[nodiscard]] const jobs::JobSpec* job(const std::string& id) const;
-    [[nodiscard]] std::uint32_t mostAttempts(const std::string& id) const { return m_jobs.at(id).mostAttempts; }
+    [[nodiscard]] std::uint32_t maxAttempts(const std::string& id) const { return m_jobs.at(id).maxAttempts; }
 
     /// \returns Whether every task of the job has ended as a success.
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
@@ -100,7 +100,7 @@
 
     struct Job {
         jobs::JobSpec spec;
-        std::uint32_t mostAttempts = 0;
+        std::uint32_t maxAttempts = 0;
         bool cancelSent = false;
         std::optional<MonotonicInstant> cancelledAt; ///< When the caller was told so.
     };
--- a/standins/model/store_model.cpp
+++ b/standins/model/store_model.cpp
@@ -241,9 +241,9 @@
 }
 
 template <typename Result>
-void StoreClient::call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis patience, const std::function<bool()>& begun)
+void StoreClient::call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun)
 {
-    const MonotonicInstant deadline = m_store.m_clock.now() + patience;
+    const MonotonicInstant deadline = m_store.m_clock.now() + timeout;
     ++m_store.m_calls;
     const std::function<void(Result)> answer = m_process.deliver<Result>(std::move(done));
     SimClock& clock = m_store.m_clock;
@@ -295,16 +295,16 @@
         std::move(done), callTime);
 }
 
-void StoreClient::range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done)
+void StoreClient::range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done)
 {
-    list(prefix, afterKey, patience, std::move(done), nullptr);
+    list(prefix, afterKey, timeout, std::move(done), nullptr);
 }
 
-void StoreClient::list(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
+void StoreClient::list(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
 {
     if (m_store.trouble.lostPages > 0 && std::uniform_real_distribution<double>(0, 1)(m_store.m_random) < m_store.trouble.lostPages) {
         ++m_store.m_calls;
-        m_store.m_clock.after(patience, [answer = m_process.deliver<ItemsResult>(std::move(done))] { answer({}); });
+        m_store.m_clock.after(timeout, [answer = m_process.deliver<ItemsResult>(std::move(done))] { answer({}); });
         return;
     }
     const std::string& refused = m_store.trouble.refusedRanges;
@@ -328,7 +328,7 @@
             }
             return result;
         },
-        std::move(done), patience, begun);
+        std::move(done), timeout, begun);
 }
 
 void StoreClient::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
@@ -338,17 +338,17 @@
 
 void StoreClient::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
 {
-    if (query.after == 0 && query.unless > 0) {
-        const auto compare = [this, key = query.key, unless = query.unless]() -> ItemsResult {
+    if (query.after == 0 && query.unlessRevision > 0) {
+        const auto compare = [this, key = query.key, unlessRevision = query.unlessRevision]() -> ItemsResult {
             const StoreItem* item = m_store.find(key);
-            const bool isNewer = item && item->revision != unless;
+            const bool isNewer = item && item->revision != unlessRevision;
             return { .outcome = StoreOutcome::Done, .items = isNewer ? std::vector<StoreItem> { *item } : std::vector<StoreItem> {} };
         };
-        call<ItemsResult>(true, compare, std::move(done), query.patience, query.begun);
+        call<ItemsResult>(true, compare, std::move(done), query.timeout, query.begun);
         return;
     }
     if (query.after == 0)
-        list(query.key, {}, query.patience, std::move(done), query.begun);
+        list(query.key, {}, query.timeout, std::move(done), query.begun);
     else
         await(query.key, query.after, query.wait, std::move(done), query.begun);
 }
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -102,7 +102,7 @@
     std::size_t linkBytesPerMs = 0;
 
     void read(const std::string& key, std::function<void(jobs::ReadResult)> done) override;
-    void range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(jobs::ItemsResult)> done) override;
+    void range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(jobs::ItemsResult)> done) override;
     void watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done) override;
     void fetch(jobs::DocumentQuery query, std::function<void(jobs::ItemsResult)> done) override;
     void commit(const jobs::Transaction& transaction, std::function<void(jobs::CommitResult)> done) override;
@@ -112,9 +112,9 @@
 
 private:
     template <typename Result>
-    void call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis patience, const std::function<bool()>& begun = nullptr);
+    void call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun = nullptr);
 
-    void list(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
+    void list(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
     void await(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
 
     /// Brings an answer over the link. One that has not begun to arrive by `deadline` is lost, as the adapters give the call up.
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -130,7 +130,7 @@
     WorkerModel& model = m_workers[worker];
     model.lapsedUpTo = model.lastEnd;
     while (model.alive && !model.running.empty())
-        endRun(model, Attempt(model.running.begin()->first), AttemptEnd::LeaseLapsed, false);
+        endRun(model, Attempt(model.running.begin()->first), AttemptEnd::LeaseExpired, false);
 }
 
 bool WorkersModel::isAtWork(const WorkerModel& worker, const WorkerModel::Run& run) const
@@ -246,22 +246,22 @@
     });
 }
 
-OrderResult WorkersModel::start(const std::string& worker, const StartOrder& order, bool late)
+CommandResult WorkersModel::start(const std::string& worker, const StartCommand& order, bool late)
 {
     WorkerModel& model = m_workers[worker];
-    const OrderResult done { .outcome = OrderOutcome::Done, .workerClock = clockOf(model) };
-    const auto refuse = [&](OrderOutcome outcome) { return OrderResult { .outcome = outcome, .workerClock = done.workerClock }; };
+    const CommandResult done { .outcome = CommandOutcome::Done, .workerClock = clockOf(model) };
+    const auto refuse = [&](CommandOutcome outcome) { return CommandResult { .outcome = outcome, .workerClock = done.workerClock }; };
     if (order.epoch < model.epoch)
-        return refuse(OrderOutcome::Fenced);
+        return refuse(CommandOutcome::Fenced);
     model.epoch = order.epoch;
     if (model.running.contains(order.attempt))
         return done;
     const std::pair<std::string, TaskId> task { order.attempt.job, order.attempt.task };
     extendLease(model, order.leaseUntil);
     if (model.settled[task] >= order.attempt.number)
-        return refuse(OrderOutcome::Superseded);
+        return refuse(CommandOutcome::Superseded);
     if (instantOf(model, order.leaseUntil) <= m_clock.now())
-        return refuse(OrderOutcome::LeaseOver);
+        return refuse(CommandOutcome::LeaseExpired);
     const StepSpec step = stepOf(order.attempt);
     Resources used;
     for (const auto& [attempt, run] : model.running)
@@ -269,7 +269,7 @@
     used += step.needs;
     if (!model.entry.capacity.covers(used)) {
         if (guards)
-            return refuse(OrderOutcome::NoRoom);
+            return refuse(CommandOutcome::NoRoom);
         // An order that was held up is not judged.
         if (witness && !late && !model.largestOfLate.covers(used))
             witness->onOverload(worker, order.attempt);
@@ -297,11 +297,11 @@
     return done;
 }
 
-OrderResult WorkersModel::stop(const std::string& worker, const Attempt& attempt, std::uint64_t epoch, bool late)
+CommandResult WorkersModel::stop(const std::string& worker, const Attempt& attempt, std::uint64_t epoch, bool late)
 {
     WorkerModel& model = m_workers[worker];
     if (epoch < model.epoch)
-        return { .outcome = OrderOutcome::Fenced, .workerClock = clockOf(model) };
+        return { .outcome = CommandOutcome::Fenced, .workerClock = clockOf(model) };
     model.epoch = epoch;
     std::uint64_t& settled = model.settled[{ attempt.job, attempt.task }];
     settled = std::max(settled, attempt.number);
@@ -310,7 +310,7 @@
         if (isLife(worker, life))
             endRun(m_workers[worker], attempt, AttemptEnd::Stopped, !late);
     });
-    return { .outcome = OrderOutcome::Done, .workerClock = clockOf(model) };
+    return { .outcome = CommandOutcome::Done, .workerClock = clockOf(model) };
 }
 
 FleetOutcome WorkersModel::take(const std::string& instance, const FleetHolder& holder, const std::string& pool, FleetState state, Millis time)
@@ -332,9 +332,9 @@
     return FleetOutcome::Done;
 }
 
-void WorkerClient::order(const std::string& worker, const std::function<OrderResult(bool late)>& act, std::function<void(OrderResult)> done)
+void WorkerClient::order(const std::string& worker, const std::function<CommandResult(bool late)>& act, std::function<void(CommandResult)> done)
 {
-    const std::function<void(OrderResult)> answer = m_process.deliver<OrderResult>(std::move(done));
+    const std::function<void(CommandResult)> answer = m_process.deliver<CommandResult>(std::move(done));
     SimClock& clock = m_workers.m_clock;
     WorkerModel* model = m_workers.find(worker);
     std::uniform_real_distribution<double> share(0, 1);
@@ -364,7 +364,7 @@
             later.after(callTime, [answer] { answer({}); });
             return;
         }
-        const OrderResult result = act(false);
+        const CommandResult result = act(false);
         // A worker that its own task has crashed answers nothing.
         if (lost || !m_workers.find(worker)->alive || !answerArrives(m_workers.find(worker)->entry))
             later.after(callTime, [answer] { answer({}); });
@@ -373,34 +373,34 @@
     });
 }
 
-void WorkerClient::start(const WorkerLife& worker, const StartOrder& order, std::function<void(OrderResult)> done)
+void WorkerClient::start(const WorkerIncarnation& worker, const StartCommand& order, std::function<void(CommandResult)> done)
 {
     this->order(
         worker.id, [this, id = worker.id, order](bool late) { return m_workers.start(id, order, late); }, std::move(done));
 }
 
-void WorkerClient::stop(const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(OrderResult)> done)
+void WorkerClient::stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done)
 {
     order(
         worker.id, [this, id = worker.id, attempt, epoch](bool late) { return m_workers.stop(id, attempt, epoch, late); }, std::move(done));
 }
 
-void WorkerClient::throttle(const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t, std::function<void(OrderResult)> done)
+void WorkerClient::throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t, std::function<void(CommandResult)> done)
 {
     order(
         worker.id,
-        [this, id = worker.id, attempt, percent](bool) -> OrderResult {
+        [this, id = worker.id, attempt, percent](bool) -> CommandResult {
             WorkerModel& model = m_workers.m_workers[id];
             const auto run = model.running.find(attempt);
             if (run == model.running.end())
-                return { .outcome = OrderOutcome::Rejected, .workerClock = m_workers.clockOf(model) };
+                return { .outcome = CommandOutcome::Rejected, .workerClock = m_workers.clockOf(model) };
             run->second.percentAllowed = percent;
-            return { .outcome = OrderOutcome::Done, .workerClock = m_workers.clockOf(model) };
+            return { .outcome = CommandOutcome::Done, .workerClock = m_workers.clockOf(model) };
         },
         std::move(done));
 }
 
-void WorkerClient::renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done)
+void WorkerClient::renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done)
 {
     const std::function<void(RenewResult)> answer = m_process.deliver<RenewResult>(std::move(done));
     SimClock& clock = m_workers.m_clock;
@@ -422,7 +422,7 @@
             return;
         }
         const WorkerModel& model = m_workers.m_workers[id];
-        RenewResult result { .outcome = OrderOutcome::Done, .workerClock = m_workers.clockOf(model), .startedAt = model.entry.startedAt, .running = {}, .ended = { model.ended.begin(), model.ended.end() } };
+        RenewResult result { .outcome = CommandOutcome::Done, .workerClock = m_workers.clockOf(model), .startedAt = model.entry.startedAt, .running = {}, .ended = { model.ended.begin(), model.ended.end() } };
         for (const auto& [attempt, run] : model.running) {
             const auto passed = std::chrono::duration<double>(later.now() - run.startedAt + run.doneBefore);
             const auto all = std::chrono::duration<double>(run.longRunning ? MonotonicInstant::duration(startOfService) : run.endsAt - run.startedAt + run.doneBefore);
@@ -439,7 +439,7 @@
             return;
         }
         if (order.epoch < model.epoch) {
-            later.after(halfTrip, [answer] { answer({ .outcome = OrderOutcome::Fenced, .running = {}, .ended = {} }); });
+            later.after(halfTrip, [answer] { answer({ .outcome = CommandOutcome::Fenced, .running = {}, .ended = {} }); });
             return;
         }
         model.epoch = order.epoch;
@@ -463,7 +463,7 @@
     });
 }
 
-void WorkerClient::forget(const WorkerLife&)
+void WorkerClient::forget(const WorkerIncarnation&)
 {
 }
 
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -53,7 +53,7 @@
 public:
     virtual ~WorkerWitness() = default;
     /// \param late The order was carried out long after it was sent.
-    virtual void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) = 0;
+    virtual void onStart(const std::string& worker, const jobs::StartCommand& order, bool late) = 0;
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
     virtual void onDead(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
     virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
@@ -159,8 +159,8 @@
     friend class WorkerClient;
     friend class FleetClient;
 
-    jobs::OrderResult start(const std::string& worker, const jobs::StartOrder& order, bool late);
-    jobs::OrderResult stop(const std::string& worker, const jobs::Attempt& attempt, std::uint64_t epoch, bool late);
+    jobs::CommandResult start(const std::string& worker, const jobs::StartCommand& order, bool late);
+    jobs::CommandResult stop(const std::string& worker, const jobs::Attempt& attempt, std::uint64_t epoch, bool late);
     void beginLife(const std::string& instance);
     /// Ends a life; `begin` gets its instance `returnsAfter` it.
     void endAndReturn(const std::string& worker, Millis returnsAfter, std::function<void(const std::string& instance)> begin);
@@ -198,14 +198,14 @@
 
     std::string dataHall; ///< Of the process; empty: cuts do not concern it.
 
-    void start(const jobs::WorkerLife& worker, const jobs::StartOrder& order, std::function<void(jobs::OrderResult)> done) override;
-    void stop(const jobs::WorkerLife& worker, const jobs::Attempt& attempt, std::uint64_t epoch, std::function<void(jobs::OrderResult)> done) override;
-    void renew(const jobs::WorkerLife& worker, const jobs::RenewOrder& order, std::function<void(jobs::RenewResult)> done) override;
-    void throttle(const jobs::WorkerLife& worker, const jobs::Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(jobs::OrderResult)> done) override;
-    void forget(const jobs::WorkerLife& worker) override;
+    void start(const jobs::WorkerIncarnation& worker, const jobs::StartCommand& order, std::function<void(jobs::CommandResult)> done) override;
+    void stop(const jobs::WorkerIncarnation& worker, const jobs::Attempt& attempt, std::uint64_t epoch, std::function<void(jobs::CommandResult)> done) override;
+    void renew(const jobs::WorkerIncarnation& worker, const jobs::RenewCommand& order, std::function<void(jobs::RenewResult)> done) override;
+    void throttle(const jobs::WorkerIncarnation& worker, const jobs::Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(jobs::CommandResult)> done) override;
+    void forget(const jobs::WorkerIncarnation& worker) override;
 
 private:
-    void order(const std::string& worker, const std::function<jobs::OrderResult(bool late)>& act, std::function<void(jobs::OrderResult)> done);
+    void order(const std::string& worker, const std::function<jobs::CommandResult(bool late)>& act, std::function<void(jobs::CommandResult)> done);
 
     /// \returns Whether a call to the worker arrives, or its answer does.
     [[nodiscard]] bool callArrives(const jobs::WorkerEntry& worker) const { return !m_workers.cuts || m_workers.cuts->carries(dataHall, worker.dataHall); }
