--- a/tests/jobs/admission_test.cpp
+++ b/tests/jobs/admission_test.cpp
@@ -32,24 +32,24 @@
     return job({ step(4) });
 }
 
-int admittedOf(AdmissionGate& gate, int jobs, MonotonicInstant now, const std::string& organisation = "hot")
+int countAdmitted(AdmissionGate& gate, int jobs, MonotonicInstant now, const std::string& organisation = "hot")
 {
     int admitted = 0;
     for (int i = 0; i < jobs; ++i)
-        admitted += gate.judge("q", organisation, usualJob(), 0, now).admitted ? 1 : 0;
+        admitted += gate.decide("q", organisation, usualJob(), 0, now).admitted ? 1 : 0;
     return admitted;
 }
 
 } // namespace
 
-TEST_CASE("A pool that can serve what was accepted limits nobody")
+TEST_CASE("A pool that can serve all accepted work has no admission budgets")
 {
     const ExpectedService service(AdmissionOptions {}, 64'000);
     CHECK(service.budgets({ accepted("a", 10'000), accepted("b", 20'000) }).empty());
     CHECK(service.budgets({}).empty());
 }
 
-TEST_CASE("A burst is limited by its organisation's share, and others are not")
+TEST_CASE("A burst is limited to its organisation's share without limiting others")
 {
     const ExpectedService service(AdmissionOptions {}, 64'000);
     const std::vector<AdmissionBudget> budgets = service.budgets({ accepted("hot", 500'000, 50'000), accepted("other", 10'000, 5'000) });
@@ -62,7 +62,7 @@
     CHECK(budgets[0].sharePermille == Approx(877).margin(2));
 }
 
-TEST_CASE("Up to three times the objective is admitted only of organisations below their share")
+TEST_CASE("Only organisations below their share are admitted up to three times the objective")
 {
     const ExpectedService service(AdmissionOptions {}, 64'000);
     const std::vector<AdmissionBudget> below = service.budgets({ accepted("a", 35'000, 10'000), accepted("b", 500'000, 44'000) });
@@ -75,62 +75,62 @@
     CHECK(atShare[0].workMillis < 0);
 }
 
-TEST_CASE("A gate admits as much as its budget and what that grows by, and what is not named without a limit")
+TEST_CASE("A gate admits its budget and refill, and organisations without a budget without limit")
 {
     AdmissionGate gate("entry-1");
-    CHECK(admittedOf(gate, 100, begin) == 100);
+    CHECK(countAdmitted(gate, 100, begin) == 100);
     gate.apply(grants(20'000, 4'000), begin);
-    CHECK(admittedOf(gate, 100, begin, "other") == 100);
-    const int first = admittedOf(gate, 100, begin);
+    CHECK(countAdmitted(gate, 100, begin, "other") == 100);
+    const int first = countAdmitted(gate, 100, begin);
     CHECK(first >= 10);
     CHECK(first <= 11);
-    const int second = admittedOf(gate, 100, begin + Millis(1'500)); // 6,000 ms of a core more.
+    const int second = countAdmitted(gate, 100, begin + Millis(1'500)); // 6,000 ms of a core more.
     CHECK(second >= 2);
     CHECK(second <= 4);
-    const AdmissionVerdict verdict = gate.judge("q", "hot", usualJob(), 0, begin + Millis(1'500));
-    CHECK_FALSE(verdict.admitted);
-    CHECK(verdict.basis == AdmissionBasis::Budget);
-    CHECK(verdict.retryAfter == Millis(2'000));
-    CHECK(gate.judge("q", "hot", job({ longStep(2) }), 0, begin + Millis(1'500)).admitted);
+    const AdmissionDecision decision = gate.decide("q", "hot", usualJob(), 0, begin + Millis(1'500));
+    CHECK_FALSE(decision.admitted);
+    CHECK(decision.basis == AdmissionBasis::Budget);
+    CHECK(decision.retryAfter == Millis(2'000));
+    CHECK(gate.decide("q", "hot", job({ longStep(2) }), 0, begin + Millis(1'500)).admitted);
 }
 
-TEST_CASE("Small parts of a budget over many entry instances admit no more than the whole")
+TEST_CASE("A budget split over many entry instances admits no more than the whole")
 {
     int admitted = 0;
     constexpr int entries = 400;
     for (int i = 0; i < entries; ++i) {
         AdmissionGate gate("entry-" + std::to_string(i));
         gate.apply(grants(200, 0), begin); // A tenth of a job each.
-        admitted += admittedOf(gate, 20, begin);
+        admitted += countAdmitted(gate, 20, begin);
     }
     CHECK(admitted > entries / 20);
     CHECK(admitted < entries / 5);
 }
 
-TEST_CASE("An expired grant leaves the safe share, and one of an earlier term counts for nothing")
+TEST_CASE("After a grant expires the safe share applies, and a grant of an earlier term is ignored")
 {
     AdmissionGate gate("entry-1");
     gate.apply(grants(0, 0, 2), begin);
     gate.apply(grants(1'000'000, 0, 1), begin);
-    CHECK(admittedOf(gate, 10, begin) <= 1);
+    CHECK(countAdmitted(gate, 10, begin) <= 1);
     const MonotonicInstant expired = begin + Millis(2'000);
-    const AdmissionVerdict verdict = gate.judge("q", "hot", usualJob(), 8, expired);
-    CHECK(verdict.admitted);
-    CHECK(verdict.basis == AdmissionBasis::SafeShare);
-    CHECK(gate.judge("q", "hot", usualJob(), 8, expired).admitted); // Two a second: eight over four instances.
-    CHECK_FALSE(gate.judge("q", "hot", usualJob(), 8, expired).admitted);
-    CHECK(gate.judge("q", "hot", usualJob(), 8, expired + Millis(500)).admitted);
-    CHECK(admittedOf(gate, 10, expired + AdmissionGate::safeShareLasts) == 10);
+    const AdmissionDecision decision = gate.decide("q", "hot", usualJob(), 8, expired);
+    CHECK(decision.admitted);
+    CHECK(decision.basis == AdmissionBasis::SafeShare);
+    CHECK(gate.decide("q", "hot", usualJob(), 8, expired).admitted); // Two a second: eight over four instances.
+    CHECK_FALSE(gate.decide("q", "hot", usualJob(), 8, expired).admitted);
+    CHECK(gate.decide("q", "hot", usualJob(), 8, expired + Millis(500)).admitted);
+    CHECK(countAdmitted(gate, 10, expired + AdmissionGate::safeShareDuration) == 10);
 }
 
-TEST_CASE("A grant is sent again for a change of more than a tenth or another name")
+TEST_CASE("A grant is sent again when a value changes by more than a tenth or the names change")
 {
     const AdmissionGrants before = grants(1'000, 4'000);
-    CHECK_FALSE(differsNotably(before, grants(1'050, 4'000)));
-    CHECK(differsNotably(before, grants(1'200, 4'000)));
-    CHECK(differsNotably(before, grants(1'000, 4'000, 2)));
+    CHECK_FALSE(differsSignificantly(before, grants(1'050, 4'000)));
+    CHECK(differsSignificantly(before, grants(1'200, 4'000)));
+    CHECK(differsSignificantly(before, grants(1'000, 4'000, 2)));
     AdmissionGrants none = before;
     none.budgets.clear();
-    CHECK(differsNotably(before, none));
-    CHECK(partOf(before, 4).budgets[0].workMillis == 250);
+    CHECK(differsSignificantly(before, none));
+    CHECK(grantsPerEntry(before, 4).budgets[0].workMillis == 250);
 }
--- a/tests/jobs/codec_test.cpp
+++ b/tests/jobs/codec_test.cpp
@@ -27,7 +27,7 @@
     step.sameRack = *rc::gen::arbitrary<bool>();
     step.requiredLabel = *rc::gen::arbitrary<std::string>();
     step.preferredRack = *rc::gen::arbitrary<std::string>();
-    step.mostPerInstance = *rc::gen::inRange(0U, 9U);
+    step.maxPerInstance = *rc::gen::inRange(0U, 9U);
     step.speculative = *rc::gen::arbitrary<bool>();
     step.longRunning = *rc::gen::arbitrary<bool>();
     step.image = "image";
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("Jobs come back from the store as they were")
+TEST_CASE("Job records are unchanged by encoding and decoding")
 {
     REQUIRE(rc::check([] {
         JobRecord record { .queue = "q", .pool = "p", .acceptedAt = Instant(Millis(*rc::gen::inRange(0, 1'000'000))), .spec = {} };
@@ -54,7 +54,7 @@
     }));
 }
 
-TEST_CASE("Records that can't be read give nothing, whatever bytes they hold")
+TEST_CASE("Decoders return nothing for unreadable bytes")
 {
     CHECK_FALSE(decodeJob("").has_value());
     REQUIRE(rc::check([](const std::string& bytes) {
@@ -65,7 +65,7 @@
     CHECK(decodeOwner(encode(OwnerRecord { "me", 4 })) == OwnerRecord { "me", 4 });
 }
 
-TEST_CASE("Job service settings are checked whole, with the place of each fault")
+TEST_CASE("All faults in job service settings are reported with their positions")
 {
     const std::string good = R"({"name":"e","dataHall":"h","jobService":{"front":"10.0.0.1:1","readiness":"10.0.0.1:2","store":"10.0.0.2:3","fleet":"10.0.0.3:4","advisor":"","fleetActsPerSecond":64.5,"survivedDataHalls":1,
         "times":{"leastLeaseMs":2500,"configurationApplyMs":3000,"evacuationMs":5000,"restoreMs":700,"configurationTrustMs":5000,"handoverMs":3000,"maintenanceSeconds":2,"moveSeconds":1.5}}})";
@@ -127,7 +127,7 @@
     CHECK_FALSE(reader.read(with(R"("times":{"evacuationMs":-1})")).has_value());
 }
 
-TEST_CASE("How workers are judged is read with the settings, and contradictions are faults")
+TEST_CASE("Worker health settings are read, and contradictions are faults")
 {
     const auto with = [](const std::string& health) {
         return R"({"name":"e","dataHall":"h","jobService":{"front":"10.0.0.1:1","readiness":"10.0.0.1:2","store":"10.0.0.2:3","fleet":"10.0.0.3:4","policies":{"workerHealth":)" + health + "}}}";
@@ -174,17 +174,17 @@
     }
 }
 
-TEST_CASE("The owner's record names where its calls may be relayed from")
+TEST_CASE("The owner record contains the address for relays")
 {
     const OwnerRecord owner { "entry-1", 7, "10.0.0.1:7060" };
     CHECK(decodeOwner(encode(owner)) == owner);
 }
 
-TEST_CASE("Acts on instances keep their ages; a record without ages is as young as can be")
+TEST_CASE("Ages of actions on instances are stored; without stored ages they are 0")
 {
-    const std::map<std::string, Millis> acts { { "m-1", Millis(0) }, { "m-2", Millis(3'700) } };
-    CHECK(decodeActs(encodeActs(acts)) == acts);
-    const std::map<std::string, Millis> young { { "m-1", Millis(0) } };
-    CHECK(decodeActs(encode(std::set<std::string> { "m-1" })) == young);
-    CHECK_FALSE(decodeActs("\xff\xff").has_value());
+    const std::map<std::string, Millis> ages { { "m-1", Millis(0) }, { "m-2", Millis(3'700) } };
+    CHECK(decodeActionAges(encodeActionAges(ages)) == ages);
+    const std::map<std::string, Millis> zeroAges { { "m-1", Millis(0) } };
+    CHECK(decodeActionAges(encode(std::set<std::string> { "m-1" })) == zeroAges);
+    CHECK_FALSE(decodeActionAges("\xff\xff").has_value());
 }
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned unavailable = 503;
 constexpr Millis applyTime { 2'000 }; ///< Default of the setting configurationApplyMs.
 constexpr Millis step10 { 10 };
-constexpr std::size_t narrowEntry = 1;
+constexpr std::size_t slowLinkEntry = 1;
 
 /// \returns A configuration with the queue `work` and a queue whose path contains the version.
 ServiceConfiguration withRoute(std::uint64_t version)
@@ -64,7 +64,7 @@
 } // namespace
 
 // Guards against requests answered by a configuration that was replaced longer ago than configurationApplyMs allows.
-TEST_CASE("An instance that does not reach the store answers no request by a configuration that may have been replaced too long ago")
+TEST_CASE("An instance that can't reach the store rejects requests once its configuration may have been replaced too long ago")
 {
     ConfiguredCluster cluster;
     cluster.putRoute(2);
@@ -87,7 +87,7 @@
 }
 
 // Guards against requests that wait in the backlog of a paused process and are then answered by its outdated configuration.
-TEST_CASE("An instance that was paused answers no request by a configuration that was replaced meanwhile")
+TEST_CASE("A paused instance answers no request by a configuration that was replaced during the pause")
 {
     ConfiguredCluster cluster;
     cluster.putRoute(2);
@@ -106,7 +106,7 @@
 }
 
 // Guards against jobs that one configuration admits, that wait to be written, and that are stored after its replacement.
-TEST_CASE("A job that is no longer let in when it is sent to the store is not sent")
+TEST_CASE("A job that is no longer admitted when its batch is sent is not stored")
 {
     std::mt19937_64 random(1);
     model::SimClock clock;
@@ -126,22 +126,22 @@
     accept(2, nullptr);
     isAdmitted = false;
     clock.runFor(Millis(100));
-    CHECK(outcomes == std::map<std::uint64_t, AcceptOutcome> { { 1, AcceptOutcome::NotTaken }, { 2, AcceptOutcome::Accepted } });
+    CHECK(outcomes == std::map<std::uint64_t, AcceptOutcome> { { 1, AcceptOutcome::NotAccepted }, { 2, AcceptOutcome::Accepted } });
     CHECK(store.find(jobKey(jobId(1))) == nullptr);
     CHECK(intake.inFlight() == 0);
 }
 
 // Guards against configurations that apply late: a document does not cross the machine's link within the time of a call, or redundant
 // reads take bandwidth from the read of the new version.
-TEST_CASE("Large configurations that follow each other are in force in time over a narrow link")
+TEST_CASE("Successive large configurations are applied in time over a slow link")
 {
     constexpr std::size_t bytesPerMs = 1'250; // 10 Mbit/s.
     constexpr std::size_t documentBytes = 1'000'000;
     constexpr Millis betweenChanges { 1'500 };
     ConfiguredCluster cluster;
-    cluster.setStoreLink(narrowEntry, bytesPerMs);
+    cluster.setStoreLink(slowLinkEntry, bytesPerMs);
     std::uint64_t version = 2;
-    std::size_t turnedAway = 0;
+    std::size_t rejected = 0;
     std::size_t asked = 0;
     for (; version <= 12; ++version) {
         cluster.putRoute(version, documentBytes);
@@ -150,33 +150,33 @@
             cluster.clock.runFor(step10);
             for (std::uint64_t old = 2; old <= version; ++old) {
                 const bool mayServe = cluster.mayServe(old);
-                const unsigned status = cluster.askRoute(narrowEntry, old).status;
+                const unsigned status = cluster.askRoute(slowLinkEntry, old).status;
                 INFO("version " << old << " of " << version);
                 CHECK((mayServe || status != ok));
-                turnedAway += status == unavailable ? 1 : 0;
+                rejected += status == unavailable ? 1 : 0;
                 ++asked;
             }
         }
     }
-    CHECK(turnedAway < asked / 10);
+    CHECK(rejected < asked / 10);
     cluster.clock.runFor(applyTime);
-    CHECK(cluster.askRoute(narrowEntry, version - 1).status == ok);
+    CHECK(cluster.askRoute(slowLinkEntry, version - 1).status == ok);
 }
 
 // Guards against re-reads of an unchanged configuration that saturate the link, so that submissions wait behind them.
-TEST_CASE("A large configuration that stays as it is leaves the link to other calls")
+TEST_CASE("An unchanged large configuration leaves the link free for other calls")
 {
     constexpr std::size_t bytesPerMs = 1'250;
     constexpr std::size_t documentBytes = 3'000'000; // Takes longer than a call may.
     constexpr Millis answerTime { 100 };
     ConfiguredCluster cluster;
-    cluster.setStoreLink(narrowEntry, bytesPerMs);
+    cluster.setStoreLink(slowLinkEntry, bytesPerMs);
     cluster.putRoute(2, documentBytes);
     cluster.clock.runFor(Millis(10'000));
     for (std::uint64_t number = 1; number <= 50; ++number) {
         cluster.clock.runFor(Millis(100));
-        REQUIRE(cluster.askRoute(narrowEntry, 2).status == ok);
-        cluster.submit(narrowEntry, "work", jobId(number), job({ step(1) }));
+        REQUIRE(cluster.askRoute(slowLinkEntry, 2).status == ok);
+        cluster.submit(slowLinkEntry, "work", jobId(number), job({ step(1) }));
         CHECK(cluster.waitFor(answerTime, [&] { return cluster.accepted().contains(jobId(number)); }));
     }
 }
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -123,7 +123,7 @@
         CAPTURE(delay.count());
         StepSpec gang = step(3);
         gang.gang = true;
-        gang.mostPerInstance = 1;
+        gang.maxPerInstance = 1;
         PoisonCluster cluster(gang);
         cluster.crashesAfter = [delay] { return delay; };
         cluster.clock.runFor(Millis(90'000));
@@ -175,7 +175,7 @@
         CAPTURE(inherited);
         PoisonCluster cluster;
         StepSpec many = step(2'000);
-        many.mostPerInstance = 3;
+        many.maxPerInstance = 3;
         cluster.submit(cluster.owner().value(), "work", jobId(2), job({ many }));
         MonotonicInstant survivedAt {};
         cluster.onStarted = [&cluster, &survivedAt] {
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -446,7 +446,7 @@
     const auto onEntry = cluster.workers.onEntry;
     cluster.workers.onEntry = [&cluster, onEntry](const model::WorkerModel& worker) {
         cluster.workers.unlisted.insert(worker.entry.id);
-        cluster.clock.after(fleetListLag, [&cluster, id = worker.entry.id] { cluster.workers.unlisted.erase(id); });
+        cluster.clock.after(maxFleetListLag, [&cluster, id = worker.entry.id] { cluster.workers.unlisted.erase(id); });
         onEntry(worker);
     };
     cluster.clock.runFor(Millis(120'000));
--- a/tests/jobs/front_test.cpp
+++ b/tests/jobs/front_test.cpp
@@ -114,7 +114,7 @@
         cluster.clock.runFor(Millis(100));
     }
     CHECK(outcomes[AcceptOutcome::Unknown] <= 4);
-    CHECK(outcomes[AcceptOutcome::NotTaken] >= 16);
+    CHECK(outcomes[AcceptOutcome::NotAccepted] >= 16);
     CHECK_FALSE(cluster.entry(entry).isReady());
     CHECK(cluster.witness.starts() == 0);
     cluster.resetStoreCalls(entry, false);
@@ -137,7 +137,7 @@
     send(1);
     send(2);
     cluster.clock.runFor(Millis(50));
-    const std::vector<AcceptOutcome> expected { AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::NotTaken };
+    const std::vector<AcceptOutcome> expected { AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::NotAccepted };
     CHECK(outcomes == expected);
     // Refused by the store itself, the first one is still in doubt.
     cluster.resetStoreCalls(entry, false);
@@ -147,7 +147,7 @@
     send(1);
     send(3);
     cluster.clock.runFor(Millis(50));
-    CHECK(outcomes == std::vector<AcceptOutcome> { AcceptOutcome::Unknown, AcceptOutcome::NotTaken });
+    CHECK(outcomes == std::vector<AcceptOutcome> { AcceptOutcome::Unknown, AcceptOutcome::NotAccepted });
 }
 
 TEST_CASE("A planned stop passes the ownership on at once, and serves callers until they go elsewhere")
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -45,7 +45,7 @@
         workers.runTimes = [](const Attempt& attempt) { return attempt.job == firstJob ? blockedTime : Millis(60'000); };
         clock.runFor(observedLong);
         StepSpec wide = ofCores(instances, 6'000);
-        wide.mostPerInstance = 1;
+        wide.maxPerInstance = 1;
         submit(owner().value(), "work", firstJob, job({ wide }));
         REQUIRE(waitFor(Millis(1'000), [this] { return witness.starts() == instances; }));
         const MonotonicInstant freeFrom = clock.now() + blockedTime - Millis(200);
--- a/tests/jobs/job_state_test.cpp
+++ b/tests/jobs/job_state_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
-constexpr std::uint32_t mostAttempts = 2;
+constexpr std::uint32_t maxAttempts = 2;
 
 JobState open(const JobSpec& spec, const ProgressRecord& progress = {}, std::uint64_t base = 0)
 {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("A step starts when all that it depends on have succeeded")
+TEST_CASE("A step starts when all its dependencies have succeeded")
 {
     JobState state = open(job({ step(2), step(1, { 0 }) }));
     CHECK(state.startable({ 0, 0 }, start).size() == 2);
@@ -36,28 +36,28 @@
     state.begin({ 0, 0, 0 }, 1, "w", start);
     state.begin({ 0, 0, 1 }, 1, "w", start);
     CHECK(state.status() == JobStatus::Running);
-    CHECK(state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start).toBeStored);
+    CHECK(state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start).toBeStored);
     CHECK(state.startable({ 0, 1 }, start).empty());
-    state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start);
+    state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
     CHECK(state.startable({ 0, 1 }, start) == std::vector<TaskId> { { 0, 1, 0 } });
     state.begin({ 0, 1, 0 }, 1, "w", start);
-    const EndEffect last = state.end(ended({ 0, 1, 0 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start);
+    const EndEffect last = state.end(ended({ 0, 1, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
     CHECK(last.finished);
     CHECK(state.status() == JobStatus::Succeeded);
 }
 
-TEST_CASE("Failures count once each, and the job fails with the last attempt")
+TEST_CASE("Each failure counts once, and the job fails at the maximum number of failures")
 {
     JobState state = open(job({ step(1) }));
     state.begin({}, 1, "w", start);
-    CHECK(state.end(ended({}, 1, AttemptEnd::Failed), "w", mostAttempts, start).toBeStored);
-    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "w", mostAttempts, start).finished);
+    CHECK(state.end(ended({}, 1, AttemptEnd::Failed), "w", maxAttempts, start).toBeStored);
+    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "w", maxAttempts, start).finished);
     CHECK(state.find({})->avoidWorker == "w");
     CHECK(state.startable({ 0, 0 }, start).empty());
     CHECK(state.startable({ 0, 0 }, start + Millis(50)).size() == 1);
     CHECK(state.nextAttempt({}) == 2);
     state.begin({}, 2, "v", start);
-    CHECK(state.end(ended({}, 2, AttemptEnd::Failed), "v", mostAttempts, start).finished);
+    CHECK(state.end(ended({}, 2, AttemptEnd::Failed), "v", maxAttempts, start).finished);
     CHECK(state.status() == JobStatus::Failed);
 }
 
@@ -78,11 +78,11 @@
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
     state.begin({}, 2, "v", start);
-    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "w", mostAttempts, start).counted);
+    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "w", maxAttempts, start).counted);
     CHECK(state.find({})->live->number == 2);
 }
 
-TEST_CASE("A success that is heard of after the task was started elsewhere stands")
+TEST_CASE("A success that is reported after the task was started elsewhere counts")
 {
     // Random run 1094: the success of the older attempt was acknowledged to its worker as stored; then the newer attempt failed, and a
     // third one began.
@@ -90,11 +90,11 @@
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
     state.begin({}, 2, "v", start);
-    CHECK(state.end(ended({}, 1, AttemptEnd::Succeeded), "w", mostAttempts, start).finished);
+    CHECK(state.end(ended({}, 1, AttemptEnd::Succeeded), "w", maxAttempts, start).finished);
     CHECK(state.liveAttempts().empty());
 }
 
-TEST_CASE("An attempt of an earlier owner is adopted, but not a second one or one that is over")
+TEST_CASE("An attempt of an earlier owner is adopted, but not a second one or one of a finished task")
 {
     ProgressRecord progress;
     progress.tasks[{ 0, 0, 1 }].failedAttempts = { 7 };
@@ -107,21 +107,21 @@
     CHECK(state.nextAttempt({ 0, 0, 1 }) == 4'097);
 }
 
-TEST_CASE("A gang shares attempts, succeeds by one end and fails as a whole")
+TEST_CASE("A gang shares attempt numbers, succeeds when one member succeeds and fails as a whole")
 {
     StepSpec gang = step(3);
     gang.gang = true;
     JobState state = open(job({ gang }));
     for (std::uint32_t i = 0; i < 3; ++i)
         state.begin({ 0, 0, i }, 1, "w", start);
-    CHECK(state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Failed), "w", mostAttempts, start).toBeStored);
-    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::GangBroken), "w", mostAttempts, start);
-    state.end(ended({ 0, 0, 2 }, 1, AttemptEnd::GangBroken), "w", mostAttempts, start);
+    CHECK(state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Failed), "w", maxAttempts, start).toBeStored);
+    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::GangBroken), "w", maxAttempts, start);
+    state.end(ended({ 0, 0, 2 }, 1, AttemptEnd::GangBroken), "w", maxAttempts, start);
     CHECK(state.progress().tasks.at({ 0, 0, 0 }).failedAttempts == std::vector<std::uint64_t> { 1 });
     CHECK(state.nextAttempt({ 0, 0, 2 }) == 2);
     for (std::uint32_t i = 0; i < 3; ++i)
         state.begin({ 0, 0, i }, 2, "w", start + Millis(50));
-    CHECK(state.end(ended({ 0, 0, 2 }, 2, AttemptEnd::Succeeded), "w", mostAttempts, start).finished);
+    CHECK(state.end(ended({ 0, 0, 2 }, 2, AttemptEnd::Succeeded), "w", maxAttempts, start).finished);
     CHECK(state.liveAttempts().empty());
 }
 
@@ -152,19 +152,19 @@
     CHECK_FALSE(state.nextDue().has_value());
     for (const std::uint32_t occurrence : { 1U, 0U }) {
         state.begin({ occurrence, 0, 0 }, 1, "w", start);
-        state.end(ended({ occurrence, 0, 0 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start);
+        state.end(ended({ occurrence, 0, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
     }
     CHECK(state.status() == JobStatus::Succeeded);
     CHECK(state.progress().occurrencesDone == 2);
 }
 
-TEST_CASE("Progress survives a change of owner whole")
+TEST_CASE("Progress survives a change of owner completely")
 {
     JobState state = open(job({ step(3), step(2, { 0 }) }));
     state.begin({ 0, 0, 0 }, 1, "w", start);
     state.begin({ 0, 0, 1 }, 1, "w", start);
-    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start);
-    state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Stopped, "half"), "w", mostAttempts, start);
+    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
+    state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Stopped, "half"), "w", maxAttempts, start);
     const JobState next = open(state.record().spec, decodeProgress(encode(state.progress())).value(), 4'096);
     CHECK(next.find({ 0, 0, 0 })->succeeded);
     CHECK(next.find({ 0, 0, 1 })->checkpoint == "half");
@@ -177,11 +177,11 @@
     state.begin({ 0, 0, 0 }, 1, "w", start);
     state.cancel();
     CHECK(state.startable({ 0, 0 }, start).empty());
-    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", mostAttempts, start);
+    state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
     CHECK(state.status() == JobStatus::Cancelled);
 }
 
-TEST_CASE("Wrong jobs are told apart")
+TEST_CASE("Faulty job specifications are reported with the kind of fault")
 {
     CHECK(faultOf(job({})) == JobFault::NoSteps);
     CHECK(faultOf(job({ step(0) })) == JobFault::EmptyStep);
@@ -201,18 +201,18 @@
     CHECK_FALSE(isJobId("123"));
 }
 
-TEST_CASE("A failure that is heard of beside a newer attempt counts")
+TEST_CASE("A failure that is reported while a newer attempt runs counts")
 {
     // Random run 62262: the previous owner had not stored the second failure. Its successor had already adopted the third attempt,
     // ignored the failure and started a fourth attempt.
     JobState state = open(job({ step(1) }), {}, 4'096);
     REQUIRE(state.adopt({ jobId(1), {}, 2 }, "w", start));
-    const EndEffect late = state.end(ended({}, 1, AttemptEnd::Failed), "v", mostAttempts, start);
+    const EndEffect late = state.end(ended({}, 1, AttemptEnd::Failed), "v", maxAttempts, start);
     CHECK(late.toBeStored);
     CHECK_FALSE(late.finished);
     REQUIRE(state.find({})->live);
     CHECK(state.find({})->live->number == 2);
-    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "v", mostAttempts, start).toBeStored);
-    CHECK(state.end(ended({}, 2, AttemptEnd::Failed), "w", mostAttempts, start).finished);
+    CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "v", maxAttempts, start).toBeStored);
+    CHECK(state.end(ended({}, 2, AttemptEnd::Failed), "w", maxAttempts, start).finished);
     CHECK(state.status() == JobStatus::Failed);
 }
--- a/tests/jobs/lost_worker_test.cpp
+++ b/tests/jobs/lost_worker_test.cpp
@@ -30,7 +30,7 @@
     {
         workers.endsWorker = [](const Attempt& attempt) { return attempt.job == ending && attempt.task == TaskId { 0, 1, 0 }; };
         StepSpec lasting = longStep(5);
-        lasting.mostPerInstance = 0;
+        lasting.maxPerInstance = 0;
         submit(0, "work", standing, job({ lasting }));
         clock.runFor(Millis(3'000));
         submit(0, "work", ending, job({ step(2), step(3, { 0 }) }));
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr const char* oneTask = R"({"spec":"x","steps":[{"count":1,"cpu":100}]})";
+constexpr const char* oneTaskJob = R"({"spec":"x","steps":[{"count":1,"cpu":100}]})";
 
 /// \returns A configuration with two organisations, the queue `work` that requires a key and the public queue `open`.
 ServiceConfiguration withOrganisations(std::uint64_t version = 2, const std::string& northKey = "north-key", Resources northQuota = {})
@@ -40,10 +40,10 @@
     explicit KeyedCluster(const ServiceConfiguration& configuration = withOrganisations(), std::size_t instances = 4, std::size_t reserve = 2)
         : SmallCluster(1, 3, instances, reserve)
     {
-        use(configuration);
+        applyConfiguration(configuration);
     }
 
-    void use(const ServiceConfiguration& configuration)
+    void applyConfiguration(const ServiceConfiguration& configuration)
     {
         configure(configuration);
         clock.runFor(Millis(1'500));
@@ -64,7 +64,7 @@
     }
 
     /// \returns Thousandths of a core that running tasks use on all workers.
-    std::int64_t inUse()
+    std::int64_t usedMilliCpu()
     {
         std::int64_t used = 0;
         for (const auto& [id, worker] : workers.workers()) {
@@ -77,14 +77,14 @@
 
 } // namespace
 
-TEST_CASE("A key is found whatever their number, is told from others by its digest, and stands nowhere")
+TEST_CASE("Keys are found by digest among thousands and are not retained in plain text")
 {
     std::vector<OrganisationSettings> many;
     for (int i = 0; i < 2'000; ++i)
         many.push_back({ .name = "o" + std::to_string(i), .keys = { ApiKeyDigest::of("key-" + std::to_string(i)) } });
     const OrganisationTable table(many);
-    CHECK(table.holderOf(ApiKeyDigest::of("key-1234"))->name == "o1234");
-    CHECK(table.holderOf(ApiKeyDigest::of("key-x")) == nullptr);
+    CHECK(table.findByKey(ApiKeyDigest::of("key-1234"))->name == "o1234");
+    CHECK(table.findByKey(ApiKeyDigest::of("key-x")) == nullptr);
     CHECK(table.find("o7")->keys.front() == ApiKeyDigest::of("key-7"));
     CHECK(table.faults().empty());
     const ApiKeyDigest digest = ApiKeyDigest::of("key-1");
@@ -93,13 +93,13 @@
     CHECK(std::string(reinterpret_cast<const char*>(&digest), sizeof(digest)).find("key-1") == std::string::npos);
 }
 
-TEST_CASE("All faults of a list of organisations are told at once")
+TEST_CASE("All faults of a list of organisations are reported at once")
 {
     const OrganisationTable table({ { .name = "a", .keys = { ApiKeyDigest::of("k") } }, { .name = "a" }, { .name = "b", .keys = { ApiKeyDigest::of("k") } }, { .name = "", .weight = -1, .quota = { .milliCpu = -5 } } });
-    const std::vector<OrganisationFault> expected { { OrganisationFaultCode::NameTwice, "a" }, { OrganisationFaultCode::KeyTwice, "b" }, { OrganisationFaultCode::NoName, "" }, { OrganisationFaultCode::NegativeQuota, "" },
+    const std::vector<OrganisationFault> expected { { OrganisationFaultCode::DuplicateName, "a" }, { OrganisationFaultCode::DuplicateKey, "b" }, { OrganisationFaultCode::NoName, "" }, { OrganisationFaultCode::NegativeQuota, "" },
         { OrganisationFaultCode::NegativeWeight, "" } };
     CHECK(table.faults() == expected);
-    CHECK(table.holderOf(ApiKeyDigest::of("k"))->name == "a");
+    CHECK(table.findByKey(ApiKeyDigest::of("k"))->name == "a");
 }
 
 TEST_CASE("Organisations and public queues are read from the platform's configuration")
@@ -109,7 +109,7 @@
     REQUIRE(configuration);
     CHECK(configuration->queues[0].isPublic);
     CHECK_FALSE(configuration->queues[1].isPublic);
-    const OrganisationSettings* organisation = configuration->organisations.holderOf(ApiKeyDigest::of("two"));
+    const OrganisationSettings* organisation = configuration->organisations.findByKey(ApiKeyDigest::of("two"));
     REQUIRE(organisation);
     CHECK(organisation->name == "n");
     CHECK(organisation->weight == 154);
@@ -118,34 +118,34 @@
     CHECK(platform::readConfiguration(R"({"version":3})")->organisations.empty());
 }
 
-TEST_CASE("A queue that is not public is served for keys that the configuration holds, and for no others")
+TEST_CASE("A queue that is not public serves only callers with a configured key")
 {
     KeyedCluster cluster;
-    CHECK(cluster.ask("POST", "/q/" + jobId(1), std::nullopt, oneTask).status == 401);
-    CHECK(cluster.ask("POST", "/q/" + jobId(1), "north-kex", oneTask).status == 401);
-    CHECK(cluster.ask("POST", "/q/" + jobId(1), "", oneTask).status == 401);
+    CHECK(cluster.ask("POST", "/q/" + jobId(1), std::nullopt, oneTaskJob).status == 401);
+    CHECK(cluster.ask("POST", "/q/" + jobId(1), "north-kex", oneTaskJob).status == 401);
+    CHECK(cluster.ask("POST", "/q/" + jobId(1), "", oneTaskJob).status == 401);
     CHECK(cluster.ask("GET", "/q/", std::nullopt).status == 401);
     CHECK(cluster.ask("GET", "/q/" + jobId(1), "x").status == 401);
     CHECK(cluster.ask("DELETE", "/q/" + jobId(1), "x").status == 401);
     CHECK(cluster.ask("GET", "/none/", "x").status == 404);
     cluster.clock.runFor(Millis(3'000));
     CHECK(cluster.witness.starts() == 0);
-    CHECK(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
+    CHECK(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTaskJob).status == 200);
     CHECK(cluster.ask("GET", "/q/", "south-other").status == 200);
-    CHECK(cluster.ask("POST", "/open/" + jobId(2), std::nullopt, oneTask).status == 200);
+    CHECK(cluster.ask("POST", "/open/" + jobId(2), std::nullopt, oneTaskJob).status == 200);
     CHECK(cluster.ask("GET", "/open/" + jobId(2), "anything").status == 200);
     CHECK(cluster.entry(0).metrics().find("lanemoor_callers_refused_total{reason=\"unknown-key\"}") != std::string::npos);
 }
 
-TEST_CASE("A job is its organisation's: others are told nothing of it, and can't cancel it")
+TEST_CASE("Callers of other organisations can neither see nor cancel a job")
 {
     KeyedCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(60'000); };
-    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
+    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTaskJob).status == 200);
     for (std::size_t entry = 0; entry < cluster.entries(); ++entry) {
         CHECK(cluster.ask("GET", "/q/" + jobId(1), "south-key", {}, entry).status == 403);
         CHECK(cluster.ask("DELETE", "/q/" + jobId(1), "south-key", {}, entry).status == 403);
-        CHECK(cluster.ask("POST", "/q/" + jobId(1), "south-key", oneTask, entry).status == 403);
+        CHECK(cluster.ask("POST", "/q/" + jobId(1), "south-key", oneTaskJob, entry).status == 403);
         CHECK(cluster.ask("GET", "/open/" + jobId(1), std::nullopt, {}, entry).status == 403);
         CHECK(cluster.ask("GET", "/q/" + jobId(1), "north-key", {}, entry).status == 200);
     }
@@ -153,7 +153,7 @@
     CHECK(cluster.ask("DELETE", "/q/" + jobId(1), "north-key").status == 200);
 }
 
-TEST_CASE("Two organisations that hand in one id at once get one job between them")
+TEST_CASE("Two organisations that submit the same id at once create one job")
 {
     KeyedCluster cluster;
     std::vector<AcceptOutcome> outcomes;
@@ -167,34 +167,34 @@
     CHECK(outcomes == std::vector<AcceptOutcome> { AcceptOutcome::Accepted, AcceptOutcome::Foreign });
 }
 
-TEST_CASE("A job that was accepted runs on when its key, and then its organisation, is taken away")
+TEST_CASE("An accepted job keeps running when its key and then its organisation are removed")
 {
     KeyedCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(4'000); };
-    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
-    cluster.use(withOrganisations(3, {}));
+    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTaskJob).status == 200);
+    cluster.applyConfiguration(withOrganisations(3, {}));
     CHECK(cluster.ask("GET", "/q/" + jobId(1), "north-key").status == 401);
     ServiceConfiguration without = withOrganisations(4);
     without.organisations = OrganisationTable({ { .name = "south", .keys = { ApiKeyDigest::of("south-key") } } });
-    cluster.use(without);
+    cluster.applyConfiguration(without);
     REQUIRE(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded); }));
     CHECK(cluster.witness.starts() == 1);
     CHECK(cluster.ask("GET", "/q/" + jobId(1), "south-key").status == 403);
 }
 
-TEST_CASE("A key that is added works, and one that is taken away stops, while watches hear nothing")
+TEST_CASE("Added keys work and removed keys stop working while watches deliver nothing")
 {
     KeyedCluster cluster;
     for (std::size_t entry = 0; entry < cluster.entries(); ++entry)
         cluster.cutWatches(entry, true);
-    cluster.use(withOrganisations(3, "north-new"));
+    cluster.applyConfiguration(withOrganisations(3, "north-new"));
     for (std::size_t entry = 0; entry < cluster.entries(); ++entry) {
         CHECK(cluster.ask("GET", "/q/", "north-new", {}, entry).status == 200);
         CHECK(cluster.ask("GET", "/q/", "north-key", {}, entry).status == 401);
     }
 }
 
-TEST_CASE("An instance that can't know whether its configuration is the newest says so, in place of calling a key known or unknown")
+TEST_CASE("An instance that can't confirm its configuration answers 503 instead of accepting or rejecting a key")
 {
     KeyedCluster cluster;
     cluster.cutFromStore(1, true);
@@ -209,7 +209,7 @@
     CHECK(cluster.waitFor(Millis(5'000), [&] { return cluster.ask("GET", "/q/", "perhaps-new", {}, 1).status == 401; }));
 }
 
-TEST_CASE("What an organisation has running stays within its quota, also over a change of owner")
+TEST_CASE("An organisation's running tasks stay within its quota, also across a change of owner")
 {
     // Four instances of eight cores; the quota allows five tasks of one core.
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 5'000 }));
@@ -219,7 +219,7 @@
         cluster.submit(0, "work", jobId(number), job({ step(4) }), "north");
     cluster.submit(0, "work", jobId(9), job({ step(4) }), "south");
     cluster.clock.runFor(Millis(1'500));
-    CHECK(cluster.inUse() == 9'000);
+    CHECK(cluster.usedMilliCpu() == 9'000);
     cluster.kill(cluster.owner().value());
     for (std::uint64_t number = 11; number <= 14; ++number)
         cluster.submit(cluster.isUp(0) ? 0 : 1, "work", jobId(number), job({ step(2) }), "north");
@@ -230,14 +230,14 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("What may run at a worker that a new owner has not met counts towards the quota")
+TEST_CASE("Attempts at workers that a new owner has not contacted count towards the quota")
 {
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 5'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.witness.noteQuota("north", { .milliCpu = 5'000 });
     cluster.submit(0, "work", jobId(1), job({ step(4) }), "north");
     cluster.clock.runFor(Millis(1'500));
-    REQUIRE(cluster.inUse() == 4'000);
+    REQUIRE(cluster.usedMilliCpu() == 4'000);
     for (auto& [id, worker] : cluster.workers.workers())
         worker.trouble.cutOff = worker.trouble.cutOff || !worker.running.empty();
     cluster.kill(cluster.owner().value());
@@ -268,27 +268,27 @@
     cluster.clock.runFor(Millis(500));
     cluster.submit(0, "work", jobId(2), job({ gang }), "north");
     cluster.clock.runFor(Millis(1'000));
-    CHECK(cluster.inUse() == 2'000);
+    CHECK(cluster.usedMilliCpu() == 2'000);
     REQUIRE(cluster.waitFor(Millis(20'000), [&] { return cluster.shows(jobId(2), JobStatus::Succeeded); }));
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("A quota that is lowered ends nothing and stops what would start")
+TEST_CASE("Lowering a quota ends no running task and delays new ones")
 {
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 6'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(5'000); };
     cluster.submit(0, "work", jobId(1), job({ step(6) }), "north");
     cluster.clock.runFor(Millis(500));
-    CHECK(cluster.inUse() == 6'000);
-    cluster.use(withOrganisations(3, "north-key", { .milliCpu = 1'000 }));
+    CHECK(cluster.usedMilliCpu() == 6'000);
+    cluster.applyConfiguration(withOrganisations(3, "north-key", { .milliCpu = 1'000 }));
     cluster.submit(0, "work", jobId(2), job({ step(2) }), "north");
     cluster.clock.runFor(Millis(500));
-    CHECK(cluster.inUse() == 6'000);
+    CHECK(cluster.usedMilliCpu() == 6'000);
     REQUIRE(cluster.waitFor(Millis(40'000), [&] { return cluster.shows(jobId(2), JobStatus::Succeeded); }));
     CHECK(cluster.witness.starts() == 8);
 }
 
-TEST_CASE("Work that a quota holds back brings no instances to its pool, and operators are told why it waits")
+TEST_CASE("Work held back by a quota does not enlarge its pool, and operators see why it waits")
 {
     // Two tasks fit the quota; eighteen more must not make the pool larger.
     std::map<std::uint32_t, std::size_t> instances;
@@ -314,7 +314,7 @@
     CHECK(instances[2] == instances[20]);
 }
 
-TEST_CASE("Jobs within an organisation's rate are told from those beyond it")
+TEST_CASE("Jobs within an organisation's rate are distinguished from those beyond it")
 {
     RateMeter meter;
     const MonotonicInstant begin { std::chrono::seconds(100) };
@@ -330,7 +330,7 @@
     CHECK(RateMeter().take(0, begin));
 }
 
-TEST_CASE("A quota allows what fits, and one task more only to those who hold little of it")
+TEST_CASE("A quota allows what fits, and one larger task only to organisations that use little of it")
 {
     OrganisationAccount account;
     account.used = { .milliCpu = 600 };
@@ -345,7 +345,7 @@
     CHECK_FALSE(fitsQuota({ .used = { .accelerators = 2 } }, { .accelerators = 2 }, { .accelerators = 1 }, 1));
 }
 
-TEST_CASE("What an organisation sends beyond its rate does not displace what others send within theirs")
+TEST_CASE("Jobs beyond an organisation's rate do not displace jobs of others within their rates")
 {
     // One instance of eight cores; north submits 60 jobs at once at a rate of two a second.
     ServiceConfiguration configuration = withOrganisations();
@@ -361,10 +361,10 @@
     CHECK(cluster.entry(cluster.owner().value()).organisations().organisations[0].beyondRate >= 50);
 }
 
-TEST_CASE("What organisations use and wait for stands in the owner's metrics, with a bounded number of lines")
+TEST_CASE("The owner's metrics show the use of organisations in a bounded number of lines")
 {
     KeyedCluster cluster;
-    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
+    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTaskJob).status == 200);
     cluster.clock.runFor(Millis(300));
     CHECK(cluster.entry(*cluster.owner()).metrics().find("lanemoor_organisation_cores_used{organisation=\"north\"} 0.1") != std::string::npos);
     MetricsReading reading;
@@ -377,17 +377,17 @@
     CHECK(text.find("lanemoor_organisation_cores_used{organisation=\"(others)\"} 44") != std::string::npos);
 }
 
-TEST_CASE("Whose job an id is is asked alike for handing in, looking up and cancelling")
+TEST_CASE("Submission, lookup and cancellation apply the same access check to an id")
 {
     KeyedCluster cluster;
-    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
+    REQUIRE(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTaskJob).status == 200);
     cluster.clock.runFor(Millis(100));
     // Callers of another queue without a key have no access to the job.
-    CHECK(cluster.ask("POST", "/open/" + jobId(1), std::nullopt, oneTask).status == 403);
+    CHECK(cluster.ask("POST", "/open/" + jobId(1), std::nullopt, oneTaskJob).status == 403);
     CHECK(cluster.ask("GET", "/open/" + jobId(1), std::nullopt).status == 403);
     CHECK(cluster.ask("DELETE", "/open/" + jobId(1), std::nullopt).status == 403);
-    REQUIRE(cluster.ask("POST", "/open/" + jobId(2), "north-key", oneTask).status == 200);
+    REQUIRE(cluster.ask("POST", "/open/" + jobId(2), "north-key", oneTaskJob).status == 200);
     cluster.clock.runFor(Millis(100));
-    CHECK(cluster.ask("POST", "/open/" + jobId(2), std::nullopt, oneTask).status == 200);
+    CHECK(cluster.ask("POST", "/open/" + jobId(2), std::nullopt, oneTaskJob).status == 200);
     CHECK(cluster.ask("GET", "/open/" + jobId(2), std::nullopt).status == 200);
 }
--- a/tests/jobs/placement_test.cpp
+++ b/tests/jobs/placement_test.cpp
@@ -56,7 +56,7 @@
         step.preferredRack = name("r", anyOf(3));
     step.bestEffort = anyOf(4) == 0;
     step.latencyTarget = Millis(anyOf(4) == 0 ? 50 : 0);
-    step.mostPerInstance = anyOf(4) == 0 ? 1 : 0;
+    step.maxPerInstance = anyOf(4) == 0 ? 1 : 0;
     return step;
 }
 
@@ -87,7 +87,7 @@
         const PlacementSite& site = sites[i];
         const bool isFar = !step.preferredRack.empty() && !hasLabel(*site.worker, step.preferredRack);
         const bool fits = site.open && site.startsLeft > 0 && !site.worker->draining && site.free.covers(footprint(step)) && (step.requiredLabel.empty() || hasLabel(*site.worker, step.requiredLabel)) && (site.keptFor.empty() || site.keptFor == step.requiredLabel);
-        const bool admitted = (query.rack.empty() || site.worker->rack == query.rack) && !(query.nearOnly && isFar) && (!query.admits || query.admits(i)) && (step.mostPerInstance == 0 || query.tasksOfStep(i) < step.mostPerInstance);
+        const bool admitted = (query.rack.empty() || site.worker->rack == query.rack) && !(query.nearOnly && isFar) && (!query.admits || query.admits(i)) && (step.maxPerInstance == 0 || query.tasksOfStep(i) < step.maxPerInstance);
         if (!fits || !admitted)
             continue;
         const bool mixes = (step.bestEffort && site.servingTasks > 0) || (step.latencyTarget.count() > 0 && site.bestEffortTasks > 0);
--- a/tests/jobs/plan_test.cpp
+++ b/tests/jobs/plan_test.cpp
@@ -84,7 +84,7 @@
     wanted.preferredRack = "r2";
     CHECK(Placer({ site(a, 1'000), site(b, 4'000) }).choose(wanted, {}) == 1U);
     wanted = step(1);
-    wanted.mostPerInstance = 1;
+    wanted.maxPerInstance = 1;
     const PlacementQuery spread { .avoidWorker = {}, .rack = {}, .tasksOfStep = [](std::size_t index) { return index == 0 ? 1U : 0U; }, .admits = {} };
     CHECK(Placer({ site(a, 1'000), site(b, 4'000) }).choose(wanted, spread) == 1U);
     CHECK(Placer({ site(a, 1'000), site(b, 4'000) }).choose(step(1), { .avoidWorker = "a", .rack = {}, .tasksOfStep = {}, .admits = {} }) == 1U);
@@ -119,7 +119,7 @@
 {
     CapacityPlan plan(exact());
     PoolLoad spread = pool("a", 8, 0, 8);
-    spread.requirements[{}].leastInstances = 5;
+    spread.requirements[{}].minInstances = 5;
     CHECK(plan.next({ spread, reserve(0) }, start).moves.size() == 2);
     PoolLoad fresh = pool("a", 8, 0, 8);
     for (PoolInstance& idle : fresh.instances)
@@ -156,7 +156,7 @@
 
 TEST_CASE("Maintenance takes what is off first, never more than may be down, and then the emptiest")
 {
-    MaintenancePlan plan({ .number = 1, .instances = { "a", "b", "c", "d" }, .duration = Millis(60'000), .mostAtOnce = 2 }, {}, start);
+    MaintenancePlan plan({ .number = 1, .instances = { "a", "b", "c", "d" }, .duration = Millis(60'000), .maxConcurrent = 2 }, {}, start);
     const std::vector<MaintenanceCandidate> fleet {
         { .instance = "a", .pool = "main", .worker = "wa", .attempts = 3 },
         { .instance = "b", .pool = "main", .worker = "wb", .evacuating = true },
@@ -184,7 +184,7 @@
 {
     // Found on a changed deployment: an instance stood half empty to the end of the day, since the other one
     // of its kind was full, while tasks waited for that kind.
-    MaintenancePlan plan({ .number = 1, .instances = { "a" }, .duration = Millis(60'000), .mostAtOnce = 2 }, {}, start);
+    MaintenancePlan plan({ .number = 1, .instances = { "a" }, .duration = Millis(60'000), .maxConcurrent = 2 }, {}, start);
     MaintenanceCandidate candidate { .instance = "a", .pool = "main", .worker = "wa", .attempts = 2, .pinned = true };
     CHECK(plan.next({ candidate }, false, start).evacuate == std::vector<std::string> { "wa" });
     candidate.evacuating = true;
@@ -206,7 +206,7 @@
         instances.push_back("m" + std::to_string(i));
         fleet.push_back({ .instance = instances.back(), .pool = "off", .worker = {}, .reserve = true });
     }
-    MaintenancePlan plan({ .number = 1, .instances = instances, .duration = Millis(100'000), .mostAtOnce = 4 }, {}, start);
+    MaintenancePlan plan({ .number = 1, .instances = instances, .duration = Millis(100'000), .maxConcurrent = 4 }, {}, start);
     CHECK(plan.next(fleet, true, start).maintain.size() == 1);
     CHECK(plan.next(fleet, false, start).maintain.size() == 4);
     CHECK(plan.next(fleet, true, start + Millis(60'000)).maintain.size() == 4);
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -452,7 +452,7 @@
 
     void wave()
     {
-        WaveRequest request { .number = ++m_waves, .instances = {}, .duration = Millis(15'000), .mostAtOnce = static_cast<std::uint32_t>(pick(1, 3)) };
+        WaveRequest request { .number = ++m_waves, .instances = {}, .duration = Millis(15'000), .maxConcurrent = static_cast<std::uint32_t>(pick(1, 3)) };
         for (const auto& [id, instance] : m_cluster.workers.instances()) {
             if (pick(0, 1) == 0)
                 request.instances.push_back(id);
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -28,32 +28,32 @@
     std::vector<std::string> renewals; ///< Ids of lives.
     std::vector<std::string> forgotten;
 
-    void start(const WorkerLife&, const StartOrder& order, std::function<void(OrderResult)> done) override
+    void start(const WorkerIncarnation&, const StartCommand& order, std::function<void(CommandResult)> done) override
     {
         starts.push_back(order.payload);
-        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = OrderOutcome::Done, .workerClock = 7 }); });
+        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = CommandOutcome::Done, .workerClock = 7 }); });
     }
 
-    void stop(const WorkerLife&, const Attempt&, std::uint64_t, std::function<void(OrderResult)> done) override
+    void stop(const WorkerIncarnation&, const Attempt&, std::uint64_t, std::function<void(CommandResult)> done) override
     {
-        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = OrderOutcome::Done }); });
+        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = CommandOutcome::Done }); });
     }
 
-    void renew(const WorkerLife& worker, const RenewOrder&, std::function<void(RenewResult)> done) override
+    void renew(const WorkerIncarnation& worker, const RenewCommand&, std::function<void(RenewResult)> done) override
     {
         renewals.push_back(worker.id);
-        RenewResult result { .outcome = OrderOutcome::Done, .workerClock = 9, .running = {}, .ended = {} };
+        RenewResult result { .outcome = CommandOutcome::Done, .workerClock = 9, .running = {}, .ended = {} };
         result.running.push_back({ .attempt = { "job", { 1, 2, 3 }, 4 }, .checkpoint = "half", .percent = 50, .load = 5 });
         result.ended.push_back({ .sequence = 6, .attempt = { "job", { 0, 1, 2 }, 3 }, .end = AttemptEnd::GangBroken, .checkpoint = "c" });
         m_loop.callAt(m_loop.now(), [done, result] { done(result); });
     }
 
-    void throttle(const WorkerLife&, const Attempt&, std::uint32_t, std::uint64_t, std::function<void(OrderResult)> done) override
+    void throttle(const WorkerIncarnation&, const Attempt&, std::uint32_t, std::uint64_t, std::function<void(CommandResult)> done) override
     {
-        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = OrderOutcome::Done }); });
+        m_loop.callAt(m_loop.now(), [done] { done({ .outcome = CommandOutcome::Done }); });
     }
 
-    void forget(const WorkerLife& worker) override { forgotten.push_back(worker.id); }
+    void forget(const WorkerIncarnation& worker) override { forgotten.push_back(worker.id); }
 
 private:
     EventLoop& m_loop;
@@ -73,7 +73,7 @@
     void renewAll(std::size_t workers)
     {
         for (std::size_t i = 0; i < workers; ++i) {
-            const WorkerLife life { "w" + std::to_string(i), "10.0.0.1:1" };
+            const WorkerIncarnation life { "w" + std::to_string(i), "10.0.0.1:1" };
             owner.renew(life, { .leaseUntil = 1, .epoch = 2, .endsStoredUpTo = 3, .wait = Millis(0) }, [this, id = life.id](const RenewResult& result) { outcomes[id] = result; });
         }
     }
@@ -233,7 +233,7 @@
     CHECK(link.byFirst.renewals.size() + link.bySecond.renewals.size() >= 4);
     CHECK(link.owner.counts().relays == 2);
     const RenewResult& result = link.outcomes["w7"];
-    CHECK(result.outcome == OrderOutcome::Done);
+    CHECK(result.outcome == CommandOutcome::Done);
     CHECK(result.workerClock == 9);
     CHECK(result.running == std::vector<RunningAttempt> { { .attempt = { "job", { 1, 2, 3 }, 4 }, .checkpoint = "half", .percent = 50, .load = 5 } });
     CHECK(result.ended == std::vector<EndedAttempt> { { .sequence = 6, .attempt = { "job", { 0, 1, 2 }, 3 }, .end = AttemptEnd::GangBroken, .checkpoint = "c" } });
@@ -252,13 +252,13 @@
     link.storeModel.put(jobKey("job"), encode(record));
     link.renewAll(8);
     link.clock.runFor(Millis(100));
-    std::vector<OrderOutcome> outcomes;
+    std::vector<CommandOutcome> outcomes;
     for (std::uint32_t i = 0; i < 8; ++i) {
-        const StartOrder order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-        link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
+        const StartCommand order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+        link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
     }
     link.clock.runFor(Millis(200));
-    CHECK(outcomes == std::vector<OrderOutcome>(8, OrderOutcome::Done));
+    CHECK(outcomes == std::vector<CommandOutcome>(8, CommandOutcome::Done));
     REQUIRE(link.byFirst.starts.size() + link.bySecond.starts.size() == 8);
     for (const std::string& started : link.byFirst.starts)
         CHECK(started == payload);
@@ -276,8 +276,8 @@
         record.spec.payload = payload;
         link.storeModel.put(jobKey("job"), encode(record));
         for (std::uint32_t i = 0; i < 8; ++i) {
-            const StartOrder order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [](const OrderResult&) {});
+            const StartCommand order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [](const CommandResult&) {});
         }
         link.clock.runFor(Millis(pauseAfter));
         const std::size_t before = link.byFirst.starts.size() + link.bySecond.starts.size();
@@ -298,16 +298,16 @@
     link.clock.runFor(Millis(100));
     link.store.cutOff = true; // Both relays ask by the same client here.
     const std::string payload(3'000, 'x');
-    std::vector<OrderOutcome> outcomes;
+    std::vector<CommandOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
         for (std::uint32_t i = 0; i < 8; ++i) {
-            const StartOrder order { .attempt = { "job", { 0, 0, i }, number }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
+            const StartCommand order { .attempt = { "job", { 0, 0, i }, number }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
         }
     };
     startAll(1);
     link.clock.runFor(Millis(400));
-    CHECK(outcomes == std::vector<OrderOutcome>(8, OrderOutcome::Done));
+    CHECK(outcomes == std::vector<CommandOutcome>(8, CommandOutcome::Done));
     REQUIRE(link.byFirst.starts.size() + link.bySecond.starts.size() == 8);
     for (const std::string& started : link.byFirst.starts)
         CHECK(started == payload);
@@ -333,7 +333,7 @@
     REQUIRE(link.outcomes.size() == 8);
     std::size_t unknown = 0;
     for (const auto& [id, result] : link.outcomes)
-        unknown += result.outcome == OrderOutcome::Unknown ? 1 : 0;
+        unknown += result.outcome == CommandOutcome::Unknown ? 1 : 0;
     CHECK(unknown >= 3);
     CHECK(unknown <= 5);
     link.outcomes.clear();
@@ -341,7 +341,7 @@
     link.clock.runFor(Millis(50));
     REQUIRE(link.outcomes.size() == 8);
     for (const auto& [id, result] : link.outcomes)
-        CHECK(result.outcome == OrderOutcome::Done);
+        CHECK(result.outcome == CommandOutcome::Done);
     // It is taken in again once it is reached.
     link.peers.trouble.cutOff.clear();
     link.clock.runFor(Millis(7'000));
@@ -363,7 +363,7 @@
     link.clock.runFor(Millis(50));
     CHECK(link.owner.counts().relays == 2);
     for (const auto& [id, result] : link.outcomes)
-        CHECK(result.outcome == OrderOutcome::Done);
+        CHECK(result.outcome == CommandOutcome::Done);
 }
 
 TEST_CASE("A relay that was frozen does not carry out what it finds waiting")
@@ -394,7 +394,7 @@
     CHECK(link.byFirst.renewals.size() == before);
     REQUIRE(link.outcomes.size() == 8);
     for (const auto& [id, result] : link.outcomes)
-        CHECK(result.outcome == OrderOutcome::Done);
+        CHECK(result.outcome == CommandOutcome::Done);
     CHECK(link.first.inFlight() == 0);
 }
 
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -56,7 +56,7 @@
 
 CapacityOptions exact()
 {
-    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0), .leastInstances = 0 };
+    return { .margin = 1.0, .packing = 1.0, .observation = Millis(0), .mostIdleStart = Millis(0), .minInstances = 0 };
 }
 
 std::int64_t used(const PoolLoad& pool, const std::string& label)
@@ -178,10 +178,10 @@
     // task was stopped and found no other place, the others could not be, and nothing could start there.
     MixedCluster cluster("main", 1);
     StepSpec lasting = labelled(longStep(4), "b");
-    lasting.mostPerInstance = 0;
+    lasting.maxPerInstance = 0;
     cluster.submit(0, "work", jobId(1), job({ lasting }));
     REQUIRE(cluster.startsWithin(Millis(3'000), 4) == 4);
-    cluster.askWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .mostAtOnce = 1 });
+    cluster.askWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .maxConcurrent = 1 });
     cluster.clock.runFor(Millis(10'000));
     CHECK(cluster.workers.on("b-0")->running.size() == 4);
     cluster.workers.addInstance("b-1", "off", "r-b", capacity, "b");
@@ -195,7 +195,7 @@
     // changed deployment: two tasks of one step were moved at once, beside its budget.
     MixedCluster cluster("main", 1, 0, 2);
     StepSpec lasting = longStep(4);
-    lasting.mostPerInstance = 0;
+    lasting.maxPerInstance = 0;
     lasting.needs.milliCpu = 2'000;
     cluster.submit(0, "work", jobId(1), job({ lasting }));
     REQUIRE(cluster.startsWithin(Millis(4'000), 4) == 4);
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -139,6 +139,6 @@
         WorkerEntryFault fault = WorkerEntryFault::None;
         CHECK_FALSE(platform::readWorker("i", withStart(entry, start), &fault).has_value());
         CHECK(fault == WorkerEntryFault::Start);
-        CHECK(answer(withStart(list, start)).outcome == OrderOutcome::Unknown);
+        CHECK(answer(withStart(list, start)).outcome == CommandOutcome::Unknown);
     }
 }
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -130,7 +130,7 @@
     const std::string lost = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
     cluster.workers.crash(lost, Millis(600'000));
     cluster.clock.runFor(Millis(4'400));
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(20'000), .mostAtOnce = 3 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(20'000), .maxConcurrent = 3 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
     cluster.askWave(wave);
@@ -144,7 +144,7 @@
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
     cluster.submit(1, "work", jobId(2), job({ longStep(3) }));
     cluster.clock.runFor(Millis(2'000));
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(40'000), .mostAtOnce = 2 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(40'000), .maxConcurrent = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
     cluster.askWave(wave);
@@ -160,7 +160,7 @@
     SmallCluster cluster(1, 3, 6, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
     cluster.clock.runFor(Millis(2'000));
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 2 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .maxConcurrent = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
     cluster.askWave(wave);
@@ -185,7 +185,7 @@
     cluster.workers.find(hidden)->trouble.cutOff = true;
     cluster.kill(cluster.owner().value());
     cluster.clock.runFor(Millis(2'000));
-    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(hidden)->instance }, .duration = Millis(10'000), .mostAtOnce = 1 });
+    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(hidden)->instance }, .duration = Millis(10'000), .maxConcurrent = 1 });
     cluster.clock.runFor(Millis(1'500));
     CHECK(cluster.workers.find(hidden)->alive);
     requireNoBreach(cluster);
@@ -215,7 +215,7 @@
     SmallCluster cluster(1, 3, 2, 6);
     StepSpec large = longStep(6);
     large.needs = { .milliCpu = 500, .memoryMb = 9'000 };
-    large.mostPerInstance = 0;
+    large.maxPerInstance = 0;
     cluster.submit(0, "work", jobId(1), job({ large }));
     CHECK(cluster.waitFor(Millis(6'000), [&] { return cluster.witness.starts() == 6; }));
     requireNoBreach(cluster);
@@ -268,7 +268,7 @@
     // Found on tellelag-drift trouble-3, seed 446303655478: the successor of an owner that had
     // taken down as many as the wave allows took two more.
     SmallCluster cluster(1, 3, 4, 4);
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 2 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .maxConcurrent = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
     cluster.askWave(wave);
@@ -287,7 +287,7 @@
     // Every instance of the wave but one at a time may stay; answers are lost, acts are not.
     SmallCluster cluster(1, 3, 4, 4);
     cluster.workers.fleetTrouble.lostAnswers = 1;
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 1 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .maxConcurrent = 1 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
     cluster.askWave(wave);
@@ -311,7 +311,7 @@
     cluster.clock.runFor(Millis(2'000));
     cluster.workers.fleetTrouble = {};
     StepSpec spread = step(4);
-    spread.mostPerInstance = 1;
+    spread.maxPerInstance = 1;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
     cluster.submit(0, "work", jobId(1), job({ spread }));
     CHECK(cluster.waitFor(Millis(5'500), [&] { return cluster.witness.starts() == 5; }));
@@ -399,7 +399,7 @@
     const std::string maintained = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
     const std::string draining = cluster.witness.workerOf(jobId(1), { 0, 0, 1 });
     cluster.workers.find(maintained)->trouble.lateOrders = 1;
-    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(maintained)->instance }, .duration = Millis(20'000), .mostAtOnce = 1 });
+    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(maintained)->instance }, .duration = Millis(20'000), .maxConcurrent = 1 });
     cluster.clock.runFor(Millis(700));
     cluster.workers.leave(draining, true, Millis(6'000));
     cluster.clock.runFor(Millis(100));
--- a/tests/jobs/plain_entry_test.cpp
+++ b/tests/jobs/small_entry_test.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr double smallMachine = 0.12;
-constexpr double largeMachine = 1.0;
+constexpr double smallMachineCores = 0.12;
+constexpr double largeMachineCores = 1.0;
 
 /// One large machine, and small ones as entries 1 to 3.
 struct MixedCluster : model::JobCluster {
@@ -27,7 +27,7 @@
             workers.addInstance("m-" + std::to_string(i), i < 4 ? "main" : "off", "r", { .milliCpu = 8'000, .memoryMb = 16'000 });
         configure(smallConfiguration());
         for (std::size_t i = 0; i < entries(); ++i) {
-            setCores(i, i == 0 ? largeMachine : smallMachine);
+            setCores(i, i == 0 ? largeMachineCores : smallMachineCores);
             start(i);
         }
         clock.runFor(Millis(2'000));
@@ -36,13 +36,13 @@
 
 } // namespace
 
-TEST_CASE("Records that only owners read lie outside what entry instances copy")
+TEST_CASE("Keys that only owners read are outside the replicated prefix")
 {
-    for (const std::string& key : { std::string(actsKey), std::string(queueCountsKey), waveKey(1) })
+    for (const std::string& key : { std::string(actionsKey), std::string(queueCountsKey), waveKey(1) })
         CHECK(key.compare(0, jobServicePrefix.size(), jobServicePrefix) != 0);
 }
 
-TEST_CASE("A small entry instance takes, shows and cancels jobs without a copy of them")
+TEST_CASE("A small entry instance accepts, shows and cancels jobs without a replica")
 {
     MixedCluster cluster;
     REQUIRE(cluster.owner() == 0U);
@@ -64,7 +64,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("A small entry instance does not read jobs that nobody asks it for")
+TEST_CASE("A small entry instance reads only jobs that it is asked for")
 {
     MixedCluster cluster;
     for (std::uint64_t i = 1; i <= 20; ++i)
@@ -74,7 +74,7 @@
     CHECK(cluster.entry(1).jobs(std::nullopt, 100).empty());
 }
 
-TEST_CASE("A small entry instance counts waiting jobs as the owner does")
+TEST_CASE("A small entry instance shows the owner's counts of waiting jobs")
 {
     MixedCluster cluster;
     StepSpec tooLarge = step(1);
@@ -92,7 +92,7 @@
     CHECK_FALSE(cluster.pending(1, "work"));
 }
 
-TEST_CASE("Small entry instances own the jobs when no large one is left, and give them back")
+TEST_CASE("Small entry instances take ownership when no large one is left, and return it")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
@@ -122,10 +122,10 @@
     }
 }
 
-TEST_CASE("A wave that was asked for before a small entry instance owned is carried out")
+TEST_CASE("A wave requested before a small entry instance takes ownership is carried out")
 {
     MixedCluster cluster;
-    cluster.askWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .mostAtOnce = 1 });
+    cluster.askWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .maxConcurrent = 1 });
     cluster.kill(0);
     cluster.clock.runFor(Millis(25'000));
     const StoreItem* status = cluster.store.find(cluster.documents.waveStatusKey(1));
@@ -135,7 +135,7 @@
 }
 
 // Guards against rejections until the next read of the configuration after a single lost answer.
-TEST_CASE("A small entry instance takes jobs again as soon as the store has answered it")
+TEST_CASE("A small entry instance accepts jobs again as soon as the store has answered")
 {
     MixedCluster cluster;
     cluster.store.trouble.lostAnswers = 1;
--- a/tests/jobs/store_condition_test.cpp
+++ b/tests/jobs/store_condition_test.cpp
@@ -43,7 +43,7 @@
     CHECK(calls.state() == StoreState::Refused);
     CHECK(calls.tracker.condition().since == begin);
     calls.end(StoreCallKind::Write, StoreOutcome::Unknown, timeout);
-    CHECK(calls.state() == StoreState::Silent);
+    CHECK(calls.state() == StoreState::Unresponsive);
     calls.end(StoreCallKind::Read, StoreOutcome::NotFound);
     CHECK(calls.state() == StoreState::Writing);
     // A call of the outage that times out now.
--- a/tests/jobs/support.h
+++ b/tests/jobs/support.h
@@ -14,7 +14,7 @@
 {
     ServiceConfiguration configuration;
     configuration.version = version;
-    configuration.queues.push_back({ .name = "work", .host = "h", .pathPrefix = "/q/", .pool = "main", .mostAttempts = 3, .stretch = 2.0, .latencyTarget = Millis(500), .advice = std::nullopt });
+    configuration.queues.push_back({ .name = "work", .host = "h", .pathPrefix = "/q/", .pool = "main", .maxAttempts = 3, .stretch = 2.0, .latencyTarget = Millis(500), .advice = std::nullopt });
     configuration.pools.push_back({ .name = "main" });
     configuration.pools.push_back({ .name = "off", .reserve = true });
     return configuration;
@@ -31,7 +31,7 @@
 {
     StepSpec spec = step(count);
     spec.longRunning = true;
-    spec.mostPerInstance = 1;
+    spec.maxPerInstance = 1;
     spec.disruptionBudget = 1;
     return spec;
 }
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -113,7 +113,7 @@
 
 TEST_CASE("While a pool is short, instances being emptied count with those that are down")
 {
-    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(26'000), .mostAtOnce = 28 };
+    WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(26'000), .maxConcurrent = 28 };
     std::vector<MaintenanceCandidate> fleet;
     for (int i = 0; i < 132; ++i) {
         const std::string id = "m" + std::to_string(i);
--- a/tests/jobs/wire_test.cpp
+++ b/tests/jobs/wire_test.cpp
@@ -33,7 +33,7 @@
     CHECK(job.steps[0].preferredRack == "r1");
     CHECK(job.steps[1].needs.accelerators == 1);
     CHECK(job.steps[1].dependsOn == std::vector<std::uint32_t> { 0 });
-    CHECK(job.steps[1].mostPerInstance == 1);
+    CHECK(job.steps[1].maxPerInstance == 1);
     CHECK(job.steps[1].disruptionBudget == 1);
     CHECK(job.steps[1].latencyTarget == Millis(50));
     CHECK((job.steps[1].checkpointing && job.steps[1].longRunning && job.steps[1].bestEffort));
@@ -58,24 +58,24 @@
 
 TEST_CASE("Answers of workers are decoded, and what can't be read is unknown")
 {
-    CHECK(platform::readOrderAnswer(answer(200, R"({"clock_ms":5})")).outcome == OrderOutcome::Done);
+    CHECK(platform::readOrderAnswer(answer(200, R"({"clock_ms":5})")).outcome == CommandOutcome::Done);
     CHECK(platform::readOrderAnswer(answer(200, R"({"clock_ms":5})")).workerClock == 5);
-    const std::vector<std::pair<std::string, OrderOutcome>> reasons { { "fence", OrderOutcome::Fenced }, { "old", OrderOutcome::Superseded }, { "late", OrderOutcome::LeaseOver }, { "room", OrderOutcome::NoRoom },
-        { "ticket", OrderOutcome::BadTicket } };
+    const std::vector<std::pair<std::string, CommandOutcome>> reasons { { "fence", CommandOutcome::Fenced }, { "old", CommandOutcome::Superseded }, { "late", CommandOutcome::LeaseExpired }, { "room", CommandOutcome::NoRoom },
+        { "ticket", CommandOutcome::BadTicket } };
     for (const auto& [reason, outcome] : reasons)
         CHECK(platform::readOrderAnswer(answer(409, json { { "reason", reason } }.dump())).outcome == outcome);
-    CHECK(platform::readOrderAnswer(answer(421, "")).outcome == OrderOutcome::OtherLife);
-    CHECK(platform::readOrderAnswer(answer(503, "")).outcome == OrderOutcome::NotDone);
-    CHECK(platform::readOrderAnswer(answer(400, "")).outcome == OrderOutcome::Rejected);
-    CHECK(platform::readOrderAnswer(answer(500, "")).outcome == OrderOutcome::Unknown);
+    CHECK(platform::readOrderAnswer(answer(421, "")).outcome == CommandOutcome::OtherIncarnation);
+    CHECK(platform::readOrderAnswer(answer(503, "")).outcome == CommandOutcome::NotDone);
+    CHECK(platform::readOrderAnswer(answer(400, "")).outcome == CommandOutcome::Rejected);
+    CHECK(platform::readOrderAnswer(answer(500, "")).outcome == CommandOutcome::Unknown);
 
     const RenewResult renewal = platform::readRenewalAnswer(answer(200, R"({"clock_ms":8,"running":[["00000000000000aa.2.1.17",4,"c",41,12]],"ended":[[58,"00000000000000aa.2.1.9",1,"lapsed",""]]})"));
-    REQUIRE(renewal.outcome == OrderOutcome::Done);
+    REQUIRE(renewal.outcome == CommandOutcome::Done);
     CHECK(renewal.running.front() == RunningAttempt { .attempt = attempt, .checkpoint = "c", .percent = 41, .load = 12 });
     CHECK(renewal.ended.front().sequence == 58);
-    CHECK(renewal.ended.front().end == AttemptEnd::LeaseLapsed);
+    CHECK(renewal.ended.front().end == AttemptEnd::LeaseExpired);
     for (const char* text : { "", "[]", R"({"running":[[1]]})", R"({"ended":[[1,"x.0.0",1,"done",""]]})", R"({"ended":[[1,"a.0.0.0",1,"odd",""]]})", R"({"running":[["a.0.0.0x",1,"",0]]})" })
-        CHECK(platform::readRenewalAnswer(answer(200, text)).outcome == OrderOutcome::Unknown);
+        CHECK(platform::readRenewalAnswer(answer(200, text)).outcome == CommandOutcome::Unknown);
 }
 
 TEST_CASE("Transactions and leases are written and their answers decoded")
@@ -121,8 +121,8 @@
     CHECK(configuration->queues.front().stretch == 2.5);
     CHECK(configuration->queues.front().advice->validity == Millis(900));
     CHECK(configuration->pool("t")->reserve);
-    CHECK(configuration->pool("s")->guardsCapacity);
-    CHECK(configuration->mostBodyBytes == 10);
+    CHECK(configuration->pool("s")->enforcesCapacity);
+    CHECK(configuration->maxBodyBytes == 10);
     CHECK(configuration->queueFor("H", "/a/b")->name == "r");
     CHECK(configuration->queueFor("h", "/b") == nullptr);
     CHECK_FALSE(platform::readConfiguration("{}").has_value());
@@ -136,7 +136,7 @@
     const auto wave = platform::readWave(R"({"wave":2,"machines":["m"],"duration_s":1.5,"max_items":3})");
     REQUIRE(wave);
     CHECK(wave->duration == Millis(1'500));
-    CHECK(wave->mostAtOnce == 3);
+    CHECK(wave->maxConcurrent == 3);
     CHECK(json::parse(platform::formatWaveStatus(true))["state"] == "succeeded");
 }
 
