--- a/include/lanemoor/jobs/intake/refused_submissions.h
+++ b/include/lanemoor/jobs/intake/refused_submissions.h
@@ -13,7 +13,7 @@
 /// \brief Counts refused submissions that may be retried; their number and age determine the Retry-After values.
 ///
 /// An episode of refusals begins with the first refusal while no submission is tracked. A submission is tracked until it is settled,
-/// or for `memory` after its last refusal; then its caller has stopped retrying or uses another entry instance.
+/// or for `retention` after its last refusal; then its caller has stopped retrying or uses another entry instance.
 class RefusedSubmissions {
 public:
     static constexpr Millis retention { 8'000 }; ///< More than twice the maximum Retry-After plus the duration of a call.
--- a/include/lanemoor/jobs/model/key_value_store.h
+++ b/include/lanemoor/jobs/model/key_value_store.h
@@ -118,14 +118,14 @@
     virtual void read(const std::string& key, std::function<void(ReadResult)> done) = 0;
 
     /// \param afterKey The page starts after this key; empty: at the beginning.
-    /// \param patience Timeout for the answer, which has up to a megabyte.
+    /// \param timeout For the answer, which has up to a megabyte.
     virtual void range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done) = 0;
 
     /// \brief Waits up to `wait` for changes under `prefix` after revision `after`.
     virtual void watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done) = 0;
 
     /// \brief Reads a document. \param done Called with the document's changes in the order of revisions, or with the document alone. The
-    /// result may include items whose keys begin with the document's key. With `unless`, `storeRevision` is not set.
+    /// result may include items whose keys begin with the document's key. With `unlessRevision`, `storeRevision` is not set.
     virtual void fetch(DocumentQuery query, std::function<void(ItemsResult)> done) = 0;
 
     virtual void commit(const Transaction& transaction, std::function<void(CommitResult)> done) = 0;
--- a/src/jobs/intake/job_intake.cpp
+++ b/src/jobs/intake/job_intake.cpp
@@ -29,7 +29,7 @@
 struct WaitingJob {
     std::string id;
     std::string value;
-    Caller caller; ///< The same for all submissions in `waiting`.
+    Caller caller; ///< The same for all submissions in `callbacks`.
     std::vector<std::function<void(AcceptOutcome)>> callbacks;
     std::function<bool()> isAdmitted; ///< Of the latest submission; null: always admitted.
     bool hasUnsettledWrite = false; ///< An earlier write of the job may still be carried out.
--- a/tests/jobs/job_state_test.cpp
+++ b/tests/jobs/job_state_test.cpp
@@ -84,8 +84,8 @@
 
 TEST_CASE("A success that is reported after the task was started elsewhere counts")
 {
-    // Random run 1094: the success of the older attempt was acknowledged to its worker as stored; then the newer attempt failed, and a
-    // third one began.
+    // Random run 1094: the newer attempt failed, and a third one began after the older attempt's success had been acknowledged to its
+    // worker as stored.
     JobState state = open(job({ step(1) }));
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
