--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -75,7 +75,7 @@
     std::uint32_t pinned = 0; ///< Long-running attempts that require a label.
     MonotonicInstant emptyBy; ///< Expected end of all other attempts, from declared and observed run times.
     bool known = false; ///< The running attempts are known: the worker reported in this term, or every lease on it has expired.
-    bool sound = false; ///< Healthy: listed, responsive, not draining, not ejected.
+    bool healthy = false; ///< Healthy: listed, responsive, not draining, not ejected.
     bool evacuating = false;
     MonotonicInstant evacuatingSince; ///< Valid while `evacuating`.
 };
@@ -96,7 +96,7 @@
     WaitingTasks waiting;
     std::int64_t runningMilliCpu = 0;
     std::int64_t runningBacklogMilliCpu = 0; ///< The part used by jobs that can no longer meet their objective.
-    std::uint32_t leastInstances = 0; ///< Minimum for steps whose tasks must not share an instance.
+    std::uint32_t minInstances = 0; ///< Minimum for steps whose tasks must not share an instance.
     std::int64_t forecastMilliCpu = 0; ///< Expected usage at the current arrival rate.
 };
 
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -68,7 +68,7 @@
 /// computes when the longest granted lease has certainly expired.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
 public:
-    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer);
+    WorkerSession(EventLoop& loop, WorkerControl& control, WorkerIncarnation incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer);
 
     /// \brief Sends the first renewal, which also fences off earlier owners.
     void start();
@@ -113,7 +113,7 @@
     /// \returns Whether the worker is known to have been up at or after `instant`.
     [[nodiscard]] bool answeredSince(MonotonicInstant instant) const noexcept { return m_lastSeenOnClock > 0 && m_answeredAt >= instant; }
 
-    [[nodiscard]] const WorkerLife& incarnation() const noexcept { return m_incarnation; }
+    [[nodiscard]] const WorkerIncarnation& incarnation() const noexcept { return m_incarnation; }
 
     /// \returns Whether the worker has answered a renewal of this owner, which fences off all earlier owners.
     [[nodiscard]] bool hasAnswered() const noexcept { return m_hasAnswered; }
@@ -149,7 +149,7 @@
 
     EventLoop& m_loop;
     WorkerControl& m_control;
-    WorkerLife m_incarnation;
+    WorkerIncarnation m_incarnation;
     WorkerSessionOptions m_options;
     WorkerSessionObserver& m_observer;
     bool m_closed = false;
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -60,7 +60,7 @@
     Millis sustainTime { 500 };
     double idleShareOfRoom = 0.25; ///< A pool has room if this share of its healthy instances is idle and no task waits.
     Millis idleBeforeOff { 1'200 }; ///< Min idle time before power-off. A move costs about as much as an instance does in this time.
-    std::uint32_t leastInstances = 2; ///< Min size of a pool with queues, so that one instance may fail.
+    std::uint32_t minInstances = 2; ///< Min size of a pool with queues, so that one instance may fail.
     bool sharesFairly = true; ///< Whether a pool with more capacity drains instances for one with less.
     /// Min lead of a pool over the one it drains for, in multiples of the instance's processor time. A drain and a move waste some
     /// 2.5 s of the instance. A gap of 2 scores 0.020 lower than 5 on changed deployments, and the same on the others.
--- a/src/jobs/model/api_key.cpp
+++ b/src/jobs/model/api_key.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Sets these digests apart from those of the same text elsewhere.
-constexpr std::string_view purpose = "lanemoor caller key";
-constexpr std::size_t fingerprintBytes = 4; // One in four billion pairs of keys look alike in logs.
+/// Domain separation: the same text hashed for another purpose has a different digest.
+constexpr std::string_view domainSeparator = "lanemoor caller key";
+constexpr std::size_t fingerprintBytes = 4; // Two keys have the same fingerprint with a probability of one in four billion.
 
 } // namespace
 
@@ -17,7 +17,7 @@
 {
     ApiKeyDigest digest;
     crypto_generichash(digest.m_bytes.data(), digest.m_bytes.size(), reinterpret_cast<const unsigned char*>(key.data()), key.size(),
-        reinterpret_cast<const unsigned char*>(purpose.data()), purpose.size());
+        reinterpret_cast<const unsigned char*>(domainSeparator.data()), domainSeparator.size());
     return digest;
 }
 
--- a/src/jobs/owner/alternative_workers.cpp
+++ b/src/jobs/owner/alternative_workers.cpp
@@ -22,7 +22,7 @@
             continue;
         if (!avoidLabel.empty() && hasLabel(other.entry, avoidLabel))
             continue;
-        if (spec.mostPerInstance > 0 && other.tasksOf(job.id(), step) >= spec.mostPerInstance)
+        if (spec.maxPerInstance > 0 && other.tasksOf(job.id(), step) >= spec.maxPerInstance)
             continue;
         if (freeOn(other).covers(needed))
             return true;
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -136,7 +136,7 @@
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
-    const StartOrder order { .attempt = attempt,
+    const StartCommand order { .attempt = attempt,
         .payload = job.record().spec.payload,
         .leaseUntil = worker.session->leaseForCommand().value_or(0),
         .epoch = m_state.ownership.epoch,
@@ -145,8 +145,8 @@
     ++m_counts.starts;
     m_health.noteStartSent(worker, order);
     m_state.options.log->decision("task-start",
-        { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentOnClock > 0 } } });
-    m_state.options.workers->start(worker.session->incarnation(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const OrderResult& result) {
+        { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentAtWorkerClock > 0 } } });
+    m_state.options.workers->start(worker.session->incarnation(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const CommandResult& result) {
         const auto dispatcher = self.lock();
         if (dispatcher && !dispatcher->m_closed)
             dispatcher->onStartAnswered(attempt, id, session.lock().get(), result);
@@ -172,16 +172,16 @@
             return;
         const LiveAttempt* live = dispatcher->findLive(attempt, worker);
         WorkerRecord* record = dispatcher->m_state.worker(worker);
-        if (!live || !record || (live->phase != AttemptPhase::Ordered && live->phase != AttemptPhase::Doubtful))
+        if (!live || !record || (live->phase != AttemptPhase::Sent && live->phase != AttemptPhase::OutcomeUnknown))
             return;
         // If the event loop itself is late, the answer may be queued behind this call.
         if (dispatcher->m_state.now() - due > ResponseTime::minOverdue / 2) {
             dispatcher->watchStart(attempt, worker, pause, probes);
             return;
         }
-        if (live->phase == AttemptPhase::Ordered) {
+        if (live->phase == AttemptPhase::Sent) {
             dispatcher->m_state.options.log->decision("start-overdue", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "after_ms", static_cast<std::int64_t>(pause.count()) } });
-            dispatcher->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, dispatcher->m_state.now());
+            dispatcher->m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, dispatcher->m_state.now());
         }
         dispatcher->m_health.noteStartOverdue(*record, attempt);
         record->session->noteOverdue();
@@ -194,17 +194,17 @@
 
 /// An answer does not identify the incarnation that sent it: after a restart it gives no clock reading, and the outcome of the
 /// start stays unknown.
-void CommandDispatcher::onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result)
+void CommandDispatcher::onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const CommandResult& result)
 {
     WorkerRecord* record = recordOfSession(worker, session);
     OwnerJob* job = m_state.job(attempt.job);
     bool isOfLife = false;
-    if (record && result.outcome != OrderOutcome::OtherLife)
+    if (record && result.outcome != CommandOutcome::OtherIncarnation)
         isOfLife = record->session->noteClock(result.workerClock);
-    if (record && result.outcome != OrderOutcome::OtherLife && result.outcome != OrderOutcome::Unknown)
+    if (record && result.outcome != CommandOutcome::OtherIncarnation && result.outcome != CommandOutcome::Unknown)
         m_health.noteStartAnswered(*record, attempt);
     switch (result.outcome) {
-    case OrderOutcome::Done:
+    case CommandOutcome::Done:
         if (!record)
             return;
         if (job && isOfLife && job->state.noteConfirmed(attempt, result.workerClock))
@@ -213,21 +213,21 @@
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
         if (record->reservations.suspects().contains(attempt))
             probeSoon(*record->session);
-        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Ordered || (live->phase == AttemptPhase::Doubtful && isOfLife)))
+        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isOfLife)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
         return;
-    case OrderOutcome::Unknown:
+    case CommandOutcome::Unknown:
         ++m_counts.unknownStarts;
         m_state.options.log->decision("start-in-doubt", { { "attempt", nameOf(attempt) }, { "worker", worker } });
         // Only in phase Ordered: a stop that was sent meanwhile settles the start.
-        if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Ordered)
-            job->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
+        if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Sent)
+            job->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
         return;
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         if (record)
             record->session->noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
         return;
     default:
@@ -235,14 +235,14 @@
     }
 }
 
-void CommandDispatcher::onStartRefused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome)
+void CommandDispatcher::onStartRefused(const Attempt& attempt, const std::string& worker, CommandOutcome outcome)
 {
     ++m_counts.refusals;
     m_state.options.log->decision("start-refused", { { "attempt", nameOf(attempt) }, { "worker", worker }, { "reason", std::string(nameOf(outcome)) } });
     const MonotonicInstant now = m_state.now();
     if (WorkerRecord* record = m_state.worker(worker)) {
-        const bool full = outcome == OrderOutcome::NoRoom;
-        const bool stale = outcome == OrderOutcome::LeaseOver || outcome == OrderOutcome::Superseded || outcome == OrderOutcome::BadTicket;
+        const bool full = outcome == CommandOutcome::NoRoom;
+        const bool stale = outcome == CommandOutcome::LeaseExpired || outcome == CommandOutcome::Superseded || outcome == CommandOutcome::BadTicket;
         if (!stale)
             record->closedUntil = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
     }
@@ -283,7 +283,7 @@
     if (OwnerJob* job = m_state.job(attempt.job))
         job->state.setPhase(attempt, AttemptPhase::Stopping, m_state.now());
     m_state.options.log->decision("task-stop", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-    m_state.options.workers->stop(record->session->incarnation(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, session = std::weak_ptr(record->session)](const OrderResult& result) {
+    m_state.options.workers->stop(record->session->incarnation(), attempt, m_state.ownership.epoch, [self = weak_from_this(), attempt, worker, number, session = std::weak_ptr(record->session)](const CommandResult& result) {
         const auto dispatcher = self.lock();
         if (dispatcher && !dispatcher->m_closed)
             dispatcher->onStopAnswered(attempt, worker, number, session.lock().get(), result);
@@ -316,7 +316,7 @@
     return record && record->session.get() == session ? record : nullptr;
 }
 
-void CommandDispatcher::onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result)
+void CommandDispatcher::onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const CommandResult& result)
 {
     WorkerRecord* record = recordOfSession(worker, session);
     if (!record) {
@@ -325,7 +325,7 @@
         return;
     }
     switch (result.outcome) {
-    case OrderOutcome::Done: {
+    case CommandOutcome::Done: {
         m_stopsSent.erase(attempt);
         m_health.noteStopAnswered(*record);
         record->session->noteClock(result.workerClock);
@@ -337,10 +337,10 @@
             record->session->probe();
         return;
     }
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         record->session->noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
         return;
     default:
@@ -423,9 +423,9 @@
         worker.reservations.noteThrottled(attempt, percent);
         m_state.options.log->decision("task-throttle", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "percent", std::int64_t { percent } } });
         m_state.options.workers->throttle(worker.session->incarnation(), attempt, percent, m_state.ownership.epoch,
-            [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const OrderResult& result) {
+            [self = weak_from_this(), attempt = attempt, id = worker.entry.id](const CommandResult& result) {
                 const auto dispatcher = self.lock();
-                if (!dispatcher || dispatcher->m_closed || result.outcome == OrderOutcome::Done)
+                if (!dispatcher || dispatcher->m_closed || result.outcome == CommandOutcome::Done)
                     return;
                 // The throttle is sent again after the next report.
                 if (WorkerRecord* record = dispatcher->m_state.worker(id))
--- a/src/jobs/owner/command_dispatcher.h
+++ b/src/jobs/owner/command_dispatcher.h
@@ -61,15 +61,15 @@
     void sendOnAnswer(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
     void withdrawRecorded(const Attempt& attempt, const std::string& worker);
     void send(const Attempt& attempt, WorkerRecord& worker, const std::string& ticket);
-    void onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const OrderResult& result);
-    void onStartRefused(const Attempt& attempt, const std::string& worker, OrderOutcome outcome);
+    void onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const CommandResult& result);
+    void onStartRefused(const Attempt& attempt, const std::string& worker, CommandOutcome outcome);
     void stopLater(const Attempt& attempt, const std::string& worker, Millis pause);
     void watchStart(const Attempt& attempt, const std::string& worker, Millis pause, std::uint32_t probes);
     void watchStop(const Attempt& attempt, const std::string& worker, std::uint32_t number);
     [[nodiscard]] const LiveAttempt* findLive(const Attempt& attempt, const std::string& worker) const;
     [[nodiscard]] WorkerRecord* recordOfSession(const std::string& worker, const WorkerSession* session) const;
     [[nodiscard]] bool mayStopNow(const Attempt& attempt) const;
-    void onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const OrderResult& result);
+    void onStopAnswered(const Attempt& attempt, const std::string& worker, std::uint32_t number, const WorkerSession* session, const CommandResult& result);
 
     OwnerState& m_state;
     HealthMonitor& m_health;
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -25,7 +25,7 @@
 /// \returns Whether an unacknowledged start probably reached the worker: the worker was up when it was sent, and has not responded since.
 bool wasProbablyDelivered(const LiveAttempt& live, const WorkerSession& session)
 {
-    return live.sentOnClock > 0 && Millis(session.lastSeenOnClock() - live.sentOnClock) < minProbation;
+    return live.sentAtWorkerClock > 0 && Millis(session.lastSeenOnClock() - live.sentAtWorkerClock) < minProbation;
 }
 
 /// \returns Whether the progress shows that an attempt has run for much longer than the longest probation.
@@ -140,7 +140,7 @@
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isLive = task && task->live && task->live->number == attempt.number;
-        if (!isLive || (!task->live->crashAttributed && task->live->confirmedOnClock > 0 && Millis(worker.session->lastSeenOnClock() - task->live->confirmedOnClock) >= probation))
+        if (!isLive || (!task->live->crashAttributed && task->live->confirmedAtWorkerClock > 0 && Millis(worker.session->lastSeenOnClock() - task->live->confirmedAtWorkerClock) >= probation))
             survived.push_back(attempt);
     }
     for (const ProbationStart& start : probationStartsOf(worker)) {
@@ -211,8 +211,8 @@
         LostAttempt& entry = reserved.emplace_back(LostAttempt { .attempt = attempt, .isLongRunning = reservation.step->longRunning, .survived = std::nullopt, .isAdopted = task->live->adopted && !worker.reservations.suspects().contains(attempt), .isInherited = job->inherited, .before = task->crashes });
         if (entry.isAdopted && hasProgressed(*task->live, *reservation.step))
             continue;
-        if (task->live->confirmedOnClock > 0)
-            entry.survived = Millis(std::max<std::int64_t>(worker.session->lastSeenOnClock() - task->live->confirmedOnClock, 0));
+        if (task->live->confirmedAtWorkerClock > 0)
+            entry.survived = Millis(std::max<std::int64_t>(worker.session->lastSeenOnClock() - task->live->confirmedAtWorkerClock, 0));
         else if (wasProbablyDelivered(*task->live, *worker.session))
             entry.survived = Millis(0);
     }
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -25,7 +25,7 @@
     /// \name Calls
     ///@{
     void noteStartBooked(WorkerRecord& worker, const Attempt& attempt);
-    void noteStartSent(WorkerRecord& worker, const StartOrder& order);
+    void noteStartSent(WorkerRecord& worker, const StartCommand& order);
     void noteStartOverdue(WorkerRecord& worker, const Attempt& attempt);
     void noteStartAnswered(WorkerRecord& worker, const Attempt& attempt);
     void noteStopOverdue(WorkerRecord& worker);
@@ -63,7 +63,7 @@
     void eject(WorkerRecord& worker, HealthFault fault);
     void findReadmitted();
     [[nodiscard]] std::vector<EjectionMember> members() const;
-    [[nodiscard]] MinInstances leastInstances() const;
+    [[nodiscard]] MinInstances minInstances() const;
     [[nodiscard]] bool isOn() const { return m_state.options.health.enabled; }
 
     OwnerState& m_state;
--- a/src/jobs/owner/job_retirement.cpp
+++ b/src/jobs/owner/job_retirement.cpp
@@ -20,7 +20,7 @@
 /// Covers calls in flight, and instances that are notified of the end a little later.
 constexpr Millis retentionMargin { 5'000 };
 /// Each job takes three removals of a transaction, and the ownership's condition takes one entry.
-constexpr std::size_t maxJobsPerScan = (mostTransactionEntries - 1) / 3;
+constexpr std::size_t maxJobsPerScan = (maxTransactionEntries - 1) / 3;
 
 std::array<std::string, 3> keysOf(const std::string& id)
 {
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -66,7 +66,7 @@
 {
     for (const auto& [id, step] : job.steps()) {
         const StepSpec& spec = job.spec(id.step);
-        const std::uint32_t maxPerInstance = spec.mostPerInstance;
+        const std::uint32_t maxPerInstance = spec.maxPerInstance;
         const auto left = static_cast<std::uint32_t>(step.tasks.size()) - step.succeeded;
         // Long-running tasks with a required label need a second instance with the label to move to.
         const std::uint32_t minInstances = maxPerInstance > 0 ? (left + maxPerInstance - 1) / maxPerInstance : 1;
@@ -74,7 +74,7 @@
             continue;
         for (const Requirement& requirement : requirementsOf(spec)) {
             if (!requirement.preferred)
-                demand[requirement].leastInstances = std::max(demand[requirement].leastInstances, minInstances);
+                demand[requirement].minInstances = std::max(demand[requirement].minInstances, minInstances);
         }
     }
 }
@@ -310,7 +310,7 @@
                 use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = record.session->hasAnswered() || now >= record.session->leaseExpiresBy();
-            use.sound = record.listed && !record.entry.draining && record.isHallOpen() && record.session->hasAnswered() && !record.session->isUnresponsive() && !record.session->isIncarnationOver() && !record.health.isEjected(now);
+            use.healthy = record.listed && !record.entry.draining && record.isHallOpen() && record.session->hasAnswered() && !record.session->isUnresponsive() && !record.session->isIncarnationOver() && !record.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -384,7 +384,7 @@
     void noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
     {
         const WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
-        const bool mayMeanPrevious = record && !record->previousStarts.empty() && record->knownSince + fleetListLag >= since;
+        const bool mayMeanPrevious = record && !record->previousStarts.empty() && record->knownSince + maxFleetListLag >= since;
         if (!mayMeanPrevious)
             noteLifeOver(worker);
     }
@@ -527,7 +527,7 @@
         const Millis age = m_options.loop->timeOfDay() - entry.record->acceptedAt;
         const QueueSettings* queue = state.configuration()->queue(entry.record->queue);
         const double stretch = queue ? queue->stretch : 1.0;
-        job.chain = longestChain(entry.record->spec);
+        job.chain = criticalPathDuration(entry.record->spec);
         const Millis allowed(static_cast<std::int64_t>(stretch * static_cast<double>(job.chain.count())));
         job.objective = state.now() - age + allowed + (queue ? queue->latencyTarget : Millis(0));
         m_term->admission->noteArrival(job);
@@ -605,7 +605,7 @@
         // A command to a previous incarnation may have reached this one, with a lease on the previous incarnation's clock.
         if (!record.previousStarts.empty())
             options.inheritedLeaseExpiresBy = std::max(options.inheritedLeaseExpiresBy, state.now() + maxLateRun);
-        record.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerLife { record.entry.id, record.entry.address, startedAt, record.entry.dataHall }, std::move(options), m_term->reconciler);
+        record.session = std::make_shared<WorkerSession>(*m_options.loop, *m_options.workers, WorkerIncarnation { record.entry.id, record.entry.address, startedAt, record.entry.dataHall }, std::move(options), m_term->reconciler);
         record.session->start();
         // Also a worker whose entry arrives late: its tasks may have been running while the entry was missing.
         m_term->unreportedWorkers.insert(record.entry.id);
@@ -718,7 +718,7 @@
         for (auto& [id, record] : m_term->state.workers) {
             if (incarnations.names(id))
                 record.unlistedSince.reset();
-            else if (incarnations.isComplete() && !record.unlistedSince && askedAt - record.knownSince >= fleetListLag)
+            else if (incarnations.isComplete() && !record.unlistedSince && askedAt - record.knownSince >= maxFleetListLag)
                 record.unlistedSince = askedAt;
         }
     }
@@ -731,7 +731,7 @@
         for (const auto& [id, record] : m_term->state.workers) {
             if (!record.unlistedSince || record.session->isIncarnationOver())
                 continue;
-            const bool isGone = !record.session->hasAnswered() || (record.session->isUnresponsive() && m_options.loop->now() - *record.unlistedSince >= fleetListLag);
+            const bool isGone = !record.session->hasAnswered() || (record.session->isUnresponsive() && m_options.loop->now() - *record.unlistedSince >= maxFleetListLag);
             if (isGone)
                 ended.push_back(id);
         }
--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -91,7 +91,7 @@
         { { "attempt", nameOf(ended.attempt) }, { "worker", worker.entry.id }, { "end", std::string(nameOf(ended.end)) }, { "counted", std::int64_t { effect.counted } } });
     m_counts.successes += effect.counted && ended.end == AttemptEnd::Succeeded ? 1 : 0;
     m_counts.failures += effect.counted && ended.end == AttemptEnd::Failed ? 1 : 0;
-    m_counts.leaseExpirations += effect.counted && ended.end == AttemptEnd::LeaseLapsed ? 1 : 0;
+    m_counts.leaseExpirations += effect.counted && ended.end == AttemptEnd::LeaseExpired ? 1 : 0;
     if (effect.counted && ended.end == AttemptEnd::Succeeded)
         m_health.noteSuccess(worker);
     if (effect.counted && ended.end == AttemptEnd::Failed)
@@ -131,7 +131,7 @@
 {
     JobState& job = m_state.job(report.attempt.job)->state;
     const AttemptPhase phase = job.find(report.attempt.task)->live->phase;
-    if (phase == AttemptPhase::Ordered || phase == AttemptPhase::Doubtful)
+    if (phase == AttemptPhase::Sent || phase == AttemptPhase::OutcomeUnknown)
         job.setPhase(report.attempt, AttemptPhase::Running, m_state.now());
     if (job.noteConfirmed(report.attempt, workerClock))
         m_state.store(report.attempt.job);
@@ -147,7 +147,7 @@
     handleEnds(*worker, session, result.ended);
     for (const RunningAttempt& running : result.running) {
         const TaskState* task = m_state.liveTask(running.attempt, worker->entry.id);
-        if (task && task->live->phase == AttemptPhase::Doubtful) {
+        if (task && task->live->phase == AttemptPhase::OutcomeUnknown) {
             m_health.noteStartConfirmed(*worker, running.attempt);
             confirm(running, result.workerClock);
         }
@@ -159,7 +159,7 @@
     std::vector<Attempt> missing;
     for (const auto& [attempt, reservation] : worker->reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker->entry.id);
-        const bool hasUnknownOutcome = task && (task->live->phase == AttemptPhase::Doubtful || task->live->phase == AttemptPhase::Stopping);
+        const bool hasUnknownOutcome = task && (task->live->phase == AttemptPhase::OutcomeUnknown || task->live->phase == AttemptPhase::Stopping);
         if (hasUnknownOutcome && !isListed(attempt))
             missing.push_back(attempt);
     }
@@ -226,7 +226,7 @@
         return;
     }
     const LiveAttempt& live = *task->live;
-    const bool hasUnknownOutcome = live.phase == AttemptPhase::Doubtful || live.phase == AttemptPhase::Stopping;
+    const bool hasUnknownOutcome = live.phase == AttemptPhase::OutcomeUnknown || live.phase == AttemptPhase::Stopping;
     if (hasUnknownOutcome && !live.wasConfirmed() && worker.starts.hasExpired(attempt, workerClock, m_state.now())) {
         m_state.options.log->decision("start-expired", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
         m_dispatcher.release(attempt, worker.entry.id, m_state.now());
@@ -234,13 +234,13 @@
     }
     switch (live.phase) {
     case AttemptPhase::Recording:
-    case AttemptPhase::Ordered:
+    case AttemptPhase::Sent:
         return;
-    case AttemptPhase::Doubtful:
+    case AttemptPhase::OutcomeUnknown:
         if (live.phaseSince > sentAt)
             return;
         // Confirmed at a time that this incarnation's clock has not reached: the attempt ended with a previous incarnation.
-        if (live.confirmedOnClock > workerClock)
+        if (live.confirmedAtWorkerClock > workerClock)
             m_dispatcher.release(attempt, worker.entry.id, m_state.now() + m_crashes.retryPause(attempt));
         else
             m_dispatcher.stop(attempt, worker.entry.id);
@@ -266,14 +266,14 @@
         if (!task || !task->live || task->live->phase != AttemptPhase::Running || reservation.step->bestEffort)
             continue;
         const bool isReady = reservation.step->longRunning && task->live->percent >= 100;
-        if (!isReady && now - task->live->standsSince() > (reservation.step->gang ? gangStallTimeout : stallTimeout))
+        if (!isReady && now - task->live->lastProgressAt() > (reservation.step->gang ? gangStallTimeout : stallTimeout))
             stalled.push_back(attempt);
     }
     for (const Attempt& attempt : stalled) {
         // A stalled task may become ready while it is stopped, so the disruption budget applies. After a long stall it does not:
         // stalled tasks of one step count as unavailable and would block each other's stop permanently.
         const OwnerJob* job = m_state.job(attempt.job);
-        const bool hasStalledTooLong = now - job->state.find(attempt.task)->live->standsSince() > unconditionalStopAfter;
+        const bool hasStalledTooLong = now - job->state.find(attempt.task)->live->lastProgressAt() > unconditionalStopAfter;
         if (job->state.spec(attempt.task.step).longRunning && !hasStalledTooLong && !mayDisrupt(m_state, job->state, attempt.task))
             continue;
         m_state.options.log->decision("task-stuck", { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id } });
@@ -371,7 +371,7 @@
             continue;
         }
         worker.reservations.put(attempt, std::move(reservation));
-        m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::Doubtful, m_state.now());
+        m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
     }
     if (failed)
         m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
--- a/src/jobs/owner/worker_record.cpp
+++ b/src/jobs/owner/worker_record.cpp
@@ -55,7 +55,7 @@
 
 MonotonicInstant WorkerRecord::establishedAt() const
 {
-    return knownSince + fleetListLag + fleetListPause;
+    return knownSince + maxFleetListLag + fleetListPause;
 }
 
 bool WorkerRecord::isVerifiedUp(MonotonicInstant now) const
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerLife incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer)
+WorkerSession::WorkerSession(EventLoop& loop, WorkerControl& control, WorkerIncarnation incarnation, WorkerSessionOptions options, WorkerSessionObserver& observer)
     : m_loop(loop)
     , m_control(control)
     , m_incarnation(std::move(incarnation))
@@ -129,7 +129,7 @@
     watchProbe(m_loop.now(), m_nextProbeAt);
     m_control.renew(m_incarnation, { .epoch = m_options.epoch }, [self = weak_from_this(), sentAt = m_loop.now()](const RenewResult& result) {
         const auto session = self.lock();
-        if (!session || session->m_closed || result.outcome != OrderOutcome::Done)
+        if (!session || session->m_closed || result.outcome != CommandOutcome::Done)
             return;
         session->m_nextProbeAt = session->m_loop.now();
         if (!session->isOfThisIncarnation(result)) {
@@ -185,7 +185,7 @@
     // with it the time when the tasks may start elsewhere. Nor do renewals that another incarnation may
     // answer, since its clock differs and it numbers its ended attempts anew.
     const bool withoutLease = m_unresponsive || mayHaveRestarted();
-    RenewOrder order { .leaseUntil = withoutLease ? 0 : leaseForCommand().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = withoutLease ? 0 : m_storedUpTo };
+    RenewCommand order { .leaseUntil = withoutLease ? 0 : leaseForCommand().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = withoutLease ? 0 : m_storedUpTo };
     if (m_hasAnswered && !withoutLease && !m_awaitingAcknowledgement)
         order.wait = m_loop.now() < m_reducedWaitUntil ? std::min(m_options.wait, reducedWait) : m_options.wait;
     m_renewing = true;
@@ -224,12 +224,12 @@
 {
     m_renewing = false;
     switch (result.outcome) {
-    case OrderOutcome::Done:
+    case CommandOutcome::Done:
         break;
-    case OrderOutcome::OtherLife:
+    case CommandOutcome::OtherIncarnation:
         noteLifeOver();
         return;
-    case OrderOutcome::Fenced:
+    case CommandOutcome::Fenced:
         m_observer.onFenced(*this);
         renewAt(m_loop.now() + m_options.retryPause);
         return;
--- a/tests/jobs/poison_task_test.cpp
+++ b/tests/jobs/poison_task_test.cpp
@@ -26,7 +26,7 @@
     {
         workers.endsWorker = [](const Attempt& attempt) { return attempt.job == poisonJob && attempt.task == TaskId { 0, 1, 0 }; };
         StepSpec lasting = longStep(5);
-        lasting.mostPerInstance = 0;
+        lasting.maxPerInstance = 0;
         submit(0, "work", longRunningJob, job({ lasting }));
         clock.runFor(Millis(3'000));
         submit(0, "work", poisonJob, job({ step(2), step(3, { 0 }) }));
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -136,6 +136,6 @@
         WorkerEntryFault fault = WorkerEntryFault::None;
         CHECK_FALSE(platform::readWorker("i", withStart(entry, start), &fault).has_value());
         CHECK(fault == WorkerEntryFault::Start);
-        CHECK(answer(withStart(list, start)).outcome == OrderOutcome::Unknown);
+        CHECK(answer(withStart(list, start)).outcome == CommandOutcome::Unknown);
     }
 }
