--- a/include/lanemoor/jobs/operator/operator_api.h
+++ b/include/lanemoor/jobs/operator/operator_api.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The operators' calls of the job service.
+/// HTTP API of the job service for operators.
 
 #include "lanemoor/net/http_message.h"
 
@@ -10,19 +10,19 @@
 
 class JobService;
 
-/// \brief Answers an operator's call:
+/// \brief Answers a request of an operator:
 ///
-/// | call | answer |
+/// | request | answer |
 /// | --- | --- |
-/// | `GET /v1/jobs?queue=Q` | jobs, at most 1,000, of one queue or all |
-/// | `GET /v1/jobs/ID` | one job; at the shard's owner with its steps and why they wait |
-/// | `DELETE /v1/jobs/ID` | cancels it |
-/// | `GET /v1/instances` | at the shard's owner, its workers and their health |
+/// | `GET /v1/jobs?queue=Q` | up to 1,000 jobs of one queue, or of all queues |
+/// | `GET /v1/jobs/ID` | one job; the shard's owner adds its steps and why they wait |
+/// | `DELETE /v1/jobs/ID` | cancels the job |
+/// | `GET /v1/instances` | workers and their health; only at the shard's owner |
 /// | `GET /v1/shards` | shards and their owners |
-/// | `GET /v1/evacuations` | data halls that are evacuated or lost; at the owner with what remains there |
-/// | `GET /metrics` | metrics in Prometheus' text format |
+/// | `GET /v1/evacuations` | data halls that are evacuated or lost; the owner adds the remaining tasks |
+/// | `GET /metrics` | metrics in the Prometheus text format |
 ///
-/// Anything else gets 404, a wrong method 405, both as `application/problem+json`.
+/// Other paths get 404 and other methods 405, both as `application/problem+json`.
 void answerOperator(JobService& service, const HttpRequest& request, std::function<void(HttpResponse)> respond);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/relay/order_relay.h
+++ b/include/lanemoor/jobs/relay/order_relay.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Carries calls to workers for an owner on another machine.
+/// Makes calls to workers on behalf of an owner on another machine.
 
 #include "lanemoor/jobs/model/entry_demand.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -22,47 +22,47 @@
 
 struct AdmissionGrants;
 
-/// What a relay works with. All of it outlives the relay.
+/// Dependencies of a relay. All of them must outlive it.
 struct OrderRelayParts {
     EventLoop* loop = nullptr;
-    PeerTransport* peers = nullptr; ///< Null: this process relays nothing.
+    PeerTransport* peers = nullptr; ///< Null: this process does not relay calls.
     WorkerControl* workers = nullptr;
-    KeyValueStore* store = nullptr; ///< For payloads that the owner does not send along.
+    KeyValueStore* store = nullptr; ///< Source of the payloads that a call only refers to.
     EventLog* log = nullptr;
-    /// Hears that the owner's process is gone: its link broke, and a new one was refused at once. Null: nobody is told.
+    /// Called when the owner's process has ended: its link broke, and a new connection was refused at once. Optional.
     std::function<void(const std::string& address)> ownerGone;
-    /// Gives what this instance was asked for since the last call, for the owner. Null: nothing is reported.
+    /// Returns the submissions to this instance since the last call, to be reported to the owner. Null: nothing is reported.
     std::function<std::vector<EntryDemand>()> takeDemand;
-    std::function<void(const AdmissionGrants& grants)> granted; ///< Hears what this instance may admit. Null: nobody is told.
+    std::function<void(const AdmissionGrants& grants)> granted; ///< Called with the budgets that this instance may admit. Optional.
 };
 
-/// \brief Offers itself to the owner, makes the calls that the owner asks for, and sends the
-/// answers back in groups. It decides nothing and remembers nothing.
+/// \brief Registers with the owner, makes the calls that the owner requests, and returns the
+/// answers in batches. The relay makes no decisions and holds no state of workers or tasks.
 ///
-/// A call that took too long from the owner to here, as after a freeze of this machine, is not made:
-/// the owner has long given it up.
+/// A call that arrives too late, for example after this machine was frozen, is not made:
+/// it has already timed out at the owner.
 class OrderRelay {
 public:
-    /// \param name Unique among the instances. \param cores Processor time of this machine. \param dataHall Where it stands; empty:
-    /// not known.
+    /// \param name Unique among the instances. \param cores Processor cores of this machine.
+    /// \param dataHall Data hall of this machine; empty: unknown.
     OrderRelay(OrderRelayParts parts, std::string name, double cores, std::string dataHall = {});
     ~OrderRelay();
     OrderRelay(const OrderRelay&) = delete;
     OrderRelay& operator=(const OrderRelay&) = delete;
 
-    /// \brief Offers itself to the owner at `address`; empty: to nobody. The same address changes nothing.
+    /// \brief Connects to the owner at `address`; an empty address only disconnects. An unchanged address has no effect.
     void follow(const std::string& address);
 
-    /// \brief Reports what this instance was asked for soon, at most once in 250 ms.
+    /// \brief Schedules a report of this instance's demand, at most one every 250 ms.
     void reportDemand();
 
-    /// \brief Planned stop: takes no more calls, and answers those under way.
+    /// \brief Planned stop: accepts no more calls, and answers those in flight.
     void leave();
 
-    /// \returns Calls under way.
+    /// \returns Number of calls in flight.
     [[nodiscard]] std::size_t inFlight() const noexcept;
 
-    /// \returns Calls made since the start.
+    /// \returns Number of calls made since the start.
     [[nodiscard]] std::uint64_t calls() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/relay/peer_transport.h
+++ b/include/lanemoor/jobs/relay/peer_transport.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Connections between entry instances, behind an interface so that tests run on a model.
+/// Connections between entry instances. An interface, so that tests can use a simulated network.
 
 #include <cstddef>
 #include <functional>
@@ -9,43 +9,43 @@
 
 namespace lanemoor::jobs {
 
-/// Hears what comes over a link.
+/// Callbacks of a link.
 struct PeerLinkObserver {
     std::function<void(const std::string& frame)> received;
-    std::function<void()> closed; ///< Told at most once, and not after `close`.
+    std::function<void()> closed; ///< Called at most once, and never after `close`.
 };
 
-/// \brief One connection to another process of ours. A frame arrives whole and in order, or not at all.
+/// \brief A connection to the process of another instance. Frames arrive complete and in order, or not at all.
 ///
-/// A link that goes silent is not noticed here: whoever uses it sends heartbeats.
+/// A link does not detect an unresponsive peer: its user sends heartbeats.
 class PeerLink {
 public:
     virtual ~PeerLink() = default;
 
-    /// \brief Sets who hears of frames and of the end. Nothing is told before.
+    /// \brief Sets the callbacks. None is called before.
     virtual void observe(PeerLinkObserver observer) = 0;
 
     /// \brief Sends `frame`, unless the link is closed. Never blocks.
     virtual void send(std::string frame) = 0;
 
-    /// \returns Whether the other machine answered that nobody listens at the address: no process of ours
-    /// is there. Silence does not tell that.
+    /// \returns Whether the other machine refused the connection, so that no process listens at the address.
+    /// False if the machine did not answer at all.
     [[nodiscard]] virtual bool wasRefused() const noexcept = 0;
 
-    /// \brief Ends the link; what waits to be sent is lost.
+    /// \brief Closes the link and discards unsent frames.
     virtual void close() = 0;
 };
 
-/// \brief Makes links. Callbacks are never called from within a call.
+/// \brief Creates links. Callbacks are never called synchronously.
 class PeerTransport {
 public:
     virtual ~PeerTransport() = default;
 
-    /// \brief Sets who gets the links that others make to this process; it is replaced by a later call.
+    /// \brief Sets the callback for incoming links, and replaces an earlier one.
     virtual void accept(std::function<void(std::shared_ptr<PeerLink>)> accepted) = 0;
 
-    /// \param address As another instance names itself.
-    /// \returns A link on its way; `closed` tells if nobody answers there.
+    /// \param address Peer address that the other instance publishes.
+    /// \returns A link that is being established; `closed` is called if that fails.
     [[nodiscard]] virtual std::shared_ptr<PeerLink> connect(const std::string& address) = 0;
 };
 
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Decides which instance carries the owner's calls to which worker. Pure.
+/// Decides which instance relays the owner's calls to which worker. Does no I/O; time is passed in.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/policy/reachability.h"
@@ -15,28 +15,28 @@
 
 namespace lanemoor::jobs {
 
-/// Weights of the plan.
+/// Settings of the relay plan.
 struct RelayOptions {
-    /// Workers whose calls one core of a machine carries; 0: the owner calls every worker itself. An
-    /// attempt costs some 0.5 ms in calls, and a worker of 32 cores has up to nine attempts a second
-    /// of the shortest tasks seen: 4.5 ms a second. 0.6 of a core is planned for, the rest is for peaks.
+    /// Number of workers whose calls one core can make; 0: the owner calls every worker directly. An
+    /// attempt costs about 0.5 ms in calls, and a worker of 32 cores runs up to nine attempts a second
+    /// of the shortest tasks: 4.5 ms a second. This plans for 0.6 of a core and leaves the rest for peaks.
     double workersPerCore = 130;
-    /// Relays are let go only if those that are left have room for so many times the workers.
+    /// A relay is released only if the capacity of the others is at least this multiple of the workers.
     double shrinkAt = 1.6;
 
     [[nodiscard]] bool operator==(const RelayOptions&) const = default;
 };
 
-/// \brief Spreads the owner's workers over relays, the machines with the most processor time first.
+/// \brief Distributes the owner's workers over relays, using the machines with the most cores first.
 ///
-/// While the owner's own machine can carry all calls there are no relays in use. A worker keeps its
-/// relay as long as that is there and in use; since a relay keeps nothing of a worker, changing it costs
-/// nothing but the calls that are under way when a relay is lost.
+/// No relays are used while the owner's machine can make all calls itself. A worker keeps its relay as long
+/// as the relay is connected and in use. Relays hold no state of workers, so reassigning a worker only affects
+/// the calls that are in flight when a relay fails.
 ///
-/// A path is a relay, or the owner's own calls (the empty name). Where a path does not reach a data hall, calls to workers there
-/// take another one from their next call on: paths that reach it, then those of which nothing is known, by load. Relays that are
-/// not in use are taken into use for that, and relays carry up to twice their capacity. Workers for which no path has room
-/// keep theirs.
+/// A path is a relay, or the owner's direct calls (the empty name). If a path does not reach a data hall, the next calls to
+/// workers there take another path: first paths that reach the data hall, then paths of unknown state, each by load. Unused
+/// relays are added for this purpose, and a relay takes up to twice its capacity. Workers stay on their path if no other
+/// path has capacity.
 ///
 /// \code
 /// RelayPlan plan(options, 0.5);
@@ -45,84 +45,84 @@
 /// \endcode
 class RelayPlan {
 public:
-    /// \param ownCores Processor time of the owner's machine; 0: not known, and taken as one core.
+    /// \param ownCores Processor cores of the owner's machine; 0: unknown, one core is assumed.
     /// \param ownHall Data hall of the owner.
     RelayPlan(RelayOptions options, double ownCores, ReachabilityOptions reachability = {}, const std::string& ownHall = {});
 
-    /// \brief A relay is there. \param cores Processor time of its machine. \param dataHall Where it stands; empty: not known.
+    /// \brief Adds a relay. \param cores Processor cores of its machine. \param dataHall Its data hall; empty: unknown.
     void addRelay(const std::string& name, double cores, const std::string& dataHall = {});
 
-    /// \brief A relay is gone, or takes no new calls; its workers get others.
+    /// \brief Removes a relay that is disconnected or accepts no new calls. Its workers are reassigned.
     void removeRelay(const std::string& name);
 
-    /// \brief Assigns a worker if it has no relay, or one that carries far more than others or does not reach its data hall.
-    /// \param dataHall Of the worker; empty: not known, and reachability does not count.
-    /// \returns The relay; empty: call it directly.
+    /// \brief Reassigns a worker if it has no relay, or a relay that is overloaded or does not reach its data hall.
+    /// \param dataHall Of the worker; empty: unknown, reachability is ignored.
+    /// \returns The relay; empty: call the worker directly.
     [[nodiscard]] std::string relayOf(const std::string& worker, MonotonicInstant now, const std::string& dataHall = {});
 
-    /// \returns The best path to the data hall but for `avoided` ones, for one call; nothing: there is none. Paths that start in
-    /// other data halls than the avoided ones come first among equals.
+    /// \returns The best path for one call to the data hall, except `avoided` ones, if there is any. Among paths of equal rank,
+    /// those that start in other data halls than the avoided ones come first.
     [[nodiscard]] std::optional<std::string> otherPath(const std::string& dataHall, const std::set<std::string>& avoided, MonotonicInstant now);
 
-    /// \brief A call that `relay` was given for the worker was answered by the worker.
-    /// \returns What is known anew of the path, if it changed.
+    /// \brief Notes that the worker answered a call through `relay`.
+    /// \returns The change of the path's state, if any.
     std::optional<PathChange> noteAnswered(const std::string& relay, const std::string& worker = {}, MonotonicInstant now = {}, const std::string& dataHall = {});
 
-    /// \brief The worker did not answer a call through `relay`: others are tried. A relay through which worker after
-    /// worker does not answer rests for a while, since it may be the one that is cut off; then it gets one worker
-    /// until that one answers.
+    /// \brief Notes that the worker did not answer a call through `relay`, and moves the worker to another relay. After
+    /// several consecutive unanswered calls the relay is suspended for a while, since it may be partitioned itself. It
+    /// then gets a single worker until that worker answers.
     void noteUnanswered(const std::string& relay, const std::string& worker, MonotonicInstant now);
 
-    /// \brief A call is overdue or was given up: evidence on the path. \param expectedAt When its answer was due.
-    /// \returns What is known anew of the path, if it changed.
+    /// \brief Notes an overdue or timed-out call as evidence against the path. \param expectedAt When its answer was due.
+    /// \returns The change of the path's state, if any.
     std::optional<PathChange> noteEvidence(const std::string& relay, const std::string& worker, const std::string& dataHall, MonotonicInstant expectedAt, MonotonicInstant now);
 
-    /// \returns An unreachable path that one call to a worker of the data hall should retry now, beside its others; nothing: none.
+    /// \returns An unreachable path that an additional call to a worker of the data hall should retry now, if any.
     [[nodiscard]] std::optional<std::string> takeRetry(const std::string& dataHall, MonotonicInstant now);
 
-    /// \returns Workers of the data hall that are assigned to the path.
+    /// \returns Number of workers of the data hall that are assigned to the path.
     [[nodiscard]] std::size_t workersOver(const std::string& path, const std::string& dataHall) const;
 
     [[nodiscard]] const ReachabilityTable& reachability() const noexcept { return m_reachability; }
 
-    /// \brief The worker is gone. \returns The relay that it had; empty: none.
+    /// \brief Removes a worker. \returns The relay that it was assigned to; empty: none.
     std::string forget(const std::string& worker);
 
-    /// \returns Relays that workers are assigned to now.
+    /// \returns Number of relays in use.
     [[nodiscard]] std::size_t relaysInUse() const noexcept { return m_inUse; }
 
-    /// \returns Workers that are known.
+    /// \returns Number of workers in the plan.
     [[nodiscard]] std::size_t workers() const noexcept { return m_places.size(); }
 
 private:
     struct Relay {
         double fullCapacity = 0; ///< In workers.
-        bool onProbation = false; ///< It rested, and no worker has answered through it since: it gets one.
+        bool onProbation = false; ///< No worker has answered through it since its suspension: it gets a single worker.
         std::size_t workers = 0;
-        std::map<std::size_t, std::size_t> workersByHall; ///< Without those of unknown data halls.
-        std::uint32_t unanswered = 0; ///< Calls in a row.
-        std::uint32_t rests = 0; ///< In a row.
-        MonotonicInstant restsUntil; ///< Gets no workers before.
+        std::map<std::size_t, std::size_t> workersByHall; ///< Excludes workers of unknown data halls.
+        std::uint32_t unanswered = 0; ///< Consecutive calls.
+        std::uint32_t rests = 0; ///< Consecutive suspensions.
+        MonotonicInstant restsUntil; ///< End of the suspension: it gets no workers before.
         bool inUse = false;
-        bool isWanted = false; ///< By the plan that is being made.
-        bool isDetour = false; ///< In use only for data halls that others do not reach.
+        bool isWanted = false; ///< Whether the plan in progress uses it.
+        bool isDetour = false; ///< Used only for data halls that the other relays do not reach.
 
         [[nodiscard]] double capacity() const noexcept { return onProbation ? 1.0 : fullCapacity; }
     };
 
     struct Place {
-        std::string relay; ///< Empty: called directly.
+        std::string relay; ///< Empty: the worker is called directly.
         std::size_t hall = 0; ///< See `ReachabilityTable::hallOf`.
     };
 
-    /// A path as it is ranked for calls to one data hall.
+    /// A path with its rank for calls to one data hall.
     struct Detour {
         std::string path;
-        std::string from; ///< Data hall where it starts.
+        std::string from; ///< Data hall where the path starts.
         PathRank rank = PathRank::MayReach;
-        bool isElsewhere = false; ///< It starts in another data hall.
-        double share = 0; ///< Of its capacity that is taken.
-        std::uint32_t taken = 0; ///< Calls since the ranking.
+        bool isElsewhere = false; ///< The path starts in another data hall than its target.
+        double share = 0; ///< Utilisation: workers by capacity.
+        std::uint32_t taken = 0; ///< Calls assigned to it since the ranking.
     };
 
     struct Detours {
@@ -150,17 +150,17 @@
     double m_ownCapacity;
     std::map<std::string, Relay> m_relays;
     std::map<std::string, Place> m_places; ///< By worker.
-    std::map<std::size_t, std::size_t> m_workersByHall; ///< Without those of unknown data halls.
+    std::map<std::size_t, std::size_t> m_workersByHall; ///< Excludes workers of unknown data halls.
     ReachabilityTable m_reachability;
-    bool m_isByLoad = false; ///< There are more workers than the owner's machine carries: it calls none itself.
+    bool m_isByLoad = false; ///< The workers exceed the capacity of the owner's machine: it calls none directly.
     std::size_t m_inUse = 0;
-    std::size_t m_plannedFor = 0; ///< Workers when the plan was made.
-    MonotonicInstant m_now; ///< Of the last call that told it.
-    std::optional<MonotonicInstant> m_restEndsAt; ///< Of the relay that rests the shortest; nothing: none rests.
+    std::size_t m_plannedFor = 0; ///< Number of workers when the plan was made.
+    MonotonicInstant m_now; ///< Latest time that was passed in.
+    std::optional<MonotonicInstant> m_restEndsAt; ///< Earliest end of a suspension, if any relay is suspended.
     bool m_awaitsProbe = false; ///< A relay on probation has no worker yet.
-    std::set<std::size_t> m_hallsWithoutPath; ///< No relay in use reaches them, by the last choice since the plan was made.
+    std::set<std::size_t> m_hallsWithoutPath; ///< Data halls that no relay in use was found to reach since the plan was made.
     std::map<std::size_t, Detours> m_detours; ///< By data hall.
-    double m_fairShare = 0; ///< Workers by capacity, if all relays in use carried the same share.
+    double m_fairShare = 0; ///< Workers by capacity if the load were even over all relays in use.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/relay/relayed_workers.h
+++ b/include/lanemoor/jobs/relay/relayed_workers.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The owner's calls to workers, carried by relays where there are too many for one machine.
+/// The owner's calls to workers, made through relays if there are too many for one machine.
 
 #include "lanemoor/jobs/model/admission_grants.h"
 #include "lanemoor/jobs/model/entry_demand.h"
@@ -22,43 +22,43 @@
 
 class WorkMeter;
 
-/// What relayed calls work with. All of it outlives them.
+/// Dependencies of `RelayedWorkers`. All of them must outlive it.
 struct RelayedWorkersParts {
     EventLoop* loop = nullptr;
-    PeerTransport* peers = nullptr; ///< Null: every call is made directly.
+    PeerTransport* peers = nullptr; ///< Null: all calls are made directly.
     WorkerControl* direct = nullptr;
     EventLog* log = nullptr;
-    WorkMeter* meter = nullptr; ///< Null: work is not measured.
-    std::function<void(const EntryDemand&)> demanded; ///< Hears what other entry instances were asked for. Null: nobody is told.
+    WorkMeter* meter = nullptr; ///< Optional.
+    std::function<void(const EntryDemand&)> demanded; ///< Called with the demand at other entry instances. Optional.
 };
 
-/// Counts of one process since its start.
+/// Counters of this process since its start.
 struct RelayCounts {
-    std::uint64_t direct = 0; ///< Calls that this process made itself.
-    std::uint64_t relayed = 0; ///< Calls that a relay was given.
-    std::uint64_t unanswered = 0; ///< Of them, those that had no answer in time, or whose relay was lost.
-    std::uint64_t relays = 0; ///< In use now.
-    std::uint64_t pathChanges = 0; ///< Paths that became unreachable for a data hall, or reachable again.
+    std::uint64_t direct = 0; ///< Calls that this process made directly.
+    std::uint64_t relayed = 0; ///< Calls that were sent to a relay.
+    std::uint64_t unanswered = 0; ///< Relayed calls that timed out or whose relay failed.
+    std::uint64_t relays = 0; ///< Currently in use.
+    std::uint64_t pathChanges = 0; ///< Times that a path became unreachable for a data hall, or reachable again.
 };
 
-/// \brief Hands calls to relays, in groups, and their answers back.
+/// \brief Sends calls to relays in batches, and passes their answers to the callers.
 ///
-/// A relay keeps nothing that must last: the owner's epoch stands in each order and its lease in each
-/// start, so that a call which a relay carries out late is fenced or late at the worker. A relay that
-/// says nothing for a while is lost: its calls are answered as unknown, which the owner settles as for
-/// any call without an answer, and its workers are given to others at their next call.
+/// A relay holds no durable state: each command carries the owner's epoch and each start its lease, so the
+/// worker rejects a call that a relay makes too late. A relay that sends nothing for a while is considered
+/// failed: its calls end with an unknown outcome, which the owner handles as for any unanswered call, and
+/// its workers are reassigned at their next call.
 class RelayedWorkers final : public WorkerControl {
 public:
-    /// \param ownHall Data hall of this process; empty: not known.
+    /// \param ownHall Data hall of this process; empty: unknown.
     RelayedWorkers(RelayedWorkersParts parts, RelayOptions options, double ownCores, ReachabilityOptions reachability = {}, std::string ownHall = {});
     ~RelayedWorkers() override;
     RelayedWorkers(const RelayedWorkers&) = delete;
     RelayedWorkers& operator=(const RelayedWorkers&) = delete;
 
-    /// \brief Begins to take relays in, at the beginning of a term.
+    /// \brief Starts to accept relays, at the beginning of a term.
     void activate();
 
-    /// \brief Lets all relays go; calls under way are answered as unknown.
+    /// \brief Disconnects all relays; calls in flight end with an unknown outcome.
     void deactivate();
 
     void start(const WorkerLife& worker, const StartOrder& order, std::function<void(OrderResult)> done) override;
@@ -68,13 +68,13 @@
     void noteOverdue(const WorkerLife& worker) override;
     void forget(const WorkerLife& worker) override;
 
-    /// \brief Sends each linked instance its part of what all may admit; those that link later get it too.
-    /// \returns The part of one instance, this one included.
+    /// \brief Sends every connected instance its share of the budgets; instances that connect later get it too.
+    /// \returns The share of one instance, which is the same for all and also applies to this one.
     AdmissionGrants grant(const AdmissionGrants& grants);
 
     [[nodiscard]] RelayCounts counts() const noexcept;
 
-    /// \returns Which data halls are reached over which paths, by the outcome of calls of this term.
+    /// \returns The reachability of data halls over paths, from the outcomes of calls of this term.
     [[nodiscard]] std::shared_ptr<const Reachability> reachability() const;
 
 private:
--- a/include/lanemoor/jobs/service/job_metrics.h
+++ b/include/lanemoor/jobs/service/job_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Metrics of the job service, in Prometheus' text format.
+/// Metrics of the job service, in the Prometheus text format.
 
 #include "lanemoor/jobs/intake/job_intake.h"
 #include "lanemoor/jobs/model/store_condition.h"
@@ -24,40 +24,40 @@
 struct FleetCounts;
 struct RelayCounts;
 
-/// What one copy of a part of the store has read.
+/// State of the replica of one key prefix of the store.
 struct CopyReading {
     std::string name;
     StoreMirrorCounts counts;
-    double ageSeconds = 0; ///< Since the time as of which it is known to hold all.
+    double ageSeconds = 0; ///< Since the time as of which the replica is known to be complete.
 };
 
-/// What is read at the moment of a scrape.
+/// Values that are read at each scrape.
 struct MetricsReading {
     bool ready = false;
     bool owner = false;
     std::uint64_t configurationVersion = 0;
-    double configurationAgeSeconds = 0; ///< Since the store was known to hold no newer one.
+    double configurationAgeSeconds = 0; ///< Since the store was last known to hold no newer version.
     DocumentCopyCounts configurationReads;
-    std::uint64_t jobs = 0; ///< Known from the store.
-    double storeAgeSeconds = 0; ///< Since the copy of the jobs was last known to be fresh.
+    std::uint64_t jobs = 0; ///< In the replica of the store.
+    double storeAgeSeconds = 0; ///< Since the replica of the jobs was last known to be up to date.
     std::vector<CopyReading> copies;
     StoreState storeState = StoreState::Writing;
     HedgeCounts hedges;
-    std::uint64_t unsavedChanges = 0; ///< Jobs that changed and are not stored yet.
-    double unsavedOldestSeconds = 0; ///< Since the first of them changed.
+    std::uint64_t unsavedChanges = 0; ///< Jobs with changes that are not stored yet.
+    double unsavedOldestSeconds = 0; ///< Since the oldest of these changes.
     std::uint64_t unreadableItems = 0;
     std::uint64_t logLinesDropped = 0;
     std::uint64_t decisionsOmitted = 0;
-    std::uint64_t carriedCalls = 0; ///< That this process carried for an owner elsewhere.
-    std::vector<OrganisationReport> organisations; ///< As the owner knows them; none elsewhere.
-    EvacuationsReport evacuations; ///< As the owner knows them; no data halls elsewhere.
-    std::map<std::string, std::uint32_t> ejectedWorkers; ///< Ejected or probing, by pool; none elsewhere.
-    WorkReading work; ///< What the process's thread was at work on.
-    std::shared_ptr<const Reachability> reachability; ///< As the owner knows it; null: not known.
+    std::uint64_t carriedCalls = 0; ///< Calls that this process relayed for another owner.
+    std::vector<OrganisationReport> organisations; ///< Empty unless this process is the owner.
+    EvacuationsReport evacuations; ///< Without data halls unless this process is the owner.
+    std::map<std::string, std::uint32_t> ejectedWorkers; ///< Ejected or probing workers by pool; empty unless this process is the owner.
+    WorkReading work; ///< Time of the process's thread by kind of work.
+    std::shared_ptr<const Reachability> reachability; ///< Null: unknown.
 };
 
-/// \brief The metrics of one process of the job service. Labels take few values: outcomes, and
-/// the operators' queues.
+/// \brief The metrics of one process of the job service. The cardinality of labels is bounded: outcomes, reasons
+/// and configured queues.
 class JobMetrics {
 public:
     JobMetrics();
@@ -65,23 +65,24 @@
     JobMetrics(const JobMetrics&) = delete;
     JobMetrics& operator=(const JobMetrics&) = delete;
 
-    /// \brief Counts a job that was handed in, and how long its caller waited.
+    /// \brief Counts a submitted job, and observes how long its caller waited.
     void noteHandedIn(const std::string& queue, AcceptOutcome outcome, double seconds);
 
-    /// \brief Counts a job that was refused for its organisation's share.
-    /// \param reason One of a few fixed words.
+    /// \brief Counts a job that was refused because its organisation's share is used up.
+    /// \param reason One of a fixed set of names.
     void noteRefused(const std::string& queue, const std::string& reason);
 
-    /// \brief Counts a request to cancel.
+    /// \brief Counts a request to cancel a job.
     void noteCancel(LookupOutcome outcome, double seconds);
 
-    /// \brief Counts a status that was asked for.
+    /// \brief Counts a status request.
     void noteLookup(LookupOutcome outcome);
 
-    /// \brief Counts a description that could not be read.
+    /// \brief Counts a job description that could not be parsed.
     void noteRejected();
 
-    /// \param reason One of a few fixed words.
+    /// \brief Counts a call that was refused for its route or key, or deferred.
+    /// \param reason One of a fixed set of names.
     void noteTurnedAway(const std::string& reason);
 
     /// \returns All metrics as text.
--- a/include/lanemoor/jobs/service/job_service.h
+++ b/include/lanemoor/jobs/service/job_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One entry instance of the job service: takes jobs, and runs them while it owns the shard.
+/// One entry instance of the job service: accepts jobs, and runs them while it owns the shard.
 
 #include "lanemoor/jobs/intake/caller_access.h"
 #include "lanemoor/jobs/intake/job_intake.h"
@@ -25,12 +25,12 @@
 
 namespace lanemoor::jobs {
 
-/// What lies outside the service. All of it outlives the service.
+/// Dependencies of the service. All of them must outlive it.
 struct JobServiceParts {
     EventLoop* loop = nullptr;
     KeyValueStore* store = nullptr;
     WorkerControl* workers = nullptr;
-    PeerTransport* peers = nullptr; ///< Null: the owner calls every worker itself.
+    PeerTransport* peers = nullptr; ///< Null: the owner calls every worker directly.
     std::string peerAddress; ///< Where other instances reach `peers`.
     FleetControl* fleet = nullptr;
     PlacementAdvisor* advisor = nullptr;
@@ -38,22 +38,22 @@
     EventLog* log = nullptr;
 };
 
-/// Whether a caller's request is let in.
+/// Whether a caller's request is admitted.
 enum class Admission {
     LetIn,
-    Later, ///< Nothing is known that would refuse it, and it can't be handled now: it has not run.
+    Later, ///< The request is not refused but can't be handled now. It was not executed, so the caller can retry.
     NoSuchQueue,
-    KeyRefused, ///< The key is missing, or nobody holds it.
+    KeyRefused, ///< The key is missing or unknown.
 };
 
-/// What is known of a request before its body is read.
+/// Result of the check of a request before its body is read.
 struct AdmittedCall {
     Admission admission = Admission::Later;
-    Caller caller; ///< Meaningful if it is let in.
-    std::string job; ///< What stands behind the queue's prefix; empty: the request is about the queue.
+    Caller caller; ///< Only valid if the request is admitted.
+    std::string job; ///< Path after the queue's prefix; empty: the request concerns the queue.
 };
 
-/// \brief One entry instance.
+/// \brief One entry instance of the job service.
 class JobService {
 public:
     JobService(const JobServiceParts& parts, const JobServiceSettings& settings);
@@ -61,39 +61,39 @@
     JobService(const JobService&) = delete;
     JobService& operator=(const JobService&) = delete;
 
-    /// \brief Begins to read the store and to compete for the ownership.
+    /// \brief Starts to read the store and to compete for the ownership.
     void start();
 
-    /// \brief Planned stop: takes no jobs, passes the ownership on, answers what it has.
-    /// \param done Called when nothing is left to do.
+    /// \brief Planned stop: reports not ready, releases the ownership, and serves until all calls are answered or time is up.
+    /// \param done Called when the service has stopped.
     void stop(const std::function<void()>& done);
 
-    /// \returns The configuration in force here, or null before the first.
+    /// \returns The configuration in force here, or null before the first one was read.
     [[nodiscard]] std::shared_ptr<const ServiceConfiguration> configuration() const;
 
-    /// \returns Whether callers' requests can be handled at all.
+    /// \returns Whether callers' requests can be handled: the configuration and the store's state are loaded.
     [[nodiscard]] bool takesRequests() const;
 
-    /// \returns Whether the balancer should send callers here.
+    /// \returns Whether the load balancer should send callers here.
     [[nodiscard]] bool isReady() const;
 
-    /// \returns When a caller that was refused should come back.
+    /// \returns Delay after which a refused caller should retry.
     [[nodiscard]] Millis retryAfter() const noexcept;
 
-    /// \returns Within whole seconds, how long the caller of a submission should wait that the store did not take or answer.
+    /// \returns Delay in whole seconds after which the caller should retry a submission that the store rejected or did not answer.
     [[nodiscard]] Millis retryAfter(const std::string& submission);
 
-    /// \returns When a caller should come back whose job was refused for its organisation's share.
+    /// \returns Delay after which the caller should retry a job that was refused because its organisation's share is used up.
     [[nodiscard]] Millis retryAfterRefusal(const Caller& caller) const;
 
     /// \name Callers
     ///@{
-    /// \brief Finds the queue of a request and checks its key, by one configuration.
+    /// \brief Finds the queue of a request and checks its key, both by the same configuration.
     ///
-    /// A configuration that may have been replaced longer ago than `configurationApplyTime` decides nothing: the call comes again
-    /// later. Calls that are refused or deferred are counted and logged.
-    /// \param host Without its port.
-    /// \param key As the caller sent it, if any.
+    /// Calls are deferred while the configuration may have been replaced longer than `configurationApplyTime` ago.
+    /// Refused and deferred calls are counted and logged.
+    /// \param host Without port.
+    /// \param key As sent by the caller, if any.
     [[nodiscard]] AdmittedCall admit(std::string_view host, std::string_view path, std::optional<std::string_view> key);
     void submit(const Caller& caller, const std::string& id, JobSpec spec, std::function<void(AcceptOutcome)> done);
     void noteRejected(const std::string& id, JobFault fault);
@@ -101,12 +101,12 @@
     void status(const Caller& caller, const std::string& id, const std::function<void(LookupOutcome, JobStatus)>& done);
     void cancel(const Caller& caller, const std::string& id, std::function<void(LookupOutcome)> done);
 
-    /// \param done Called with the accepted jobs of the queue of which nothing has begun, or with nothing while that is not known.
-    /// May be called from within.
+    /// \param done Called with the number of accepted jobs of the queue that have not started, or with nothing if it is unknown.
+    /// May be called synchronously.
     void pending(const std::string& queue, const std::function<void(std::optional<std::uint64_t>)>& done);
     ///@}
 
-    /// \name Without a check of the caller, for operators
+    /// \name For operators, without a check of the caller
     ///@{
     void submit(const std::string& queue, const std::string& id, JobSpec spec, std::function<void(AcceptOutcome)> done);
     void status(const std::string& id, const std::function<void(LookupOutcome, JobStatus)>& done);
@@ -115,28 +115,28 @@
 
     /// \name Operators
     ///@{
-    /// \returns Jobs of `queue`, or of all, at most `most`, ordered by id.
+    /// \returns Up to `most` jobs of `queue`, or of all queues, ordered by id.
     [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t most) const;
 
-    /// \returns What this instance knows of the job; nothing if it knows none.
+    /// \returns This instance's report on the job; nothing if the job is not in its catalog.
     [[nodiscard]] std::optional<JobReport> job(const std::string& id) const;
 
     [[nodiscard]] std::vector<ShardReport> shards() const;
 
-    /// \returns What each organisation has running against its quota, as the owner knows it.
+    /// \returns The usage and quota of each organisation; empty unless this instance is the owner.
     [[nodiscard]] OrganisationsReport organisations() const;
 
-    /// \returns Data halls that are evacuated or lost, as far as this instance knows.
+    /// \returns Data halls that are evacuated or lost; empty unless this instance is the owner.
     [[nodiscard]] EvacuationsReport evacuations() const;
 
-    /// \returns All workers and their health, as the owner judges them.
+    /// \returns All workers and their health; empty unless this instance is the owner.
     [[nodiscard]] WorkersReport workers() const;
     ///@}
 
-    /// \returns Counts of this process as an owner, as its metrics show them.
+    /// \returns Counters of this process as an owner, as in its metrics.
     [[nodiscard]] const SchedulerCounts& schedulerCounts() const noexcept;
 
-    /// \returns Metrics in Prometheus' text format.
+    /// \returns Metrics in the Prometheus text format.
     [[nodiscard]] std::string metrics() const;
 
 private:
--- a/include/lanemoor/jobs/service/policies.h
+++ b/include/lanemoor/jobs/service/policies.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What can be switched and weighed in the decisions, for experiments and ablations.
+/// Options of all decision policies, for settings, experiments and ablations.
 
 #include "lanemoor/jobs/intake/job_lookup.h"
 #include "lanemoor/jobs/policy/admission_options.h"
@@ -15,7 +15,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief All policies of the job service. The defaults are what measured best.
+/// \brief All policies of the job service.
 struct Policies {
     AdmissionOptions admission;
     CapacityOptions capacity;
--- a/include/lanemoor/jobs/service/store_access.h
+++ b/include/lanemoor/jobs/service/store_access.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The way of one process to the store: the platform's adapter behind its decorators.
+/// Access of a process to the store: the platform's adapter with its decorators.
 
 #include "lanemoor/jobs/store/hedged_store.h"
 #include "lanemoor/jobs/store/observed_store.h"
@@ -11,25 +11,25 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Observes every call to the platform's store, and repeats those whose answers are overdue.
+/// \brief Observes every call to the platform's store, and repeats calls whose answers are overdue.
 class StoreAccess {
 public:
-    /// \param platform Outlives this object, as do `loop` and `log`.
+    /// \param platform Must outlive this object, like `loop` and `log`.
     StoreAccess(EventLoop& loop, KeyValueStore& platform, EventLog& log, const StoreOutageOptions& options);
 
-    /// \returns What the service calls; the platform's adapter itself if this part is switched off.
+    /// \returns The decorated store; the platform's adapter itself if the decorators are disabled.
     [[nodiscard]] KeyValueStore& store() noexcept;
 
-    /// \brief Adds an observer of the store's condition; it is never called if this part is switched off.
+    /// \brief Adds an observer of the store's condition; it is never called if the decorators are disabled.
     void observe(StoreConditionObserver observer);
 
-    /// \returns The newest condition; never null.
+    /// \returns The latest condition; never null.
     [[nodiscard]] std::shared_ptr<const StoreCondition> condition() const;
 
-    /// \returns When the newest answered call was sent.
+    /// \returns When the latest answered call was sent.
     [[nodiscard]] MonotonicInstant answeredAt() const noexcept;
 
-    /// \brief Sends waiting reads and transactions that were last sent before `sentBefore` once more.
+    /// \brief Resends pending reads and transactions that were last sent before `sentBefore`.
     void resendWaiting(MonotonicInstant sentBefore);
 
     [[nodiscard]] HedgeCounts hedges() const noexcept;
--- a/src/jobs/operator/operator_api.cpp
+++ b/src/jobs/operator/operator_api.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned notFound = 404;
 constexpr unsigned notAllowed = 405;
 constexpr unsigned unavailable = 503;
-constexpr std::size_t mostJobsListed = 1'000; // Some 100 bytes each.
+constexpr std::size_t mostJobsListed = 1'000; // About 100 bytes each.
 constexpr std::string_view jobsPath = "/v1/jobs";
 constexpr std::string_view organisationsPath = "/v1/organisations";
 constexpr std::string_view evacuationsPath = "/v1/evacuations";
@@ -38,7 +38,7 @@
     return response;
 }
 
-/// \returns The value of `queue` in a query, or nothing.
+/// \returns The `queue` parameter of the target's query, if any.
 std::optional<std::string> queueIn(std::string_view target)
 {
     constexpr std::string_view name = "?queue=";
--- a/src/jobs/relay/admission_codec.h
+++ b/src/jobs/relay/admission_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Admission grants as they travel from the owner to entry instances.
+/// Conversion of admission grants to and from the relay protocol.
 
 #include "generated/relay.pb.h"
 #include "lanemoor/jobs/model/admission_grants.h"
--- a/src/jobs/relay/demand_codec.h
+++ b/src/jobs/relay/demand_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Reports of demand as they travel from an entry instance to the owner.
+/// Conversion of demand reports to and from the relay protocol.
 
 #include "generated/relay.pb.h"
 #include "lanemoor/jobs/model/entry_demand.h"
--- a/src/jobs/relay/open_calls.h
+++ b/src/jobs/relay/open_calls.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Calls to workers that are not answered yet, by worker.
+/// Unanswered calls to workers, by worker.
 
 #include "lanemoor/decisions/time.h"
 #include "lanemoor/jobs/model/event_loop.h"
@@ -16,31 +16,31 @@
 
 namespace lanemoor::jobs {
 
-/// A call under way.
+/// A call in flight.
 struct OpenCall {
-    std::string path; ///< The relay's name; empty: the owner's own call.
+    std::string path; ///< The relay's name; empty: a direct call of the owner.
     std::string worker;
     std::string dataHall; ///< Of the worker.
-    MonotonicInstant expectedAt; ///< When it was sent, or when its wait for an end is over.
+    MonotonicInstant expectedAt; ///< When the answer was due: the time of sending, plus the time that the worker may wait before it answers.
     bool isOverdue = false;
 };
 
-/// \brief Knows which calls to a worker are open, and over which paths calls to it are overdue.
+/// \brief Tracks the unanswered calls to each worker, and the paths on which calls are overdue.
 class OpenCalls {
 public:
     void add(std::uint64_t call, OpenCall open);
 
-    /// \brief A call ended. \returns It, or nothing if it is not known.
+    /// \brief Removes a call that ended. \returns The call, or nothing if it is unknown.
     std::optional<OpenCall> take(std::uint64_t call);
 
-    /// \brief The worker's incarnation is over: its calls say nothing of their paths any more.
+    /// \brief Removes all calls to a worker whose incarnation ended: their outcomes are no evidence on paths.
     void forget(const std::string& worker);
 
-    /// \brief Marks the worker's calls whose answer should be there by now.
-    /// \returns Those that were not marked before.
+    /// \brief Marks the overdue calls to a worker.
+    /// \returns The calls that were not marked before.
     std::vector<OpenCall> markOverdue(const std::string& worker, MonotonicInstant now);
 
-    /// \returns Paths over which calls to the worker are overdue.
+    /// \returns Paths with overdue calls to the worker.
     [[nodiscard]] std::set<std::string> overduePaths(const std::string& worker) const;
 
     void clear();
@@ -48,7 +48,7 @@
 private:
     struct WorkerCalls {
         std::vector<std::uint64_t> calls;
-        std::size_t overdue = 0; ///< Of them.
+        std::size_t overdue = 0; ///< Number of these calls that are overdue.
     };
 
     std::map<std::uint64_t, OpenCall> m_calls;
--- a/src/jobs/relay/order_relay.cpp
+++ b/src/jobs/relay/order_relay.cpp
@@ -19,19 +19,20 @@
 namespace {
 
 constexpr Millis reconnectPause { 300 };
-/// An owner accepts a bounded number of links: instances beyond it come back more seldom. Not much more: a path that was cut looks the
-/// same.
+/// An owner accepts a bounded number of links, and instances beyond it reconnect at growing intervals. The bound is low since a
+/// partitioned path can't be told from a refused link.
 constexpr Millis maxReconnectPause { 3'000 };
-/// A refusal tells of the owner only soon after its link broke: later, the break may have had another cause.
+/// A refused connection proves the end of the owner's process only within this time after its link broke: later, the break may have
+/// had another cause.
 constexpr Millis refusalCounts { 1'000 };
-/// A call that came so much later than the fastest one of its link is not made: this machine was
-/// frozen or far behind, and the owner gives calls up after 1.1 s.
+/// A call with a delay this much above the link's minimum is not made: this machine was frozen or overloaded, and calls time out at
+/// the owner after 1.1 s.
 constexpr Millis oldestCall { 400 };
-/// A payload that the store does not give in this time is not waited for: the owner sends it along then. The store
-/// answers in 4 ms, and in some 200 ms while it is slow.
+/// After this time without a payload from the store, the start is returned and the owner sends the payload with the call. The store
+/// answers in 4 ms, and in about 200 ms while it is slow.
 constexpr Millis payloadPatience { 250 };
-constexpr Millis demandGap { 250 }; // Between two reports of demand: the owner plans each 100 ms, and each frame is paid for.
-constexpr Millis storePause { 2'000 }; // Before the store is asked for a payload again.
+constexpr Millis demandGap { 250 }; // Between demand reports: the owner plans every 100 ms, and each frame costs processor time.
+constexpr Millis storePause { 2'000 }; // Before the next read of a payload after a failed one.
 
 } // namespace
 
@@ -102,7 +103,7 @@
         m_link = m_parts.peers->connect(m_address);
         m_heardAt = m_parts.loop->now();
         m_fastest.reset();
-        // What was asked for before the link says nothing of the load now.
+        // Demand from before the link says nothing about the current load.
         if (m_parts.takeDemand)
             static_cast<void>(m_parts.takeDemand());
         m_link->observe({ .received = [self = weak_from_this(), generation = m_generation](const std::string& frame) {
@@ -118,7 +119,7 @@
         watchLink();
     }
 
-    /// The owner may yet be there: it is tried again until another one is heard of.
+    /// Handles the end of the link. The owner may still be running, so the relay reconnects until another owner is known.
     void ended(const char* reason)
     {
         m_parts.log->decision("relay-link-ended", { { "owner", m_address }, { "reason", std::string(reason) }, { "calls", static_cast<std::int64_t>(inFlight) } });
@@ -130,14 +131,14 @@
             m_refusalCountsUntil = now + refusalCounts;
         else if (refused && now < m_refusalCountsUntil)
             noteOwnerGone();
-        // The first try after a break tells whether the owner's process is there.
+        // The first attempt after a break shows whether the owner's process still runs.
         m_parts.loop->callAt(now + (broke ? Millis(0) : nextPause()), [self = weak_from_this()] {
             if (const auto impl = self.lock())
                 impl->connect();
         });
     }
 
-    /// \returns A pause that doubles up to its maximum, of which a random half is left out.
+    /// \returns A random pause between half of the current maximum and all of it; the maximum doubles with each call, up to a bound.
     Millis nextPause()
     {
         const Millis longest = std::exchange(m_reconnectPause, std::min(2 * m_reconnectPause, maxReconnectPause));
@@ -185,12 +186,12 @@
             m_parts.workers->forget({ .id = life.worker(), .address = life.address() });
         if (frame.has_admission() && m_parts.granted && !isOld)
             m_parts.granted(grantsOf(frame.admission()));
-        // The owner hears from here whenever it says something.
+        // Every frame is answered, so that the owner can detect a broken link. Calls are answered anyway.
         if (frame.calls().empty())
             sendSoon();
     }
 
-    /// The two clocks differ by an unknown constant: the smallest difference seen stands for no delay.
+    /// The offset of the two clocks is unknown but constant: the smallest difference on the link counts as no delay.
     bool isLate(std::int64_t sentAtMicros)
     {
         const std::int64_t passed = m_parts.loop->now().time_since_epoch().count() - sentAtMicros;
@@ -237,7 +238,7 @@
             m_parts.workers->start(worker, order, answerTo<OrderResult>(call.call()));
             return;
         }
-        // Whoever comes first decides: the payload, or the end of the patience. What is not sent by then is never sent.
+        // Either the payload or the timeout settles the start. A start that is not sent by the timeout is never sent.
         const auto isSettled = std::make_shared<bool>(false);
         const std::function<void(OrderResult)> done = answerTo<OrderResult>(call.call());
         const auto refuse = [self = shared_from_this(), isSettled, done] {
@@ -253,7 +254,7 @@
         const std::string job = order.attempt.job;
         const MonotonicInstant deadline = m_parts.loop->now() + payloadPatience;
         m_payloads->read(job, [self = shared_from_this(), isSettled, refuse, worker, order = std::move(order), done, deadline](const std::optional<std::string>& payload) mutable {
-            // After a pause of this process the payload may come before the timer that ends the patience.
+            // After a pause of this process the payload may arrive before the expired timer runs.
             if (!payload || self->m_parts.loop->now() > deadline) {
                 refuse();
                 return;
@@ -317,19 +318,19 @@
     std::shared_ptr<PayloadReader> m_payloads;
     std::string m_address; ///< Of the owner.
     std::shared_ptr<PeerLink> m_link;
-    std::uint64_t m_generation = 0; ///< Of the link: what belongs to an earlier one is not heard.
-    wire::RelayFrame m_frame; ///< That is being gathered.
+    std::uint64_t m_generation = 0; ///< Of the link: callbacks of earlier links are ignored.
+    wire::RelayFrame m_frame; ///< The next frame, while it is filled.
     bool m_gathering = false;
-    Millis m_reconnectPause = reconnectPause; ///< Before the next try.
+    Millis m_reconnectPause = reconnectPause; ///< Max pause before the next attempt.
     std::minstd_rand m_random; ///< Seeded by the name.
-    bool m_isLinked = false; ///< The owner was heard over the link.
+    bool m_isLinked = false; ///< Whether the owner sent a frame over the link.
     MonotonicInstant m_refusalCountsUntil;
-    bool m_demandWaits = false; ///< A report of demand is due or on its way.
+    bool m_demandWaits = false; ///< Whether a demand report is scheduled.
     MonotonicInstant m_demandSentAt;
     bool m_leaving = false;
-    MonotonicInstant m_storeSilentUntil; ///< It gave no payload a short time ago.
+    MonotonicInstant m_storeSilentUntil; ///< No payload is read before, since a read failed.
     MonotonicInstant m_heardAt;
-    std::optional<std::int64_t> m_fastest; ///< Least difference of the two clocks, in us.
+    std::optional<std::int64_t> m_fastest; ///< Min difference between receive and send time on the link, in us.
 };
 
 OrderRelay::OrderRelay(OrderRelayParts parts, std::string name, double cores, std::string dataHall)
--- a/src/jobs/relay/payload_reader.cpp
+++ b/src/jobs/relay/payload_reader.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Some 5 kB each at the most: 1.3 MB of the 160 MB that the smallest machines have.
+/// At most about 5 kB each: 1.3 MB of the 160 MB of the smallest machines.
 constexpr std::size_t mostPayloads = 256;
 
 } // namespace
--- a/src/jobs/relay/payload_reader.h
+++ b/src/jobs/relay/payload_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Payloads of jobs, read from the store by those who start their tasks for the owner.
+/// Reads payloads of jobs from the store, for relays that start their tasks.
 
 #include "lanemoor/jobs/model/key_value_store.h"
 
@@ -14,14 +14,14 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Reads a job's payload once, and keeps the latest ones. A payload never changes.
+/// \brief Reads each job's payload once and caches the latest ones. The payload of a job never changes.
 class PayloadReader : public std::enable_shared_from_this<PayloadReader> {
 public:
     using Done = std::function<void(const std::optional<std::string>& payload)>;
 
     explicit PayloadReader(KeyValueStore& store);
 
-    /// \param done Told the payload, at once if it is known; nothing if the store did not give it.
+    /// \param done Called with the payload, synchronously if it is cached; with nothing if the read failed.
     void read(const std::string& job, Done done);
 
 private:
@@ -30,8 +30,8 @@
 
     KeyValueStore& m_store;
     std::map<std::string, std::string> m_payloads; ///< By job.
-    std::deque<std::string> m_order; ///< The same jobs, oldest first.
-    std::map<std::string, std::vector<Done>> m_waiting; ///< By job.
+    std::deque<std::string> m_order; ///< The cached jobs, oldest first.
+    std::map<std::string, std::vector<Done>> m_waiting; ///< Callbacks of reads in flight, by job.
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/relay/reach_log.h
+++ b/src/jobs/relay/reach_log.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Log lines on paths and the data halls that they reach.
+/// Log events on the reachability of data halls over paths.
 
 #include "lanemoor/jobs/policy/reachability.h"
 
@@ -16,7 +16,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Writes one line for each path that changes, and one when the last path to a data hall is lost or the first is back.
+/// \brief Logs each state change of a path, and when a data hall becomes unreachable over all paths or reachable again.
 class ReachLog {
 public:
     explicit ReachLog(EventLog& log)
@@ -24,21 +24,21 @@
     {
     }
 
-    /// \param next Where calls to the data hall go now; nothing: there is no other path, or none is needed.
-    /// \param workers That were called over the path. \param after What is known after the change.
+    /// \param next Path that calls to the data hall take now; nothing: there is no other path, or none is needed.
+    /// \param after Reachability after the change.
     void note(const PathChange& change, const std::optional<std::string>& next, const Reachability& after);
 
-    /// \brief A term ended: its data halls are not known any more.
+    /// \brief Resets the unreachable data halls at the end of a term.
     void forget() { m_unreachable.clear(); }
 
-    /// \returns Changes noted since the start of the process.
+    /// \returns Number of path changes since the start of the process.
     [[nodiscard]] std::uint64_t pathChanges() const noexcept { return m_pathChanges; }
 
 private:
     void noteHall(const PathChange& change, const Reachability& after, std::int64_t ageMillis);
 
     EventLog* m_log;
-    std::set<std::string> m_unreachable; ///< Data halls that no path reaches.
+    std::set<std::string> m_unreachable; ///< Data halls.
     std::uint64_t m_pathChanges = 0;
 };
 
--- a/src/jobs/relay/relay_codec.cpp
+++ b/src/jobs/relay/relay_codec.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// A longer payload is read by the relay, once for all tasks of the job that it starts. A read costs
-/// some 300 bytes of headers, and a job has some 24 tasks with up to 4,000 bytes each.
+/// The relay reads a longer payload from the store, once for all tasks of the job that it starts. A read costs about 300 bytes of
+/// headers, and a job has about 24 tasks with up to 4,000 bytes each.
 constexpr std::size_t mostPayloadInCall = 200;
 
 void write(wire::RelayAttempt& message, const Attempt& attempt)
@@ -24,7 +24,7 @@
     message.set_epoch(epoch);
 }
 
-/// Codes are the enumerators' numbers: both ends are of one version but for a rolling update.
+/// Codes are the enumerators' values: both ends run the same version, except during a rolling update.
 OrderOutcome outcomeOf(std::uint32_t code)
 {
     return code <= static_cast<std::uint32_t>(OrderOutcome::Unknown) ? static_cast<OrderOutcome>(code) : OrderOutcome::Unknown;
--- a/src/jobs/relay/relay_codec.h
+++ b/src/jobs/relay/relay_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Calls and answers as they travel between the owner and its relays.
+/// Conversion of calls and answers to and from the relay protocol.
 
 #include "generated/relay.pb.h"
 #include "lanemoor/jobs/model/worker_control.h"
@@ -9,14 +9,13 @@
 
 namespace lanemoor::jobs {
 
-/// \returns Whether the payload is long enough to be read from the store by the relay: once for all tasks of the
-/// job that it starts.
+/// \returns Whether the relay should read the payload from the store instead of receiving it with each call.
 [[nodiscard]] bool isLongPayload(const StartOrder& order) noexcept;
 
-/// \name Into the message
-/// `call` names the call; the worker and the kind are set.
+/// \name Encoding
+/// Sets the worker and the kind of a call; the caller sets the number of the call.
 ///@{
-/// \param refers Whether the relay is to read a long payload from the store.
+/// \param refers Whether the relay reads the payload from the store.
 void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refers);
 void fillStop(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch);
 void fill(wire::RelayCall& message, const WorkerLife& worker, const RenewOrder& order);
@@ -25,8 +24,8 @@
 void fill(wire::RelayAnswer& message, const RenewResult& result);
 ///@}
 
-/// \name Out of the message
-/// A value that this version does not know reads as an unknown outcome.
+/// \name Decoding
+/// An outcome that this version does not define is decoded as `Unknown`.
 ///@{
 [[nodiscard]] WorkerLife lifeOf(const wire::RelayCall& message);
 [[nodiscard]] Attempt attemptOf(const wire::RelayAttempt& message);
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -13,23 +13,23 @@
 namespace {
 
 constexpr double unknownCores = 1.0;
-constexpr double leastCapacity = 1.0; // A relay carries one worker at least.
-/// A relay gives workers away once it has so many more than its share. Relays come one after the
-/// other, and the first ones would keep all workers.
+constexpr double leastCapacity = 1.0; // Every relay can serve one worker.
+/// Max ratio of a relay's workers to its fair share; beyond it workers are reassigned. Relays join one after the other, and
+/// without this the first ones would keep all workers.
 constexpr double unevenness = 1.25;
-/// Calls in a row without an answer of a worker. A lost rack has some 12 workers, whose calls are spread over relays and
-/// mixed with those of others.
+/// Consecutive unanswered calls that suspend a relay. A failed rack has about 12 workers, but their calls are spread over relays
+/// and mixed with calls to other workers.
 constexpr std::uint32_t unansweredToRest = 8;
 constexpr Millis rest { 5'000 };
-constexpr std::uint32_t mostDoublings = 3; // Of the rest, if it is in vain.
-/// The plan is made anew when the number of workers has changed by one in so many. Each move of an instance ends a life and
-/// begins another: at a turn of load 600 of 1,100 in a second, each of which sorted 146 relays twice.
+constexpr std::uint32_t mostDoublings = 3; // Of the suspension, while no worker answers after it.
+/// The plan is recomputed when the number of workers has changed by one in this many. Each move of an instance removes a worker and
+/// adds one: a shift of load moves 600 of 1,100 instances in a second, and recomputing for each of them sorted 146 relays twice.
 constexpr std::size_t planSteps = 100;
-/// A relay that carries the workers of a data hall which others do not reach gets so many times its capacity.
+/// Max workers of a relay as a multiple of its capacity, while other relays do not reach a data hall.
 constexpr double mostOverCapacity = 2.0;
-/// The ranks of detours are kept for so long; a change of a path ends them sooner.
+/// Max age of the ranking of paths; a state change of a path invalidates it earlier.
 constexpr Millis detoursLast { 100 };
-/// Shares of capacity that differ by less count as even.
+/// Smaller differences in utilisation don't move a worker.
 constexpr double leastGap = 0.1;
 
 } // namespace
@@ -113,7 +113,7 @@
         resize();
         return;
     }
-    // Any other one in use.
+    // Takes the first other relay in use that is no more loaded.
     for (auto& [name, other] : m_relays) {
         if (name == relay || !other.inUse || other.workers > found->second.workers + 1)
             continue;
@@ -230,7 +230,7 @@
         resize();
 }
 
-/// Takes as many relays into use as the workers need, and lets those go that are far too many.
+/// Selects the relays that the workers need, and releases surplus ones.
 void RelayPlan::resize()
 {
     m_plannedFor = m_places.size();
@@ -261,7 +261,7 @@
     m_isByLoad = capacity > 0;
 }
 
-/// Takes further relays into use for data halls that those in use do not reach.
+/// Selects further relays for data halls that the selected ones do not reach.
 void RelayPlan::useDetours(const std::vector<std::pair<const std::string, Relay>*>& largestFirst)
 {
     for (const auto& [hall, workers] : m_workersByHall) {
@@ -318,7 +318,7 @@
     m_fairShare = capacityInUse > 0 ? static_cast<double>(m_plannedFor) / capacityInUse : 0;
 }
 
-/// \returns Whether the owner itself may call further workers whose data hall no relay reaches.
+/// \returns Whether the owner has capacity to call further workers directly whose data hall no relay reaches.
 bool RelayPlan::hasDirectRoom() const
 {
     std::size_t relayed = 0;
@@ -327,8 +327,8 @@
     return !m_isByLoad || static_cast<double>(m_places.size() - relayed) <= mostOverCapacity * m_ownCapacity;
 }
 
-/// Gives a worker to the relay in use with the smallest share of its capacity taken; where some path does not reach its data hall,
-/// to the one that reaches it best.
+/// Assigns a worker to the relay in use with the lowest utilisation, or, if some path does not reach the worker's data hall, to the
+/// relay of the best rank for it.
 void RelayPlan::choose(Place& place)
 {
     m_awaitsProbe = false;
@@ -357,7 +357,7 @@
         moveTo(place, {});
         return;
     }
-    // Where few relays reach a data hall, all of them carry more than others: workers stay unless the shares differ much.
+    // If few relays reach a data hall, all of them exceed the fair share: workers stay unless the utilisation differs much.
     const bool isEven = hasCut && usedBy.first <= bestBy.first && usedBy.second <= unevenness * bestBy.second + leastGap;
     if (best && *best != place.relay && !isEven)
         moveTo(place, *best);
@@ -365,8 +365,8 @@
         m_hallsWithoutPath.insert(place.hall);
 }
 
-/// \returns All paths to a data hall. They are ranked again after a while, since a data hall that is cut off has hundreds
-/// of overdue calls.
+/// \returns All paths to a data hall with their ranks. The ranking is cached, since a partitioned data hall has hundreds of overdue
+/// calls.
 std::vector<RelayPlan::Detour>& RelayPlan::detoursTo(std::size_t hall, MonotonicInstant now)
 {
     Detours& detours = m_detours[hall];
@@ -396,7 +396,7 @@
     for (const std::string& path : avoided)
         avoidedHalls.insert(m_reachability.hallOfPath(path));
     Detour* best = nullptr;
-    // The calls taken come before the share: one relay would carry the overdue calls of a whole data hall.
+    // Calls since the ranking come before utilisation: otherwise one relay would get the overdue calls of a whole data hall.
     const auto order = [&](const Detour& detour) { return std::tuple { detour.rank, avoidedHalls.contains(detour.from), detour.isElsewhere, detour.taken, detour.share }; };
     for (Detour& detour : detoursTo(hall, now)) {
         if (!avoided.contains(detour.path) && (!best || order(detour) < order(*best)))
--- a/src/jobs/relay/relay_times.h
+++ b/src/jobs/relay/relay_times.h
@@ -1,21 +1,20 @@
 #pragma once
 /// \file
-/// Times that both ends of a link between owner and relay go by.
+/// Timing of the links between owner and relays, shared by both ends.
 
 #include "lanemoor/decisions/time.h"
 
 namespace lanemoor::jobs {
 
-/// Frames are gathered this long. A task takes 640 ms and more by the sheets; each frame costs both
-/// ends system calls and a wake-up, some 30 us: with 17 relays and 2 and 6 ms the owner spent a fifth of
-/// half a core on frames.
+/// Delay before a frame is sent, to batch messages. Each frame costs both ends system calls and a wake-up, about 30 us:
+/// with 17 relays and delays of 2 and 6 ms the owner spent a fifth of half a core on frames. Tasks run for 640 ms and more.
 constexpr Millis callsGather { 8 };
 constexpr Millis answersGather { 10 };
-/// Between heartbeats of the owner; each is answered at once.
+/// Intervals between heartbeats of the owner, on links in use and on idle ones. The relay answers each at once.
 constexpr Millis heartbeatOfUsed { 300 };
 constexpr Millis heartbeatOfIdle { 2'000 };
-/// A link in use that says nothing for so long is lost: three heartbeats, and well below the second
-/// after which a renewal is due.
+/// A link without frames for this long is considered broken. On a link in use this is three heartbeats, well below the second after
+/// which a renewal is due.
 constexpr Millis usedLinkSilence { 900 };
 constexpr Millis idleLinkSilence { 5'000 };
 
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-constexpr Millis check { 100 }; // Between looks at silent links and calls without an answer.
-/// A relay's call to a worker ends within 0.8 s; the way there and back, and gathering, come on top.
+constexpr Millis check { 100 }; // Between checks for unresponsive links and calls that time out.
+/// A relay's call to a worker ends within 0.8 s; network delay and batching are added to that.
 constexpr Millis callTime { 1'100 };
-/// A relay that could not read a payload from the store gets payloads with its calls for so long.
+/// For this time after a relay could not read a payload from the store, its calls include payloads.
 constexpr Millis inlineTime { 5'000 };
-/// This process was held up if its own timer is later than this: it says nothing about the relays.
+/// With a timer delay above this, this process was stalled itself, and missing answers are no evidence against relays.
 constexpr Millis heldUp { 300 };
-/// What is known of paths is published at each change, and this often for the times in it.
+/// Reachability is published at each change, and at this interval to update its timestamps.
 constexpr Millis publishEvery { 1'000 };
 
 } // namespace
@@ -81,15 +81,15 @@
 
     using Done = std::variant<std::function<void(OrderResult)>, std::function<void(RenewResult)>>;
 
-    /// A call that a relay carries, to be filled in.
+    /// A call through a relay, whose message the caller fills in.
     struct RelayedCall {
         wire::RelayCall* message = nullptr; ///< Null: call the worker directly.
         std::uint64_t relay = 0; ///< Number of the link.
-        bool readsStore = true; ///< Whether the relay has been able to read payloads.
+        bool readsStore = true; ///< False for some time after the relay could not read a payload.
         std::uint64_t call = 0;
     };
 
-    /// \param wait The worker may wait so long before it answers.
+    /// \param wait Max time that the worker may wait before it answers.
     RelayedCall relayed(const WorkerLife& worker, Millis wait, Done& done)
     {
         const WorkMeter::Piece piece(m_parts.meter, WorkKind::RelayFrames);
@@ -113,7 +113,7 @@
         Relay& used = m_relays.at(relay);
         m_openCalls.add(call, { .path = used.name, .worker = worker.id, .dataHall = hallOf(worker), .expectedAt = now + wait });
         m_pending.emplace(call, Pending { .relay = relay, .worker = worker.id, .deadline = now + wait + callTime, .done = std::move(done) });
-        // Silence counts from the first call after a pause: before it there were few heartbeats.
+        // After a pause the timeout starts at the first call: idle links have few heartbeats.
         if (now - used.usedAt >= usedLinkSilence)
             used.heardAt = now;
         used.usedAt = now;
@@ -123,7 +123,7 @@
         return { message, relay, now >= used.inlineUntil, call };
     }
 
-    /// A renewal through a relay, or directly. Beside it, an unreachable path to the worker's data hall may be retried.
+    /// Renews through a relay or directly, and retries an unreachable path to the worker's data hall if one is due.
     void renew(const WorkerLife& worker, const RenewOrder& order, std::function<void(RenewResult)> done)
     {
         Done wrapped(std::move(done));
@@ -137,7 +137,7 @@
             retry(*path, worker, order.epoch);
     }
 
-    /// A call to the worker is overdue: the path may not reach its data hall.
+    /// Notes overdue calls as evidence that their paths do not reach the worker's data hall.
     void noteOverdue(const WorkerLife& worker)
     {
         if (!m_active || !m_reachability.enabled)
@@ -158,8 +158,8 @@
         return m_published;
     }
 
-    /// Starts an attempt through a relay, or directly. One that the relay did not make, since it could not read the
-    /// payload, goes again with the payload in it.
+    /// Starts an attempt through a relay or directly. If the relay could not read the payload, the start is sent again with the
+    /// payload included.
     void start(const WorkerLife& worker, const StartOrder& order, const std::function<void(OrderResult)>& done, bool mayRefer)
     {
         const auto relay = std::make_shared<std::uint64_t>(0);
@@ -222,10 +222,10 @@
     [[nodiscard]] WorkerControl& direct() { return *m_parts.direct; }
 
 private:
-    /// \returns The data hall of a worker, as far as it counts.
+    /// \returns The data hall of a worker; empty if reachability is disabled.
     [[nodiscard]] std::string hallOf(const WorkerLife& worker) const { return m_reachability.enabled ? worker.dataHall : std::string(); }
 
-    /// \returns The worker's path, or another one while calls over that are overdue.
+    /// \returns The worker's path, or another one while calls over that path are overdue.
     [[nodiscard]] std::string pathTo(const WorkerLife& worker)
     {
         const MonotonicInstant now = m_parts.loop->now();
@@ -234,7 +234,7 @@
         return overdue.contains(path) ? m_plan.otherPath(hallOf(worker), overdue, now).value_or(path) : path;
     }
 
-    /// Notes the outcome of the owner's own call as that of a relayed one.
+    /// Wraps `done` so that the outcome of a direct call is evidence on the direct path.
     Done watched(const WorkerLife& worker, Millis wait, Done done)
     {
         const std::uint64_t call = ++m_lastCall;
@@ -256,7 +256,7 @@
 
     [[nodiscard]] static bool isAnswer(OrderOutcome outcome) { return outcome != OrderOutcome::Unknown && outcome != OrderOutcome::NotDone; }
 
-    /// Takes in what a call says about its path. \param saysNothing The call failed for another cause than the path.
+    /// Notes the outcome of a call as evidence on its path. \param saysNothing The call failed for another reason than the path.
     void noteOutcome(std::uint64_t number, bool isAnswered, bool saysNothing)
     {
         const std::optional<OpenCall> call = m_openCalls.take(number);
@@ -271,7 +271,7 @@
     void noteEvidence(const OpenCall& call)
     {
         const MonotonicInstant now = m_parts.loop->now();
-        // Answers may wait behind the timers of a process that was held up.
+        // After a stall of this process, its timers may run before answers that have arrived.
         if (call.expectedAt < m_evidenceFrom || now - m_checkedAt > check + heldUp)
             return;
         noteChange(m_plan.noteEvidence(call.path, call.worker, call.dataHall, call.expectedAt, now));
@@ -286,7 +286,7 @@
         m_reachLog.note(*change, next, *reachability());
     }
 
-    /// Asks one worker over a path that did not reach its data hall what it holds: its own calls keep their path.
+    /// Probes an unreachable path by a renewal that leaves the lease unchanged. The worker's other calls keep their path.
     void retry(const std::string& path, const WorkerLife& worker, std::uint64_t epoch)
     {
         const RenewOrder order { .epoch = epoch };
@@ -316,24 +316,24 @@
             relay->second.inlineUntil = m_parts.loop->now() + inlineTime;
     }
 
-    /// One link, from its first frame on with the name of its relay.
+    /// A link to a relay.
     struct Relay {
         std::shared_ptr<PeerLink> link;
-        std::string name; ///< Empty before its first frame.
-        wire::RelayFrame frame; ///< That is being gathered.
-        bool hasCalls = false; ///< The frame goes with the next round.
+        std::string name; ///< Empty before the first frame, and after the relay announced that it leaves.
+        wire::RelayFrame frame; ///< The next frame, while it is filled.
+        bool hasCalls = false; ///< Whether the frame is sent with the next batch.
         MonotonicInstant heardAt;
         MonotonicInstant usedAt;
-        MonotonicInstant inlineUntil; ///< Payloads travel with the calls until then: it could not read one.
-        MonotonicInstant heartbeatAt; ///< Of the last one.
+        MonotonicInstant inlineUntil; ///< Until then calls include payloads, since the relay could not read one.
+        MonotonicInstant heartbeatAt; ///< When the last frame was sent.
     };
 
     struct Pending {
-        std::uint64_t relay = 0; ///< Number of its link.
+        std::uint64_t relay = 0; ///< Number of the link.
         std::string worker;
         MonotonicInstant deadline;
         Done done;
-        bool refersPayload = false; ///< The relay was to read the payload.
+        bool refersPayload = false; ///< Whether the relay reads the payload from the store.
     };
 
     void accepted(std::shared_ptr<PeerLink> link)
@@ -384,14 +384,14 @@
             return;
         }
         relay.name = hello.name();
-        // An earlier link of the same instance is no use any more.
+        // A new link of an instance replaces its earlier one.
         const auto before = m_byName.find(relay.name);
         if (before != m_byName.end() && before->second != number)
             lost(before->second, "replaced");
         m_byName[relay.name] = number;
         m_plan.addRelay(relay.name, hello.milli_cores() / milli, hello.data_hall());
         sendGranted(relay);
-        // From here on it can tell the owner's end from an owner that never answered.
+        // After a first frame the relay can tell the end of the owner from an owner that never answered.
         send(relay);
         m_parts.log->decision("relay-joined", { { "relay", hello.name() }, { "milli_cores", std::int64_t { hello.milli_cores() } }, { "data_hall", hello.data_hall() } });
     }
@@ -410,7 +410,7 @@
             std::get<std::function<void(RenewResult)>>(done)(renewResultOf(answer));
     }
 
-    /// Notes whether the worker answered through this relay; a lost relay has been dealt with.
+    /// Notes whether the worker answered through the relay. The calls of a failed relay are no evidence.
     void judge(std::uint64_t call, const Pending& pending, const wire::RelayAnswer& answer)
     {
         const auto relay = m_relays.find(pending.relay);
@@ -467,7 +467,7 @@
             giveUp(call);
     }
 
-    /// One line when relays come into use or go.
+    /// Logs changes of the number of relays in use.
     void noteSize()
     {
         const std::size_t relays = m_plan.relaysInUse();
@@ -475,7 +475,7 @@
             m_parts.log->change("relays-in-use", { { "relays", static_cast<std::int64_t>(relays) }, { "of", static_cast<std::int64_t>(m_byName.size()) }, { "workers", static_cast<std::int64_t>(m_plan.workers()) } });
     }
 
-    /// The frames of all relays go in one round: a timer for each would wake this process as often again.
+    /// Schedules one batch for the frames of all relays, since a timer for each relay would multiply the wake-ups of this process.
     void sendSoon(Relay& relay)
     {
         relay.hasCalls = true;
@@ -562,17 +562,17 @@
     std::uint64_t m_publishedChanges = 0;
     RelayCounts m_counts;
     bool m_active = false;
-    std::optional<AdmissionGrants> m_granted; ///< The latest part of one instance.
+    std::optional<AdmissionGrants> m_granted; ///< The latest share of one instance.
     std::uint64_t m_term = 0;
     std::uint64_t m_lastRelay = 0;
     std::uint64_t m_lastCall = 0;
     std::size_t m_loggedRelays = 0;
-    bool m_gathering = false; ///< A round of frames is on its way.
+    bool m_gathering = false; ///< Whether a batch of frames is scheduled.
     MonotonicInstant m_checkedAt;
-    MonotonicInstant m_evidenceFrom; ///< Calls that were due before say nothing of their paths.
-    std::map<std::uint64_t, Relay> m_relays; ///< By number of the link.
-    std::map<std::string, std::uint64_t> m_byName; ///< Of those that take calls.
-    std::map<std::uint64_t, Pending> m_pending; ///< By number of the call.
+    MonotonicInstant m_evidenceFrom; ///< Calls that were due before are no evidence.
+    std::map<std::uint64_t, Relay> m_relays; ///< By link number.
+    std::map<std::string, std::uint64_t> m_byName; ///< Link numbers of the relays that accept calls.
+    std::map<std::uint64_t, Pending> m_pending; ///< By call number.
 };
 
 RelayedWorkers::RelayedWorkers(RelayedWorkersParts parts, RelayOptions options, double ownCores, ReachabilityOptions reachability, std::string ownHall)
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// From one answer of the store (4 ms) to the time after which a call to it is given up.
+/// From the usual latency of the store (4 ms) to the timeout of calls to it.
 const prometheus::Histogram::BucketBoundaries latencyBounds { 0.004, 0.008, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5, 1, 2 };
 
 prometheus::MetricFamily single(const std::string& name, const std::string& help, prometheus::MetricType type, double value)
@@ -148,7 +148,7 @@
     families.push_back(counter("lanemoor_carried_calls_total", "Calls to workers that this process carried for an owner elsewhere", carried));
 }
 
-/// Paths by data hall and state: there are some data halls and three states, whatever the number of relays.
+/// Counts paths by data hall and state, so that the cardinality does not depend on the number of relays.
 void addReachability(std::vector<prometheus::MetricFamily>& families, const std::shared_ptr<const Reachability>& reachability)
 {
     if (!reachability || reachability->paths.empty())
@@ -167,7 +167,7 @@
     families.push_back(std::move(family));
 }
 
-/// Organisations with lines of their own: the planned size has 180 of them. The others stand together under one name.
+/// Max organisations with their own label value; the planned size has 180. The others are summed under one value.
 constexpr std::size_t mostOrganisations = 256;
 constexpr const char* otherOrganisations = "(others)";
 
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -32,57 +32,55 @@
 
 namespace {
 
-constexpr const char* theShard = "all"; // One owner decides for all pools today.
+constexpr const char* theShard = "all"; // There is a single shard: one owner for all pools.
 constexpr Millis watchTime { 1'000 };
-/// Between watches of the jobs. The owner should hear of a job soon; the others only show
-/// their status, which may be some seconds old by the platform's bound.
+/// Pause between watches of the jobs. The owner needs new jobs soon; other instances only show their
+/// status, which the platform allows to be some seconds old.
 constexpr Millis ownerWatchGap { 50 };
-/// What a quiet watch proves is as old as the watch: the owner's copy stays below a second old.
+/// A watch without changes only proves the state as of its start; with this duration the owner's replica stays below a second old.
 constexpr Millis ownerWatchTime { 500 };
 constexpr Millis watchGap { 500 };
-/// The keys of the ownership change seldom, and the watch of the jobs hears of them too.
+/// The ownership's keys rarely change, and the watch of the jobs reports them too.
 constexpr Millis ownershipWatchTime { 3'000 };
-/// Waves last some dozens of seconds.
+/// Waves last for tens of seconds.
 constexpr Millis waveWatchTime { 5'000 };
-/// Workers drain with seconds of notice; sooner only saves work. Each heartbeat is a change, so
-/// that nearly every watch of the workers is answered at once. Only the owner watches them that often: 1,100
-/// workers have 730 heartbeats a second.
+/// Drains are announced seconds ahead, and an earlier notice saves work. Each heartbeat is a change, so nearly every watch
+/// of the workers is answered at once. Only the owner watches them this often: 1,100 workers send 730 heartbeats a second.
 constexpr Millis workerWatchGap { 150 };
-/// Machines that can own watch the workers less often: a new owner then knows for how long it has known a life,
-/// and one list of the fleet tells which of them are over.
+/// Standby machines watch the workers less often. A new owner then has the age of each worker's incarnation, and a single list of the
+/// fleet shows which incarnations have ended.
 constexpr Millis standbyWatchGap { 1'000 };
-/// The store's answers are missed after a watch's time and a call's; then this instance can
-/// take nothing and says so to the balancer.
+/// Time without answers of the store, longer than a watch and a call, after which this instance can't accept
+/// jobs and reports that it is not ready.
 constexpr Millis storeMissedAfter { 2'500 };
-/// The owner of 349 workers took 0.18 cores (tellelag-drift-grown, quiet-1): a machine with less
-/// than this leaves a free ownership to others for a while.
+/// Machines with fewer cores delay their claim of a free ownership. The owner of 349 workers uses 0.18 cores.
 constexpr double coresOfOwner = 0.2;
 constexpr Millis claimDelayOfSmall { 600 };
-constexpr int renewalsOfLease = 4; // So that two may fail before the lease is over.
-/// An owner whose copy of the jobs is older than this hears of cancels too late. It gives the
-/// ownership up, and leaves it to others for a while.
+constexpr int renewalsOfLease = 4; // Two renewals may fail before the lease expires.
+/// An owner with an older replica of the jobs would see cancels too late. It resigns, and does not claim the
+/// ownership for a while.
 constexpr Millis oldestCopyOfOwner { 4'000 };
 constexpr Millis resignedFor { 5'000 };
 constexpr Millis copyCheck { 500 };
-/// An owner's copy that is older counts no waiting jobs: the count is up to a second older when it is read.
+/// With an older replica the owner publishes no counts of pending jobs: a count is up to a second older when it is read.
 constexpr Millis countableCopyAge { 700 };
-/// Jobs that an instance without a copy remembers; beyond that it begins anew.
+/// Max jobs in the catalog of an instance without a replica; beyond it the catalog is cleared.
 constexpr std::size_t maxJobsWithoutCopy = 10'000;
 constexpr Millis defaultRetryAfter { 1'000 };
-/// A shorter outage hides no load: callers come back after a second, and the plan remembers the demand of the last two.
+/// A shorter outage hides no load: callers retry after a second, and the plan uses the demand of the last two seconds.
 constexpr Millis shortOutage { 1'000 };
 constexpr Millis stopCheck { 20 };
-/// The balancer asks for readiness each second and believes the second refusal: until then new
-/// connections come, and a closed port would turn them away.
+/// The load balancer polls readiness every second and acts on the second failure. Until then it sends new
+/// connections, which a closed port would refuse.
 constexpr Millis seenUnready { 2'600 };
-constexpr Millis stopReserve { 1'500 }; // Of the grace, kept for the last answers to leave.
+constexpr Millis stopReserve { 1'500 }; // Part of the grace time that is left for sending the last answers.
 
-/// \returns How the configuration is followed. Two checks may fail before requests have to be turned away.
+/// \returns Options of the configuration's replica. Two checks may fail before requests must be deferred.
 DocumentCopyOptions configurationOptions(const JobServiceSettings& settings, std::string key)
 {
     constexpr double shareOfApplyTime = 0.35;
     constexpr double overdueShare = 0.125;
-    constexpr Millis maxPause { 2'000 }; // Below `storeMissedAfter`: readiness goes by these checks too.
+    constexpr Millis maxPause { 2'000 }; // Below `storeMissedAfter`, since readiness depends on these checks too.
     const auto share = [&](double part) { return Millis(static_cast<Millis::rep>(part * static_cast<double>(settings.configurationApplyTime.count()))); };
     return { .key = std::move(key), .checkEvery = std::min(share(shareOfApplyTime), maxPause), .overdueAfter = share(overdueShare) };
 }
@@ -93,8 +91,8 @@
     return isSmall ? claimDelayOfSmall : Millis(0);
 }
 
-/// \returns Whether the machine takes a free ownership at once. Others keep no copy of the jobs: all of them together would read
-/// each change once for each entry instance.
+/// \returns Whether the machine claims a free ownership without delay. Other machines keep no replica of the jobs, since every
+/// entry instance would then read each change.
 bool isStandbyMachine(const JobServiceSettings& settings) { return claimDelayOf(settings).count() == 0; }
 
 JobLookupOptions lookupOptions(const JobServiceSettings& settings)
@@ -104,13 +102,13 @@
     return options;
 }
 
-/// \returns A time within `spread` that differs between instances and not between an instance's processes.
+/// \returns A time below `spread` that depends on the instance's name, so that it survives a restart.
 Millis spreadOf(const std::string& name, Millis spread)
 {
     return spread.count() == 0 ? Millis(0) : Millis(static_cast<Millis::rep>(std::hash<std::string> {}(name) % static_cast<std::size_t>(spread.count())));
 }
 
-/// \returns How long after its submission a job is of use: three times its objective.
+/// \returns Time after submission within which the result of a job is useful: three times its latency objective.
 Millis usefulTime(const QueueSettings* queue, const JobSpec& spec)
 {
     constexpr double objectives = 3;
@@ -119,7 +117,7 @@
     return Millis(static_cast<Millis::rep>(objectives * static_cast<double>(objective.count())));
 }
 
-/// \returns Host and path prefix of `queue`, as callers name it.
+/// \returns Host and path prefix of `queue`.
 std::string routeOf(const ServiceConfiguration& configuration, const std::string& queue)
 {
     const QueueSettings* settings = configuration.queue(queue);
@@ -138,7 +136,7 @@
 
 class JobService::Impl {
 public:
-    /// \param parts With the store that `access` gives.
+    /// \param parts Dependencies, with the store of `access`.
     Impl(const JobServiceParts& parts, const JobServiceSettings& settings, std::unique_ptr<StoreAccess> access)
         : m_random(static_cast<std::minstd_rand::result_type>(std::hash<std::string> {}(settings.name)))
         , m_access(std::move(access))
@@ -195,7 +193,7 @@
     {
         m_stopping = true;
         m_parts.log->change("stopping", { { "owner", std::int64_t { m_ownership.isHeld() } } });
-        // Others run the jobs from now on; callers are served here as before.
+        // Another instance runs the jobs from now on. Callers are still served here.
         m_claimed.reset();
         m_evacuations.stop();
         m_workers.pause();
@@ -211,13 +209,13 @@
 
     [[nodiscard]] bool takesRequests() const { return m_configuration && (isStandby() ? m_jobs : m_owners).isLoaded(); }
 
-    /// \returns Whether the catalog holds all jobs, as far as the store has told.
+    /// \returns Whether this instance keeps a replica of all jobs.
     [[nodiscard]] bool hasCopy() const { return isStandby() || m_scheduler.isActive(); }
 
-    /// \returns When the store last answered a call that is made again and again, counted from before the call.
+    /// \returns When the latest answered periodic call to the store was sent.
     [[nodiscard]] MonotonicInstant storeAnsweredAt() const { return isStandby() ? m_jobs.answeredAt() : std::max(m_owners.answeredAt(), m_configurations.answeredAt()); }
 
-    /// \returns Age of what this instance knows of the jobs.
+    /// \returns Age of the replica of the jobs in ms; of the ownership's replica if there is none of the jobs.
     [[nodiscard]] std::int64_t copyAge() const { return since(hasCopy() ? m_jobs.freshAt() : m_owners.freshAt()); }
 
     void pending(const std::string& queue, const std::function<void(std::optional<std::uint64_t>)>& done)
@@ -238,7 +236,7 @@
         return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreSilent() && m_parts.loop->now() - storeAnsweredAt() < storeMissedAfter;
     }
 
-    /// \returns Whether every configuration that should be in force by now is known. What it decides is decided by no other one.
+    /// \returns Whether every configuration that must be in force by now is known here, so that decisions by it are valid.
     [[nodiscard]] bool isConfigurationCurrent() const { return m_parts.loop->now() - m_configurations.provenAt() <= m_settings.configurationApplyTime; }
 
     [[nodiscard]] bool trustsKeys() const
@@ -268,14 +266,14 @@
             m_intake.refuse(caller, id, record, answer);
     }
 
-    /// \returns Whether what was let in now is still let in, to be asked when it takes effect: the configuration may have been replaced
-    /// while a job waited to be written.
+    /// \returns A predicate whether a request that is admitted now is still admitted when it takes effect: the configuration may be
+    /// replaced while the job waits to be written.
     [[nodiscard]] std::function<bool()> stillAdmitted() const
     {
         return [this, version = m_configuration->version, until = m_configurations.provenAt() + m_settings.configurationApplyTime] { return m_parts.loop->now() <= until || (m_configuration->version == version && isConfigurationCurrent()); };
     }
 
-    /// A job that was handed in before is not refused: it may be kept.
+    /// A resubmitted job is not refused, since it may be stored already.
     AdmissionVerdict judge(const Caller& caller, const std::string& id, const JobSpec& spec)
     {
         if (!m_settings.policies.admission.enabled || caller.organisation.empty() || m_intake.isKnown(id))
@@ -293,7 +291,8 @@
                 { "share_permille", std::int64_t { budget.sharePermille } }, { "expected_end_ms", std::int64_t { budget.expectedEnd.count() } }, { "limit_ms", std::int64_t { budget.limit.count() } }, { "grant_age_ms", std::int64_t { verdict.grantAge.count() } }, { "retry_after_ms", std::int64_t { verdict.retryAfter.count() } } });
     }
 
-    /// Keeps account of submissions that the store did not take: they are load to come, of which the owner hears from here alone.
+    /// Records submissions that the store did not accept: their retries are future load, which only this instance can report to the
+    /// owner.
     void noteSubmission(const Caller& caller, const std::string& id, const JobSpec& spec, MonotonicInstant usefulUntil, AcceptOutcome outcome)
     {
         if (!m_settings.policies.storeOutages.enabled)
@@ -349,10 +348,10 @@
         return { .admission = Admission::LetIn, .caller = std::move(*caller), .job = std::string(path.substr(queue->pathPrefix.size())) };
     }
 
-    /// Logs a call whose route is unknown, or that no configuration may decide now.
+    /// Logs a call whose route is unknown, or that is deferred since the configuration may be outdated.
     void noteUnserved(const char* event, const char* reason, std::string_view host, std::string_view path)
     {
-        constexpr std::size_t mostOfPath = 80; // Of what a caller sent.
+        constexpr std::size_t mostOfPath = 80; // The path is caller input.
         metrics.noteTurnedAway(reason);
         m_parts.log->decision(event,
             { { "reason", std::string(reason) }, { "route", std::string(host) + std::string(path.substr(0, mostOfPath)) }, { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() } });
@@ -370,7 +369,7 @@
         status(id, [this, caller, id, done](LookupOutcome outcome, JobStatus status) { done(outcome == LookupOutcome::Done && isForeign(caller, id) ? LookupOutcome::Foreign : outcome, status); });
     }
 
-    /// Whose job it is stands in its record, which is read first where this instance does not know it.
+    /// The check of the caller needs the job's record, which is read first if the catalog lacks it.
     void cancel(const Caller& caller, const std::string& id, std::function<void(LookupOutcome)> done)
     {
         const CatalogEntry* entry = m_catalog.find(id);
@@ -482,7 +481,7 @@
     JobMetrics metrics;
     RefusedSubmissions m_refusals;
     DemandReport m_demand;
-    std::minstd_rand m_random; ///< Seeded by the name: instances spread their callers differently.
+    std::minstd_rand m_random; ///< Seeded by the name, so that instances spread retries differently.
     std::unique_ptr<StoreAccess> m_access;
     JobServiceParts m_parts;
     JobServiceSettings m_settings;
@@ -492,13 +491,13 @@
     JobCatalog m_catalog;
     WorkerDirectory m_directory;
     StoreMirror m_jobs;
-    StoreMirror m_owners; ///< Of the ownership's keys alone: a loss is heard of at once.
+    StoreMirror m_owners; ///< Replica of the ownership's keys alone, so that a loss of the ownership is seen at once.
     DocumentCopy m_configurations;
     StoreMirror m_workers;
     StoreMirror m_waves;
     OwnershipKeeper m_ownership;
-    RelayedWorkers m_relayedWorkers; ///< What the owner calls.
-    OrderRelay m_relay; ///< Carries calls for another owner.
+    RelayedWorkers m_relayedWorkers; ///< Calls of this instance as the owner.
+    OrderRelay m_relay; ///< Calls on behalf of another owner.
     HallEvacuations m_evacuations;
     AdmissionGate m_gate;
     JobScheduler m_scheduler;
@@ -508,14 +507,14 @@
     QueueCountsReader m_countsReader;
     QueueCountsWriter m_countsWriter;
     JobRetirement m_retirement;
-    std::optional<Ownership> m_claimed; ///< A term that has not begun yet.
-    bool m_isConfigurationProven = true; ///< As it was logged last.
+    std::optional<Ownership> m_claimed; ///< A claimed term that is not active yet.
+    bool m_isConfigurationProven = true; ///< As last logged.
     bool m_stopping = false;
     bool m_storeAnswers = true;
-    bool m_copyLags = false; ///< The copy of the jobs is behind a store that answers.
+    bool m_copyLags = false; ///< Whether the replica of the jobs lags although the store answers.
 
 private:
-    /// \returns Whether the job is known and not for this caller; logs it.
+    /// \returns Whether the job is known and belongs to another caller, which is logged.
     bool isForeign(const Caller& caller, const std::string& id)
     {
         const CatalogEntry* entry = m_catalog.find(id);
@@ -526,7 +525,7 @@
         return true;
     }
 
-    /// \returns Whether this machine is one that takes a free ownership at once.
+    /// \returns Whether this machine claims a free ownership without delay.
     [[nodiscard]] bool isStandby() const { return isStandbyMachine(m_settings); }
 
     [[nodiscard]] double secondsSince(MonotonicInstant from) const
@@ -534,7 +533,7 @@
         return std::chrono::duration<double>(m_parts.loop->now() - from).count();
     }
 
-    /// \returns Age of the proof that the configuration is the newest.
+    /// \returns Age of the proof that the configuration is the newest, in ms.
     [[nodiscard]] std::int64_t configurationAge() const { return since(m_configurations.provenAt()); }
 
     [[nodiscard]] std::int64_t since(MonotonicInstant from) const
@@ -639,7 +638,7 @@
         const std::optional<WorkerEntry> worker = m_parts.documents->readWorker(id, item.value, &fault);
         if (!worker) {
             m_parts.log->decision("worker-unreadable", { { "worker", id }, { "fault", std::string(nameOf(fault)) }, { "revision", static_cast<std::int64_t>(item.revision) } });
-            // A worker that it named before may live on, as one whose entry was removed.
+            // The worker may still be running, like one whose entry was removed.
             m_directory.remove(id);
             return;
         }
@@ -667,12 +666,12 @@
             m_jobs.noteStoreRevision(reading.newRevision, reading.sentAt);
             m_intake.noteAnswered(reading.sentAt);
         }
-        // A watch may be cut at any time, and a call whose repeat was answered says nothing of the store.
+        // A watch may end at any time, and a failed call says nothing about the store if its repeat was answered.
         if (isAnswered || (reading.call != DocumentCall::Watch && m_configurations.answeredAt() < reading.sentAt))
             noteStore(isAnswered ? StoreOutcome::Done : reading.outcome);
     }
 
-    /// Tells apart what keeps a new configuration from being read: no answer, a slow one, or a loop that was busy.
+    /// Logs why a new configuration is read late: no answer, a slow answer, or a busy event loop.
     void noteConfigurationReading(const DocumentReading& reading)
     {
         constexpr Millis slow { 300 };
@@ -684,7 +683,7 @@
                 { "configuration", static_cast<std::int64_t>(m_configuration ? m_configuration->version : 0) }, { "configuration_age_ms", configurationAge() } });
     }
 
-    /// One line when the configuration may have been replaced too long ago, one when it is known to be the newest again.
+    /// Logs when the configuration may have been replaced too long ago, and when it is known to be the newest again.
     void noteProof()
     {
         const bool isProven = isConfigurationCurrent();
@@ -694,7 +693,7 @@
             { { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() }, { "bound_ms", static_cast<std::int64_t>(m_settings.configurationApplyTime.count()) } });
     }
 
-    /// An owner that lags behind the store, for want of processor time or of a path, is none.
+    /// Makes an owner resign whose replica lags behind the store, for lack of processor time or connectivity.
     void checkCopyLater()
     {
         m_parts.loop->callAt(m_parts.loop->now() + copyCheck, [this] {
@@ -719,7 +718,7 @@
         m_retirement.clear();
     }
 
-    /// One line when the copy of the jobs falls behind a store that answers, one when it has caught up.
+    /// Logs when the replica of the jobs lags although the store answers, and when it is up to date again.
     void noteLag()
     {
         const MonotonicInstant now = m_parts.loop->now();
@@ -728,7 +727,8 @@
             m_parts.log->change(lags ? "copy-behind" : "copy-caught-up", { { "copy_age_ms", copyAge() }, { "answer_age_ms", since(m_jobs.answeredAt()) }, { "revision", static_cast<std::int64_t>(m_jobs.revision()) }, { "changes", static_cast<std::int64_t>(m_jobs.counts().changes) }, { "parts", static_cast<std::int64_t>(m_jobs.counts().parts) } });
     }
 
-    /// The owner's calls go at once when the store answers again. Others spread theirs: all entry instances share its rates.
+    /// Resends waiting calls when the store answers again: the owner at once, other instances spread over time, since all
+    /// share the store's rate limits.
     void onStoreCondition(const StoreCondition& from, const StoreCondition& to)
     {
         if (!isOutage(from.state) || isOutage(to.state))
@@ -737,11 +737,11 @@
             m_fleet.noteOutageOver();
         const bool goesFirst = m_claimed || m_ownership.holder() == m_holder;
         const Millis pause = goesFirst ? Millis(0) : spreadOf(m_settings.name, m_settings.policies.storeOutages.returnSpread);
-        // Calls that were sent after the store answered again are not sent once more.
+        // Calls that were sent after the store answered again are not resent.
         m_parts.loop->callAt(m_parts.loop->now() + pause, [this, answeredAt = m_access->answeredAt()] { sendWaitingCalls(answeredAt); });
     }
 
-    /// In the order of what others wait for: starts for the ownership and the copy, moves for the record of actions.
+    /// Sends in order of dependency: starts need the ownership and the replica, moves the record of actions.
     void sendWaitingCalls(MonotonicInstant answeredAt)
     {
         m_ownership.renewNow();
@@ -752,7 +752,7 @@
         m_access->resendWaiting(answeredAt);
     }
 
-    /// One line when the store stops to answer, one when it does again.
+    /// Logs when the store stops answering, and when it answers again.
     void noteStore(StoreOutcome outcome)
     {
         const bool answers = outcome == StoreOutcome::Done || outcome == StoreOutcome::NotFound;
@@ -761,7 +761,7 @@
         m_parts.log->change(answers ? "store-back" : "store-lost", { { "outcome", std::string(nameOf(outcome)) }, { "copy_age_ms", copyAge() } });
     }
 
-    /// Orders wait until this copy holds everything written before the ownership was taken.
+    /// Starts a term. Commands wait until the replica holds everything that was written before the claim of the ownership.
     void gained(const Ownership& ownership)
     {
         m_parts.log->change("ownership-claimed", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "term", static_cast<std::int64_t>(ownership.term) }, { "copy_age_ms", copyAge() } });
@@ -774,7 +774,8 @@
             m_jobs.resume({});
             m_waves.resume({});
         }
-        // Heartbeats grow with the workers: at a fixed pace an owner of many reads them late, and starts tasks on workers that drain.
+        // Heartbeats grow with the number of workers: at a fixed pace the owner of a large fleet reads them late, and starts tasks on
+        // draining workers.
         m_workers.setPace(workerWatchGap, watchTime, true);
         m_jobs.whenAt(ownership.epoch, [this, ownership] {
             if (m_claimed != ownership)
@@ -820,7 +821,7 @@
         }
     }
 
-    /// Serves until `least`, then until every call has its answer, at the most until `most`.
+    /// Serves until `least`, then until every call is answered, and no longer than `most`.
     void serveUntil(MonotonicInstant least, MonotonicInstant most, const std::function<void()>& done)
     {
         const MonotonicInstant now = m_parts.loop->now();
--- a/src/jobs/service/job_service_settings.cpp
+++ b/src/jobs/service/job_service_settings.cpp
@@ -41,14 +41,14 @@
 
 void readTimes(ObjectReader& reader, JobServiceSettings& settings)
 {
-    constexpr std::int64_t leastLease = 1'000; // Renewals of shorter ones would be late on a busy machine.
+    constexpr std::int64_t leastLease = 1'000; // Renewals of shorter leases would be late on a busy machine.
     readMillis(reader, "ownershipMs", leastLease, settings.ownershipTime);
     Millis granted(0); // The shortest lease that the store grants.
     readMillis(reader, "leastLeaseMs", 0, granted);
     settings.ownershipTime = std::max(settings.ownershipTime, granted);
     readMillis(reader, "workerLeaseMs", leastLease, settings.workerLeaseTime);
     readMillis(reader, "handoverMs", 0, settings.handover);
-    constexpr std::int64_t leastApplyTime = 1'000; // Some reads must fit into it.
+    constexpr std::int64_t leastApplyTime = 1'000; // Several reads must fit into this time.
     readMillis(reader, "configurationApplyMs", leastApplyTime, settings.configurationApplyTime);
     readMillis(reader, "evacuationMs", 0, settings.evacuationTime);
     readMillis(reader, "restoreMs", 0, settings.restoreTime);
@@ -103,7 +103,7 @@
 
 void readAdmission(ObjectReader& admission, AdmissionOptions& options)
 {
-    constexpr std::int64_t leastPause = 50; // A grant for hundreds of entry instances costs some ms.
+    constexpr std::int64_t leastPause = 50; // A grant for hundreds of entry instances costs a few ms.
     constexpr std::int64_t fewestMisses = 1;
     constexpr std::int64_t mostMisses = 1'000;
     readSwitch(admission, "enabled", options.enabled);
@@ -117,7 +117,7 @@
 
 void readReachability(ObjectReader& reachability, ReachabilityOptions& options)
 {
-    constexpr std::int64_t fewestWorkers = 2; // One worker that does not answer may have crashed.
+    constexpr std::int64_t fewestWorkers = 2; // A single unanswered worker may have crashed.
     constexpr std::int64_t mostWorkers = 100;
     constexpr std::int64_t leastPause = 10; // Each retry is a call.
     readSwitch(reachability, "enabled", options.enabled);
@@ -169,7 +169,7 @@
     reader.object("failureDomains", [&](ObjectReader& domains) { readFailureDomains(domains, policies.failureDomains); });
     reader.object("workerHealth", [&](ObjectReader& health) { readWorkerHealth(health, policies.workerHealth); });
     reader.object("losses", [&](ObjectReader& losses) {
-        constexpr std::int64_t fewestLosses = 2; // One is what any task may meet.
+        constexpr std::int64_t fewestLosses = 2; // Any task may see a single worker failure.
         readSwitch(losses, "keepsSuspectsApart", policies.crashes.isolatesSuspects);
         if (const std::optional<std::int64_t> count = losses.integer("lossesToGiveUp", fewestLosses, maxCrashes))
             policies.crashes.crashesToFail = static_cast<std::uint32_t>(*count);
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -1,5 +1,7 @@
-/// After an outage of the store the plan had seen no load and powered pools off, while the callers that had been refused all came
-/// back. These tests guard what the plan goes by after an outage, and when refused callers are told to come back.
+/// Capacity planning and Retry-After after an outage of the store.
+///
+/// Guards against pools that are powered off after an outage: no load arrives at the plan meanwhile, but all refused callers
+/// retry afterwards.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/intake/demand_report.h"
@@ -24,7 +26,7 @@
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
 constexpr Millis observation { 3'000 };
 
-/// \returns A pool whose instances are all idle, and a reserve.
+/// \returns A pool of idle instances, and a reserve pool.
 std::vector<PoolLoad> idlePools(bool hasArrivals)
 {
     PoolLoad pool { .pool = "main", .requirements = { { Requirement {}, {} } }, .instances = {} };
@@ -86,7 +88,7 @@
     CHECK(refused == 2 * DemandReport::maxEntries);
 }
 
-// Guards against a frame for each refusal: an outage refuses hundreds a second.
+// Guards against one frame for each refusal, since an instance refuses hundreds of submissions a second in an outage.
 TEST_CASE("An entry instance reports refusals to the owner at most once in 250 ms, and nothing without any")
 {
     SimClock clock;
@@ -136,13 +138,13 @@
             ++counts.at(static_cast<std::size_t>(adviseRetry(situation, random) / Millis(1'000)));
         return counts;
     };
-    // Just begun: the store may be back at once.
+    // The outage has just begun: the store may be available again at once.
     CHECK(countsOf({ .refused = 5, .waiting = 5, .lasted = Millis(200), .useful = Millis(20'000) })[1] == 900);
     const std::array<int, 4> spread = countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(20'000) });
     CHECK(spread[0] == 0);
     for (const std::size_t seconds : { 1U, 2U, 3U })
         CHECK(std::abs(spread.at(seconds) - 300) < 80);
-    // Most have come back: what is left drains within a second.
+    // Most callers have retried: the others drain within a second.
     CHECK(countsOf({ .refused = 400, .waiting = 80, .lasted = Millis(4'000), .useful = Millis(20'000) })[1] == 900);
     CHECK(countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(2'100) })[3] == 0);
     CHECK(countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(-100) })[1] == 900);
@@ -160,13 +162,13 @@
     refusals.noteSettled("a");
     CHECK(refusals.situationOf("a", start + Millis(2'000)) == RefusalSituation {});
     CHECK(refusals.situationOf("b", start + Millis(2'000)).waiting == 1);
-    // Nobody is waited for any more: refusals begin anew.
+    // No caller is waiting any more: the next refusal begins a new outage.
     refusals.noteRefused("c", useful, start + Millis(20'000));
     CHECK(refusals.waiting() == 1);
     CHECK(refusals.situationOf("c", start + Millis(20'000)).refused == 1);
 }
 
-// Guards against pools that are powered off after an outage: the owner saw no arrivals for its length.
+// Guards against pools that are powered off after an outage, since the owner saw no arrivals meanwhile.
 TEST_CASE("An outage does not cost a pool its instances")
 {
     const auto leastAfterOutage = [](bool isEnabled) {
@@ -194,7 +196,7 @@
         cluster.store.trouble = { .leasesWait = true, .refusing = true };
         play(Millis(4'000), false);
         cluster.store.trouble = {};
-        // Callers come back within 3 s.
+        // Callers retry within 3 s.
         const std::size_t least = play(Millis(2'500), false);
         CHECK(cluster.witness.breaches().empty());
         return least;
--- a/tests/jobs/operator_test.cpp
+++ b/tests/jobs/operator_test.cpp
@@ -1,4 +1,4 @@
-/// The operators' calls of the job service, and their answers as text.
+/// HTTP API of the job service for operators, and its answers as text.
 
 #include "lanemoor/client/text_report.h"
 #include "lanemoor/jobs/operator/operator_api.h"
--- a/tests/jobs/reachability_test.cpp
+++ b/tests/jobs/reachability_test.cpp
@@ -1,8 +1,8 @@
-/// Which data halls are reached over which paths, and workers that only some paths reach.
+/// Reachability of data halls over paths, and workers that only some paths reach.
 ///
-/// Seen: while two data halls could not reach each other and a third reached both, calls to workers of the far one went through
-/// relays that could not reach them, one worker after another. 374 workers were taken for silent though relays of the third data
-/// hall reached all of them, and their instances were replaced.
+/// Guards against workers that are considered unresponsive while some path still reaches them: in a partition between two of three
+/// data halls, calls to 374 workers went through relays that could not reach them, one after another, and their instances were
+/// replaced although relays of the third data hall reached all of them.
 
 #include "lanemoor/jobs/policy/reachability.h"
 #include "lanemoor/jobs/relay/relay_plan.h"
@@ -24,7 +24,7 @@
     return "w" + std::to_string(i);
 }
 
-/// A path from hall-b, and the number of hall-a.
+/// Two paths from hall-b, and the number of hall-a.
 struct Table {
     Table()
     {
@@ -38,7 +38,7 @@
     std::size_t hall = table.hallOf("hall-a");
 };
 
-/// Relays in three data halls; workers of hall-a.
+/// Relays in three data halls, and workers in hall-a.
 struct Plan {
     explicit Plan(std::size_t relaysInHall = 2, double workersPerCore = 10)
         : plan({ .workersPerCore = workersPerCore }, 0.1, {}, "hall-b")
@@ -51,7 +51,7 @@
 
     std::string pathOf(std::size_t i, Millis after = Millis(0)) { return plan.relayOf(worker(i), now + after, "hall-a"); }
 
-    /// Two workers give evidence against a path.
+    /// Makes a path unreachable by evidence of two workers.
     void cut(const std::string& path, Millis after = Millis(0))
     {
         for (std::size_t i = 0; i < 2; ++i)
@@ -69,7 +69,7 @@
     RelayPlan plan;
 };
 
-/// Three data halls with two entries and four instances each.
+/// A cluster in three data halls, each with two entry instances and four workers.
 struct ThreeHalls : model::JobCluster {
     explicit ThreeHalls(std::uint64_t seed = 1, double workersPerCore = 4, bool enabled = true)
         : model::JobCluster(seed, 6)
@@ -99,7 +99,7 @@
         return { hall(owner), hall(owner + 1), hall(owner + 2) };
     }
 
-    /// Plays on and submits more work than two data halls can run. \returns Starts by data hall.
+    /// Submits more work than two data halls can run. \returns Starts by data hall.
     std::map<std::string, std::uint64_t> play(Millis time)
     {
         std::map<std::string, std::set<std::pair<std::string, Attempt>>> seen;
@@ -123,7 +123,7 @@
 
     [[nodiscard]] bool ownerShows(const std::string& line) { return entry(*owner()).metrics().find(line + '\n') != std::string::npos; }
 
-    /// All that was accepted ends, and no promise is broken.
+    /// Checks that all accepted jobs succeed and that no guarantee is violated.
     void checkEnds()
     {
         for (const std::string& id : accepted())
@@ -147,7 +147,7 @@
     CHECK(change->evidence == std::vector<std::string> { "w0", "w1" });
     CHECK(change->evidenceSince == now);
     CHECK(table.table.rank("r", table.hall, now) == PathRank::Cut);
-    // Another path from there is probably cut too; one in the workers' own data hall is not.
+    // Another path from hall-b is probably partitioned too; hall-b itself is still reachable.
     CHECK(table.table.rank("s", table.hall, now) == PathRank::LikelyCut);
     CHECK(table.table.snapshot(now).isUnreachable("hall-a"));
     CHECK_FALSE(table.table.snapshot(now).isUnreachable("hall-b"));
@@ -158,7 +158,7 @@
     Table table;
     CHECK_FALSE(table.unanswered(0, Millis(0)));
     table.table.noteAnswered("r", table.hall, worker(5), now + Millis(200));
-    CHECK_FALSE(table.unanswered(1, Millis(150))); // Due before that answer.
+    CHECK_FALSE(table.unanswered(1, Millis(150))); // Was due before that answer.
     CHECK_FALSE(table.unanswered(2, Millis(250)));
     CHECK(table.unanswered(3, Millis(260)));
 }
@@ -200,7 +200,7 @@
     CHECK(at[1] - at[0] < at[3] - at[2]);
     CHECK(at.back() - at[at.size() - 2] <= Millis(1'000));
     CHECK(paths == std::set<std::string> { "r", "s" });
-    // One that is back shows that the other may be.
+    // A path that is reachable again suggests that the other path of the same data hall is too.
     const std::optional<PathChange> back = table.table.noteAnswered("s", table.hall, worker(3), now + Millis(5'000));
     REQUIRE(back);
     CHECK(back->to == PathState::Reachable);
@@ -221,14 +221,14 @@
         others[worker(i)] = plan.plan.relayOf("other" + std::to_string(i), now, "hall-b");
     plan.cut(path);
     for (const auto& [other, workers] : plan.spread(10))
-        CHECK(other.substr(0, 1) != path.substr(0, 1)); // Of the same data hall, and nothing is known of it.
+        CHECK(other.substr(0, 1) != path.substr(0, 1)); // Paths of the same data hall may be partitioned too.
     for (std::size_t i = 0; i < 50; ++i)
         CHECK(plan.plan.relayOf("other" + std::to_string(i), now + Millis(200), "hall-b") == others[worker(i)]);
 }
 
 TEST_CASE("Relays that are not in use are taken into use when those in use do not reach a data hall, and leave when they do again")
 {
-    // Sixty workers could be carried by one large relay of hall-b.
+    // One large relay in hall-b has capacity for all 60 workers.
     RelayPlan plan({ .workersPerCore = 10 }, 0.1, {}, "hall-b");
     plan.addRelay("large", 8.0, "hall-b");
     plan.addRelay("small-a", 1.0, "hall-a");
@@ -284,7 +284,7 @@
     CHECK_FALSE(plan.plan.otherPath("", { "b0" }, now));
 }
 
-/// Of 588 relays and 6,000 workers, a call must look at none unless its worker needs another path.
+/// With 588 relays and 6,000 workers, a call must not iterate over them unless its worker needs another path.
 TEST_CASE("A cut on the largest fleet moves its workers within their next calls, in the time of some calls")
 {
     RelayPlan plan({}, 0.5, {}, "hall-0");
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -1,4 +1,4 @@
-/// Calls to workers that other entry instances carry for the owner.
+/// Calls to workers that other entry instances relay for the owner.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/relay/order_relay.h"
@@ -16,7 +16,7 @@
 
 constexpr MonotonicInstant now { std::chrono::seconds(100) };
 
-/// Workers that note who called them last, and answer when they are told to.
+/// Records the calls to workers, and answers each with success.
 class NotingWorkers final : public WorkerControl {
 public:
     explicit NotingWorkers(EventLoop& loop)
@@ -25,7 +25,7 @@
     }
 
     std::vector<std::string> starts; ///< Payloads.
-    std::vector<std::string> renewals; ///< Ids of lives.
+    std::vector<std::string> renewals; ///< Worker ids.
     std::vector<std::string> forgotten;
 
     void start(const WorkerLife&, const StartOrder& order, std::function<void(OrderResult)> done) override
@@ -69,7 +69,7 @@
         clock.runFor(Millis(50));
     }
 
-    /// Renews `workers` lives once. \returns The outcomes so far, by life.
+    /// Sends one renewal to each of `workers` workers. The results go to `outcomes`, by worker id.
     void renewAll(std::size_t workers)
     {
         for (std::size_t i = 0; i < workers; ++i) {
@@ -110,7 +110,7 @@
     CHECK(plan.relaysInUse() == 0);
     CHECK(plan.relayOf("w5", now) == "large");
     CHECK(plan.relaysInUse() == 1);
-    // Those that were called directly get it too.
+    // Workers that were called directly are assigned to it too.
     CHECK(plan.relayOf("w0", now) == "large");
 }
 
@@ -154,7 +154,7 @@
     plan.addRelay("a", 1.0);
     plan.addRelay("b", 1.0);
     std::set<std::string> used;
-    CHECK(plan.relayOf("w0", now).empty()); // One worker the owner's machine carries.
+    CHECK(plan.relayOf("w0", now).empty()); // The owner's machine has capacity for one worker.
     for (int i = 1; i < 15; ++i)
         used.insert(plan.relayOf("w" + std::to_string(i), now));
     CHECK(used == std::set<std::string> { "a", "b" });
@@ -192,7 +192,7 @@
     }
     for (int i = 0; i < 40; ++i)
         CHECK(plan.relayOf("w" + std::to_string(i), now + Millis(4'000)) == "b");
-    // Afterwards it is tried with one worker, and with its share once that one has answered.
+    // After the suspension it gets one worker, and its full share once that worker answers.
     const auto workersOfA = [&](MonotonicInstant when) {
         int workers = 0;
         for (int i = 0; i < 40; ++i)
@@ -264,7 +264,7 @@
         CHECK(started == payload);
 }
 
-// Guards against starts that a relay sends after a pause, when cancels and evacuations that came meanwhile forbid them.
+// Guards against starts that a relay sends after a pause, although cancels or evacuations forbid them meanwhile.
 TEST_CASE("A relay that is paused while it waits for a payload does not send the start afterwards")
 {
     for (int pauseAfter = 0; pauseAfter < 20; ++pauseAfter) {
@@ -296,7 +296,7 @@
     Link link;
     link.renewAll(8);
     link.clock.runFor(Millis(100));
-    link.store.cutOff = true; // Both relays ask by the same client here.
+    link.store.cutOff = true; // Both relays use the same client here.
     const std::string payload(3'000, 'x');
     std::vector<OrderOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
@@ -311,11 +311,11 @@
     REQUIRE(link.byFirst.starts.size() + link.bySecond.starts.size() == 8);
     for (const std::string& started : link.byFirst.starts)
         CHECK(started == payload);
-    // The next ones do not wait for the store at all.
+    // The next starts do not wait for the store.
     startAll(2);
     link.clock.runFor(Millis(40));
     CHECK(outcomes.size() == 16);
-    // A payload that comes after all starts nothing a second time.
+    // A payload that arrives late does not start the task a second time.
     link.store.cutOff = false;
     link.clock.runFor(Millis(3'000));
     CHECK(link.byFirst.starts.size() + link.bySecond.starts.size() == 16);
@@ -342,7 +342,7 @@
     REQUIRE(link.outcomes.size() == 8);
     for (const auto& [id, result] : link.outcomes)
         CHECK(result.outcome == OrderOutcome::Done);
-    // It is taken in again once it is reached.
+    // The relay is used again once it is reachable.
     link.peers.trouble.cutOff.clear();
     link.clock.runFor(Millis(7'000));
     link.renewAll(8);
