--- a/include/lanemoor/jobs/relay/order_relay.h
+++ b/include/lanemoor/jobs/relay/command_relay.h
@@ -23,7 +23,7 @@
 struct AdmissionGrants;
 
 /// Dependencies of a relay. All of them must outlive it.
-struct OrderRelayParts {
+struct CommandRelayParts {
     EventLoop* loop = nullptr;
     PeerTransport* peers = nullptr; ///< Null: this process does not relay calls.
     WorkerControl* workers = nullptr;
@@ -41,17 +41,17 @@
 ///
 /// A call that arrives too late, for example after this machine was frozen, is not made:
 /// it has already timed out at the owner.
-class OrderRelay {
+class CommandRelay {
 public:
     /// \param name Unique among the instances. \param cores Processor cores of this machine.
     /// \param dataHall Data hall of this machine; empty: unknown.
-    OrderRelay(OrderRelayParts parts, std::string name, double cores, std::string dataHall = {});
-    ~OrderRelay();
-    OrderRelay(const OrderRelay&) = delete;
-    OrderRelay& operator=(const OrderRelay&) = delete;
+    CommandRelay(CommandRelayParts parts, std::string name, double cores, std::string dataHall = {});
+    ~CommandRelay();
+    CommandRelay(const CommandRelay&) = delete;
+    CommandRelay& operator=(const CommandRelay&) = delete;
 
     /// \brief Connects to the owner at `address`; an empty address only disconnects. An unchanged address has no effect.
-    void follow(const std::string& address);
+    void setOwner(const std::string& address);
 
     /// \brief Schedules a report of this instance's demand, at most one every 250 ms.
     void reportDemand();
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -62,7 +62,7 @@
 
     /// \returns The best path for one call to the data hall, except `avoided` ones, if there is any. Among paths of equal rank,
     /// those that start in other data halls than the avoided ones come first.
-    [[nodiscard]] std::optional<std::string> otherPath(const std::string& dataHall, const std::set<std::string>& avoided, MonotonicInstant now);
+    [[nodiscard]] std::optional<std::string> alternativePath(const std::string& dataHall, const std::set<std::string>& avoided, MonotonicInstant now);
 
     /// \brief Notes that the worker answered a call through `relay`.
     /// \returns The change of the path's state, if any.
@@ -81,7 +81,7 @@
     [[nodiscard]] std::optional<std::string> takeRetry(const std::string& dataHall, MonotonicInstant now);
 
     /// \returns Number of workers of the data hall that are assigned to the path.
-    [[nodiscard]] std::size_t workersOver(const std::string& path, const std::string& dataHall) const;
+    [[nodiscard]] std::size_t workersOnPath(const std::string& path, const std::string& dataHall) const;
 
     [[nodiscard]] const ReachabilityTable& reachability() const noexcept { return m_reachability; }
 
@@ -92,7 +92,7 @@
     [[nodiscard]] std::size_t relaysInUse() const noexcept { return m_inUse; }
 
     /// \returns Number of workers in the plan.
-    [[nodiscard]] std::size_t workers() const noexcept { return m_places.size(); }
+    [[nodiscard]] std::size_t workers() const noexcept { return m_assignments.size(); }
 
 private:
     struct Relay {
@@ -101,65 +101,65 @@
         std::size_t workers = 0;
         std::map<std::size_t, std::size_t> workersByHall; ///< Excludes workers of unknown data halls.
         std::uint32_t unanswered = 0; ///< Consecutive calls.
-        std::uint32_t rests = 0; ///< Consecutive suspensions.
-        MonotonicInstant restsUntil; ///< End of the suspension: it gets no workers before.
+        std::uint32_t suspensions = 0; ///< Consecutive suspensions.
+        MonotonicInstant suspendedUntil; ///< End of the suspension: it gets no workers before.
         bool inUse = false;
-        bool isWanted = false; ///< Whether the plan in progress uses it.
-        bool isDetour = false; ///< Used only for data halls that the other relays do not reach.
+        bool isSelected = false; ///< Whether the plan in progress uses it.
+        bool servesCutHallsOnly = false; ///< Used only for data halls that the other relays do not reach.
 
         [[nodiscard]] double capacity() const noexcept { return onProbation ? 1.0 : fullCapacity; }
     };
 
-    struct Place {
+    struct Assignment {
         std::string relay; ///< Empty: the worker is called directly.
         std::size_t hall = 0; ///< See `ReachabilityTable::hallOf`.
     };
 
     /// A path with its rank for calls to one data hall.
-    struct Detour {
+    struct RankedPath {
         std::string path;
         std::string from; ///< Data hall where the path starts.
         PathRank rank = PathRank::MayReach;
-        bool isElsewhere = false; ///< The path starts in another data hall than its target.
-        double share = 0; ///< Utilisation: workers by capacity.
-        std::uint32_t taken = 0; ///< Calls assigned to it since the ranking.
+        bool startsInOtherHall = false; ///< The path starts in another data hall than its target.
+        double utilisation = 0; ///< Utilisation: workers by capacity.
+        std::uint32_t callsSinceRanking = 0; ///< Calls assigned to it since the ranking.
     };
 
-    struct Detours {
+    struct PathRanking {
         MonotonicInstant validUntil;
-        std::vector<Detour> paths;
+        std::vector<RankedPath> paths;
     };
 
-    [[nodiscard]] std::vector<Detour>& detoursTo(std::size_t hall, MonotonicInstant now);
-    void noteSize();
-    void resize();
-    void useByLoad(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
-    void useDetours(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
-    void applyUse();
-    void choose(Place& place);
-    void moveTo(Place& place, const std::string& relay);
-    void release(const Place& place);
-    [[nodiscard]] Place& placeOf(const std::string& worker, const std::string& dataHall);
-    [[nodiscard]] bool needsChoice(const Place& place) const;
+    [[nodiscard]] std::vector<RankedPath>& rankedPathsTo(std::size_t hall, MonotonicInstant now);
+    void replanIfNeeded();
+    void replan();
+    void selectByLoad(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
+    void selectForCutHalls(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
+    void applySelection();
+    void reassign(Assignment& assignment);
+    void moveTo(Assignment& assignment, const std::string& relay);
+    void release(const Assignment& assignment);
+    [[nodiscard]] Assignment& assignmentOf(const std::string& worker, const std::string& dataHall);
+    [[nodiscard]] bool needsReassignment(const Assignment& assignment) const;
     [[nodiscard]] bool mayReach(const std::string& path, std::size_t hall) const { return m_reachability.rank(path, hall, m_now) < PathRank::LikelyCut; }
     [[nodiscard]] bool isOverloaded(const std::string& relay) const;
-    [[nodiscard]] bool hasDirectRoom() const;
+    [[nodiscard]] bool hasDirectCapacity() const;
     [[nodiscard]] double capacityOf(double cores) const;
 
     RelayOptions m_options;
     double m_ownCapacity;
     std::map<std::string, Relay> m_relays;
-    std::map<std::string, Place> m_places; ///< By worker.
+    std::map<std::string, Assignment> m_assignments; ///< By worker.
     std::map<std::size_t, std::size_t> m_workersByHall; ///< Excludes workers of unknown data halls.
     ReachabilityTable m_reachability;
-    bool m_isByLoad = false; ///< The workers exceed the capacity of the owner's machine: it calls none directly.
+    bool m_usesRelaysForLoad = false; ///< The workers exceed the capacity of the owner's machine: it calls none directly.
     std::size_t m_inUse = 0;
-    std::size_t m_plannedFor = 0; ///< Number of workers when the plan was made.
+    std::size_t m_plannedWorkers = 0; ///< Number of workers when the plan was made.
     MonotonicInstant m_now; ///< Latest time that was passed in.
-    std::optional<MonotonicInstant> m_restEndsAt; ///< Earliest end of a suspension, if any relay is suspended.
+    std::optional<MonotonicInstant> m_nextSuspensionEnd; ///< Earliest end of a suspension, if any relay is suspended.
     bool m_awaitsProbe = false; ///< A relay on probation has no worker yet.
     std::set<std::size_t> m_hallsWithoutPath; ///< Data halls that no relay in use was found to reach since the plan was made.
-    std::map<std::size_t, Detours> m_detours; ///< By data hall.
+    std::map<std::size_t, PathRanking> m_rankings; ///< By data hall.
     double m_fairShare = 0; ///< Workers by capacity if the load were even over all relays in use.
 };
 
--- a/include/lanemoor/jobs/service/job_metrics.h
+++ b/include/lanemoor/jobs/service/job_metrics.h
@@ -25,7 +25,7 @@
 struct RelayCounts;
 
 /// State of the replica of one key prefix of the store.
-struct CopyReading {
+struct ReplicaReading {
     std::string name;
     StoreMirrorCounts counts;
     double ageSeconds = 0; ///< Since the time as of which the replica is known to be complete.
@@ -40,7 +40,7 @@
     DocumentCopyCounts configurationReads;
     std::uint64_t jobs = 0; ///< In the replica of the store.
     double storeAgeSeconds = 0; ///< Since the replica of the jobs was last known to be up to date.
-    std::vector<CopyReading> copies;
+    std::vector<ReplicaReading> replicas;
     StoreState storeState = StoreState::Writing;
     HedgeCounts hedges;
     std::uint64_t unsavedChanges = 0; ///< Jobs with changes that are not stored yet.
@@ -66,7 +66,7 @@
     JobMetrics& operator=(const JobMetrics&) = delete;
 
     /// \brief Counts a submitted job, and observes how long its caller waited.
-    void noteHandedIn(const std::string& queue, AcceptOutcome outcome, double seconds);
+    void noteSubmitted(const std::string& queue, AcceptOutcome outcome, double seconds);
 
     /// \brief Counts a job that was refused because its organisation's share is used up.
     /// \param reason One of a fixed set of names.
@@ -83,7 +83,7 @@
 
     /// \brief Counts a call that was refused for its route or key, or deferred.
     /// \param reason One of a fixed set of names.
-    void noteTurnedAway(const std::string& reason);
+    void noteCallerRefused(const std::string& reason);
 
     /// \returns All metrics as text.
     [[nodiscard]] std::string text(const MetricsReading& reading, const SchedulerCounts& scheduler, const FleetCounts& fleet, const RelayCounts& relay) const;
--- a/include/lanemoor/jobs/service/job_service.h
+++ b/include/lanemoor/jobs/service/job_service.h
@@ -40,15 +40,15 @@
 
 /// Whether a caller's request is admitted.
 enum class Admission {
-    LetIn,
-    Later, ///< The request is not refused but can't be handled now. It was not executed, so the caller can retry.
+    Admitted,
+    Deferred, ///< The request is not refused but can't be handled now. It was not executed, so the caller can retry.
     NoSuchQueue,
     KeyRefused, ///< The key is missing or unknown.
 };
 
 /// Result of the check of a request before its body is read.
-struct AdmittedCall {
-    Admission admission = Admission::Later;
+struct AdmissionResult {
+    Admission admission = Admission::Deferred;
     Caller caller; ///< Only valid if the request is admitted.
     std::string job; ///< Path after the queue's prefix; empty: the request concerns the queue.
 };
@@ -94,7 +94,7 @@
     /// Refused and deferred calls are counted and logged.
     /// \param host Without port.
     /// \param key As sent by the caller, if any.
-    [[nodiscard]] AdmittedCall admit(std::string_view host, std::string_view path, std::optional<std::string_view> key);
+    [[nodiscard]] AdmissionResult admit(std::string_view host, std::string_view path, std::optional<std::string_view> key);
     void submit(const Caller& caller, const std::string& id, JobSpec spec, std::function<void(AcceptOutcome)> done);
     void noteRejected(const std::string& id, JobFault fault);
 
@@ -116,7 +116,7 @@
     /// \name Operators
     ///@{
     /// \returns Up to `most` jobs of `queue`, or of all queues, ordered by id.
-    [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t most) const;
+    [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t limit) const;
 
     /// \returns This instance's report on the job; nothing if the job is not in its catalog.
     [[nodiscard]] std::optional<JobReport> job(const std::string& id) const;
--- a/src/jobs/operator/operator_api.cpp
+++ b/src/jobs/operator/operator_api.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned notFound = 404;
 constexpr unsigned notAllowed = 405;
 constexpr unsigned unavailable = 503;
-constexpr std::size_t mostJobsListed = 1'000; // About 100 bytes each.
+constexpr std::size_t maxJobsListed = 1'000; // About 100 bytes each.
 constexpr std::string_view jobsPath = "/v1/jobs";
 constexpr std::string_view organisationsPath = "/v1/organisations";
 constexpr std::string_view evacuationsPath = "/v1/evacuations";
@@ -39,7 +39,7 @@
 }
 
 /// \returns The `queue` parameter of the target's query, if any.
-std::optional<std::string> queueIn(std::string_view target)
+std::optional<std::string> queueParameter(std::string_view target)
 {
     constexpr std::string_view name = "?queue=";
     const std::size_t found = target.find(name);
@@ -50,9 +50,9 @@
 
 void listJobs(const JobService& service, std::string_view target, const std::function<void(HttpResponse)>& respond)
 {
-    std::vector<JobSummary> jobs = service.jobs(queueIn(target), mostJobsListed + 1);
-    const bool more = jobs.size() > mostJobsListed;
-    jobs.resize(std::min(jobs.size(), mostJobsListed));
+    std::vector<JobSummary> jobs = service.jobs(queueParameter(target), maxJobsListed + 1);
+    const bool more = jobs.size() > maxJobsListed;
+    jobs.resize(std::min(jobs.size(), maxJobsListed));
     respond(answer(formatJobs(jobs, more)));
 }
 
--- a/src/jobs/relay/order_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -1,4 +1,4 @@
-#include "lanemoor/jobs/relay/order_relay.h"
+#include "lanemoor/jobs/relay/command_relay.h"
 
 #include "admission_codec.h"
 #include "demand_codec.h"
@@ -18,27 +18,27 @@
 
 namespace {
 
-constexpr Millis reconnectPause { 300 };
+constexpr Millis minReconnectPause { 300 };
 /// An owner accepts a bounded number of links, and instances beyond it reconnect at growing intervals. The bound is low since a
 /// partitioned path can't be told from a refused link.
 constexpr Millis maxReconnectPause { 3'000 };
 /// A refused connection proves the end of the owner's process only within this time after its link broke: later, the break may have
 /// had another cause.
-constexpr Millis refusalCounts { 1'000 };
+constexpr Millis refusalWindow { 1'000 };
 /// A call with a delay this much above the link's minimum is not made: this machine was frozen or overloaded, and calls time out at
 /// the owner after 1.1 s.
-constexpr Millis oldestCall { 400 };
+constexpr Millis maxCallDelay { 400 };
 /// After this time without a payload from the store, the start is returned and the owner sends the payload with the call. The store
 /// answers in 4 ms, and in about 200 ms while it is slow.
-constexpr Millis payloadPatience { 250 };
-constexpr Millis demandGap { 250 }; // Between demand reports: the owner plans every 100 ms, and each frame costs processor time.
-constexpr Millis storePause { 2'000 }; // Before the next read of a payload after a failed one.
+constexpr Millis payloadReadTimeout { 250 };
+constexpr Millis minDemandInterval { 250 }; // Between demand reports: the owner plans every 100 ms, and each frame costs processor time.
+constexpr Millis storeRetryPause { 2'000 }; // Before the next read of a payload after a failed one.
 
 } // namespace
 
-class OrderRelay::Impl : public std::enable_shared_from_this<OrderRelay::Impl> {
+class CommandRelay::Impl : public std::enable_shared_from_this<CommandRelay::Impl> {
 public:
-    Impl(OrderRelayParts parts, std::string name, double cores, std::string dataHall)
+    Impl(CommandRelayParts parts, std::string name, double cores, std::string dataHall)
         : m_parts(std::move(parts))
         , m_name(std::move(name))
         , m_cores(cores)
@@ -48,24 +48,24 @@
     {
     }
 
-    void follow(const std::string& address)
+    void setOwner(const std::string& address)
     {
         if (!m_parts.peers || m_leaving || address == m_address)
             return;
         m_address = address;
-        m_reconnectPause = reconnectPause;
+        m_reconnectPause = minReconnectPause;
         disconnect();
         connect();
     }
 
     void reportDemand()
     {
-        if (!m_parts.takeDemand || !m_isLinked || std::exchange(m_demandWaits, true))
+        if (!m_parts.takeDemand || !m_isLinked || std::exchange(m_isDemandScheduled, true))
             return;
-        m_parts.loop->callAt(std::max(m_parts.loop->now(), m_demandSentAt + demandGap), [self = weak_from_this(), generation = m_generation] {
+        m_parts.loop->callAt(std::max(m_parts.loop->now(), m_demandSentAt + minDemandInterval), [self = weak_from_this(), generation = m_generation] {
             const auto impl = self.lock();
             if (impl && impl->m_generation == generation && impl->m_link)
-                impl->sendSoon();
+                impl->scheduleSend();
         });
     }
 
@@ -75,7 +75,7 @@
         if (!m_link)
             return;
         m_frame.set_leaving(true);
-        sendSoon();
+        scheduleSend();
     }
 
     std::size_t inFlight = 0;
@@ -91,8 +91,8 @@
         m_isLinked = false;
         ++m_generation;
         m_frame.Clear();
-        m_gathering = false;
-        m_demandWaits = false;
+        m_isSendScheduled = false;
+        m_isDemandScheduled = false;
     }
 
     void connect()
@@ -101,8 +101,8 @@
             return;
         constexpr double milli = 1'000;
         m_link = m_parts.peers->connect(m_address);
-        m_heardAt = m_parts.loop->now();
-        m_fastest.reset();
+        m_lastReceivedAt = m_parts.loop->now();
+        m_minClockOffset.reset();
         // Demand from before the link says nothing about the current load.
         if (m_parts.takeDemand)
             static_cast<void>(m_parts.takeDemand());
@@ -111,57 +111,57 @@
                                  impl->received(frame); },
             .closed = [self = weak_from_this(), generation = m_generation] {
                 if (const auto impl = self.lock(); impl && impl->m_generation == generation)
-                    impl->ended("closed"); } });
+                    impl->onLinkEnded("closed"); } });
         m_frame.mutable_hello()->set_name(m_name);
         m_frame.mutable_hello()->set_milli_cores(static_cast<std::uint32_t>(std::lround(m_cores * milli)));
         m_frame.mutable_hello()->set_data_hall(m_dataHall);
-        sendSoon();
-        watchLink();
+        scheduleSend();
+        scheduleIdleCheck();
     }
 
     /// Handles the end of the link. The owner may still be running, so the relay reconnects until another owner is known.
-    void ended(const char* reason)
+    void onLinkEnded(const char* reason)
     {
         m_parts.log->decision("relay-link-ended", { { "owner", m_address }, { "reason", std::string(reason) }, { "calls", static_cast<std::int64_t>(inFlight) } });
         const MonotonicInstant now = m_parts.loop->now();
-        const bool broke = m_isLinked;
+        const bool wasLinked = m_isLinked;
         const bool refused = m_link && m_link->wasRefused();
         disconnect();
-        if (broke)
-            m_refusalCountsUntil = now + refusalCounts;
-        else if (refused && now < m_refusalCountsUntil)
+        if (wasLinked)
+            m_refusalWindowEnd = now + refusalWindow;
+        else if (refused && now < m_refusalWindowEnd)
             noteOwnerGone();
         // The first attempt after a break shows whether the owner's process still runs.
-        m_parts.loop->callAt(now + (broke ? Millis(0) : nextPause()), [self = weak_from_this()] {
+        m_parts.loop->callAt(now + (wasLinked ? Millis(0) : nextReconnectPause()), [self = weak_from_this()] {
             if (const auto impl = self.lock())
                 impl->connect();
         });
     }
 
     /// \returns A random pause between half of the current maximum and all of it; the maximum doubles with each call, up to a bound.
-    Millis nextPause()
+    Millis nextReconnectPause()
     {
-        const Millis longest = std::exchange(m_reconnectPause, std::min(2 * m_reconnectPause, maxReconnectPause));
-        return Millis(std::uniform_int_distribution<Millis::rep>(longest.count() / 2, longest.count())(m_random));
+        const Millis maxPause = std::exchange(m_reconnectPause, std::min(2 * m_reconnectPause, maxReconnectPause));
+        return Millis(std::uniform_int_distribution<Millis::rep>(maxPause.count() / 2, maxPause.count())(m_random));
     }
 
     void noteOwnerGone()
     {
-        m_refusalCountsUntil = {};
+        m_refusalWindowEnd = {};
         if (m_parts.ownerGone)
             m_parts.ownerGone(m_address);
     }
 
-    void watchLink()
+    void scheduleIdleCheck()
     {
-        m_parts.loop->callAt(m_heardAt + idleLinkSilence, [self = weak_from_this(), generation = m_generation] {
+        m_parts.loop->callAt(m_lastReceivedAt + idleLinkTimeout, [self = weak_from_this(), generation = m_generation] {
             const auto impl = self.lock();
             if (!impl || impl->m_generation != generation || !impl->m_link)
                 return;
-            if (impl->m_parts.loop->now() - impl->m_heardAt >= idleLinkSilence)
-                impl->ended("silent");
+            if (impl->m_parts.loop->now() - impl->m_lastReceivedAt >= idleLinkTimeout)
+                impl->onLinkEnded("silent");
             else
-                impl->watchLink();
+                impl->scheduleIdleCheck();
         });
     }
 
@@ -169,34 +169,34 @@
     {
         wire::RelayFrame frame;
         if (!frame.ParseFromString(text)) {
-            ended("unreadable");
+            onLinkEnded("unreadable");
             return;
         }
-        m_heardAt = m_parts.loop->now();
+        m_lastReceivedAt = m_parts.loop->now();
         m_isLinked = true;
-        m_reconnectPause = reconnectPause;
-        const bool isOld = isLate(frame.sent_at_us());
+        m_reconnectPause = minReconnectPause;
+        const bool isStale = isDelayed(frame.sent_at_us());
         for (const wire::RelayCall& call : frame.calls()) {
-            if (isOld)
+            if (isStale)
                 refuse(call);
             else
-                make(call);
+                execute(call);
         }
-        for (const wire::RelayLife& life : frame.forgotten())
-            m_parts.workers->forget({ .id = life.worker(), .address = life.address() });
-        if (frame.has_admission() && m_parts.granted && !isOld)
+        for (const wire::RelayLife& incarnation : frame.forgotten())
+            m_parts.workers->forget({ .id = incarnation.worker(), .address = incarnation.address() });
+        if (frame.has_admission() && m_parts.granted && !isStale)
             m_parts.granted(grantsOf(frame.admission()));
         // Every frame is answered, so that the owner can detect a broken link. Calls are answered anyway.
         if (frame.calls().empty())
-            sendSoon();
+            scheduleSend();
     }
 
     /// The offset of the two clocks is unknown but constant: the smallest difference on the link counts as no delay.
-    bool isLate(std::int64_t sentAtMicros)
+    bool isDelayed(std::int64_t sentAtMicros)
     {
         const std::int64_t passed = m_parts.loop->now().time_since_epoch().count() - sentAtMicros;
-        m_fastest = std::min(m_fastest.value_or(passed), passed);
-        return std::chrono::microseconds(passed - *m_fastest) > oldestCall;
+        m_minClockOffset = std::min(m_minClockOffset.value_or(passed), passed);
+        return std::chrono::microseconds(passed - *m_minClockOffset) > maxCallDelay;
     }
 
     void refuse(const wire::RelayCall& call)
@@ -204,14 +204,14 @@
         wire::RelayAnswer& answer = *m_frame.add_answers();
         answer.set_call(call.call());
         answer.set_outcome(static_cast<std::uint32_t>(OrderOutcome::NotDone));
-        sendSoon();
+        scheduleSend();
     }
 
-    void make(const wire::RelayCall& call)
+    void execute(const wire::RelayCall& call)
     {
         ++calls;
         ++inFlight;
-        const WorkerLife worker = lifeOf(call);
+        const WorkerLife worker = workerOf(call);
         switch (call.kind_case()) {
         case wire::RelayCall::kStart:
             start(worker, call);
@@ -244,15 +244,15 @@
         const auto refuse = [self = shared_from_this(), isSettled, done] {
             if (std::exchange(*isSettled, true))
                 return;
-            self->m_storeSilentUntil = self->m_parts.loop->now() + storePause;
+            self->m_storeUnavailableUntil = self->m_parts.loop->now() + storeRetryPause;
             done({ .outcome = OrderOutcome::NotDone });
         };
-        if (m_parts.loop->now() < m_storeSilentUntil) {
+        if (m_parts.loop->now() < m_storeUnavailableUntil) {
             m_parts.loop->callAt(m_parts.loop->now(), refuse);
             return;
         }
         const std::string job = order.attempt.job;
-        const MonotonicInstant deadline = m_parts.loop->now() + payloadPatience;
+        const MonotonicInstant deadline = m_parts.loop->now() + payloadReadTimeout;
         m_payloads->read(job, [self = shared_from_this(), isSettled, refuse, worker, order = std::move(order), done, deadline](const std::optional<std::string>& payload) mutable {
             // After a pause of this process the payload may arrive before the expired timer runs.
             if (!payload || self->m_parts.loop->now() > deadline) {
@@ -277,15 +277,15 @@
             wire::RelayAnswer& answer = *self->m_frame.add_answers();
             answer.set_call(call);
             fill(answer, result);
-            self->sendSoon();
+            self->scheduleSend();
         };
     }
 
-    void sendSoon()
+    void scheduleSend()
     {
-        if (std::exchange(m_gathering, true))
+        if (std::exchange(m_isSendScheduled, true))
             return;
-        m_parts.loop->callAt(m_parts.loop->now() + answersGather, [self = weak_from_this(), generation = m_generation] {
+        m_parts.loop->callAt(m_parts.loop->now() + answerBatchDelay, [self = weak_from_this(), generation = m_generation] {
             const auto impl = self.lock();
             if (impl && impl->m_generation == generation && impl->m_link)
                 impl->send();
@@ -294,7 +294,7 @@
 
     void send()
     {
-        m_gathering = false;
+        m_isSendScheduled = false;
         addDemand();
         m_frame.set_sent_at_us(m_parts.loop->now().time_since_epoch().count());
         m_link->send(m_frame.SerializeAsString());
@@ -304,14 +304,14 @@
     void addDemand()
     {
         const MonotonicInstant now = m_parts.loop->now();
-        if (!m_demandWaits || now < m_demandSentAt + demandGap)
+        if (!m_isDemandScheduled || now < m_demandSentAt + minDemandInterval)
             return;
-        m_demandWaits = false;
+        m_isDemandScheduled = false;
         m_demandSentAt = now;
         jobs::addDemand(m_frame, m_parts.takeDemand());
     }
 
-    OrderRelayParts m_parts;
+    CommandRelayParts m_parts;
     std::string m_name;
     double m_cores;
     std::string m_dataHall;
@@ -320,47 +320,47 @@
     std::shared_ptr<PeerLink> m_link;
     std::uint64_t m_generation = 0; ///< Of the link: callbacks of earlier links are ignored.
     wire::RelayFrame m_frame; ///< The next frame, while it is filled.
-    bool m_gathering = false;
-    Millis m_reconnectPause = reconnectPause; ///< Max pause before the next attempt.
+    bool m_isSendScheduled = false;
+    Millis m_reconnectPause = minReconnectPause; ///< Max pause before the next attempt.
     std::minstd_rand m_random; ///< Seeded by the name.
     bool m_isLinked = false; ///< Whether the owner sent a frame over the link.
-    MonotonicInstant m_refusalCountsUntil;
-    bool m_demandWaits = false; ///< Whether a demand report is scheduled.
+    MonotonicInstant m_refusalWindowEnd;
+    bool m_isDemandScheduled = false; ///< Whether a demand report is scheduled.
     MonotonicInstant m_demandSentAt;
     bool m_leaving = false;
-    MonotonicInstant m_storeSilentUntil; ///< No payload is read before, since a read failed.
-    MonotonicInstant m_heardAt;
-    std::optional<std::int64_t> m_fastest; ///< Min difference between receive and send time on the link, in us.
+    MonotonicInstant m_storeUnavailableUntil; ///< No payload is read before, since a read failed.
+    MonotonicInstant m_lastReceivedAt;
+    std::optional<std::int64_t> m_minClockOffset; ///< Min difference between receive and send time on the link, in us.
 };
 
-OrderRelay::OrderRelay(OrderRelayParts parts, std::string name, double cores, std::string dataHall)
+CommandRelay::CommandRelay(CommandRelayParts parts, std::string name, double cores, std::string dataHall)
     : m_impl(std::make_shared<Impl>(std::move(parts), std::move(name), cores, std::move(dataHall)))
 {
 }
 
-OrderRelay::~OrderRelay() = default;
+CommandRelay::~CommandRelay() = default;
 
-void OrderRelay::follow(const std::string& address)
+void CommandRelay::setOwner(const std::string& address)
 {
-    m_impl->follow(address);
+    m_impl->setOwner(address);
 }
 
-void OrderRelay::reportDemand()
+void CommandRelay::reportDemand()
 {
     m_impl->reportDemand();
 }
 
-void OrderRelay::leave()
+void CommandRelay::leave()
 {
     m_impl->leave();
 }
 
-std::size_t OrderRelay::inFlight() const noexcept
+std::size_t CommandRelay::inFlight() const noexcept
 {
     return m_impl->inFlight;
 }
 
-std::uint64_t OrderRelay::calls() const noexcept
+std::uint64_t CommandRelay::calls() const noexcept
 {
     return m_impl->calls;
 }
--- a/src/jobs/relay/open_calls.h
+++ b/src/jobs/relay/outstanding_calls.h
@@ -17,7 +17,7 @@
 namespace lanemoor::jobs {
 
 /// A call in flight.
-struct OpenCall {
+struct OutstandingCall {
     std::string path; ///< The relay's name; empty: a direct call of the owner.
     std::string worker;
     std::string dataHall; ///< Of the worker.
@@ -26,19 +26,19 @@
 };
 
 /// \brief Tracks the unanswered calls to each worker, and the paths on which calls are overdue.
-class OpenCalls {
+class OutstandingCalls {
 public:
-    void add(std::uint64_t call, OpenCall open);
+    void add(std::uint64_t call, OutstandingCall outstanding);
 
     /// \brief Removes a call that ended. \returns The call, or nothing if it is unknown.
-    std::optional<OpenCall> take(std::uint64_t call);
+    std::optional<OutstandingCall> take(std::uint64_t call);
 
     /// \brief Removes all calls to a worker whose incarnation ended: their outcomes are no evidence on paths.
     void forget(const std::string& worker);
 
     /// \brief Marks the overdue calls to a worker.
     /// \returns The calls that were not marked before.
-    std::vector<OpenCall> markOverdue(const std::string& worker, MonotonicInstant now);
+    std::vector<OutstandingCall> markOverdue(const std::string& worker, MonotonicInstant now);
 
     /// \returns Paths with overdue calls to the worker.
     [[nodiscard]] std::set<std::string> overduePaths(const std::string& worker) const;
@@ -51,7 +51,7 @@
         std::size_t overdue = 0; ///< Number of these calls that are overdue.
     };
 
-    std::map<std::uint64_t, OpenCall> m_calls;
+    std::map<std::uint64_t, OutstandingCall> m_calls;
     std::unordered_map<std::string, WorkerCalls> m_byWorker;
 };
 
--- a/src/jobs/relay/payload_reader.cpp
+++ b/src/jobs/relay/payload_reader.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// At most about 5 kB each: 1.3 MB of the 160 MB of the smallest machines.
-constexpr std::size_t mostPayloads = 256;
+constexpr std::size_t maxPayloads = 256;
 
 } // namespace
 
@@ -31,30 +31,30 @@
         return;
     m_store.read(jobKey(job), [self = weak_from_this(), job](const ReadResult& result) {
         if (const auto reader = self.lock())
-            reader->answer(job, result);
+            reader->onRead(job, result);
     });
 }
 
-void PayloadReader::answer(const std::string& job, const ReadResult& result)
+void PayloadReader::onRead(const std::string& job, const ReadResult& result)
 {
     const std::vector<Done> waiting = std::move(m_waiting[job]);
     m_waiting.erase(job);
     const std::optional<JobRecord> record = result.outcome == StoreOutcome::Done ? decodeJob(result.item.value) : std::nullopt;
     if (record)
-        keep(job, record->spec.payload);
+        cache(job, record->spec.payload);
     for (const Done& done : waiting)
         done(record ? std::optional(record->spec.payload) : std::nullopt);
 }
 
-void PayloadReader::keep(const std::string& job, std::string payload)
+void PayloadReader::cache(const std::string& job, std::string payload)
 {
     if (!m_payloads.emplace(job, std::move(payload)).second)
         return;
-    m_order.push_back(job);
-    if (m_order.size() <= mostPayloads)
+    m_insertionOrder.push_back(job);
+    if (m_insertionOrder.size() <= maxPayloads)
         return;
-    m_payloads.erase(m_order.front());
-    m_order.pop_front();
+    m_payloads.erase(m_insertionOrder.front());
+    m_insertionOrder.pop_front();
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/relay/payload_reader.h
+++ b/src/jobs/relay/payload_reader.h
@@ -25,12 +25,12 @@
     void read(const std::string& job, Done done);
 
 private:
-    void answer(const std::string& job, const ReadResult& result);
-    void keep(const std::string& job, std::string payload);
+    void onRead(const std::string& job, const ReadResult& result);
+    void cache(const std::string& job, std::string payload);
 
     KeyValueStore& m_store;
     std::map<std::string, std::string> m_payloads; ///< By job.
-    std::deque<std::string> m_order; ///< The cached jobs, oldest first.
+    std::deque<std::string> m_insertionOrder; ///< The cached jobs, oldest first.
     std::map<std::string, std::vector<Done>> m_waiting; ///< Callbacks of reads in flight, by job.
 };
 
--- a/src/jobs/relay/reach_log.cpp
+++ b/src/jobs/relay/reachability_log.cpp
@@ -1,4 +1,4 @@
-#include "reach_log.h"
+#include "reachability_log.h"
 
 #include "lanemoor/adapters/event_log.h"
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void ReachLog::note(const PathChange& change, const std::optional<std::string>& next, const Reachability& after)
+void ReachabilityLog::logChange(const PathChange& change, const std::optional<std::string>& next, const Reachability& after)
 {
     ++m_pathChanges;
     const std::int64_t age = std::chrono::duration_cast<Millis>(after.asOf - change.evidenceSince).count();
@@ -31,10 +31,10 @@
         m_log->decision("path-changed", { { "data_hall", change.dataHall }, { "from", textOf(change.path) }, { "to", next ? textOf(*next) : std::string() }, { "workers", static_cast<std::int64_t>(change.workers) }, { "evidence", textOf(change.evidence) }, { "age_ms", age } });
     else
         m_log->decision("path-restored", { { "data_hall", change.dataHall }, { "path", textOf(change.path) }, { "unreachable_ms", age } });
-    noteHall(change, after, age);
+    logHallChange(change, after, age);
 }
 
-void ReachLog::noteHall(const PathChange& change, const Reachability& after, std::int64_t ageMillis)
+void ReachabilityLog::logHallChange(const PathChange& change, const Reachability& after, std::int64_t ageMillis)
 {
     const bool isUnreachable = after.isUnreachable(change.dataHall);
     if (isUnreachable && m_unreachable.insert(change.dataHall).second)
--- a/src/jobs/relay/reach_log.h
+++ b/src/jobs/relay/reachability_log.h
@@ -17,16 +17,16 @@
 namespace lanemoor::jobs {
 
 /// \brief Logs each state change of a path, and when a data hall becomes unreachable over all paths or reachable again.
-class ReachLog {
+class ReachabilityLog {
 public:
-    explicit ReachLog(EventLog& log)
+    explicit ReachabilityLog(EventLog& log)
         : m_log(&log)
     {
     }
 
     /// \param next Path that calls to the data hall take now; nothing: there is no other path, or none is needed.
     /// \param after Reachability after the change.
-    void note(const PathChange& change, const std::optional<std::string>& next, const Reachability& after);
+    void logChange(const PathChange& change, const std::optional<std::string>& next, const Reachability& after);
 
     /// \brief Resets the unreachable data halls at the end of a term.
     void forget() { m_unreachable.clear(); }
@@ -35,7 +35,7 @@
     [[nodiscard]] std::uint64_t pathChanges() const noexcept { return m_pathChanges; }
 
 private:
-    void noteHall(const PathChange& change, const Reachability& after, std::int64_t ageMillis);
+    void logHallChange(const PathChange& change, const Reachability& after, std::int64_t ageMillis);
 
     EventLog* m_log;
     std::set<std::string> m_unreachable; ///< Data halls.
--- a/src/jobs/relay/relay_codec.cpp
+++ b/src/jobs/relay/relay_codec.cpp
@@ -6,7 +6,7 @@
 
 /// The relay reads a longer payload from the store, once for all tasks of the job that it starts. A read costs about 300 bytes of
 /// headers, and a job has about 24 tasks with up to 4,000 bytes each.
-constexpr std::size_t mostPayloadInCall = 200;
+constexpr std::size_t maxInlinePayload = 200;
 
 void write(wire::RelayAttempt& message, const Attempt& attempt)
 {
@@ -17,7 +17,7 @@
     message.set_number(attempt.number);
 }
 
-void writeLife(wire::RelayCall& message, const WorkerLife& worker, std::uint64_t epoch)
+void writeWorker(wire::RelayCall& message, const WorkerLife& worker, std::uint64_t epoch)
 {
     message.set_worker(worker.id);
     message.set_address(worker.address);
@@ -39,15 +39,15 @@
 
 bool isLongPayload(const StartOrder& order) noexcept
 {
-    return order.payload.size() > mostPayloadInCall;
+    return order.payload.size() > maxInlinePayload;
 }
 
-void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refers)
+void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refersToStore)
 {
-    writeLife(message, worker, order.epoch);
+    writeWorker(message, worker, order.epoch);
     wire::RelayCall::Start& start = *message.mutable_start();
     write(*start.mutable_attempt(), order.attempt);
-    if (refers)
+    if (refersToStore)
         start.set_payload_in_store(true);
     else
         start.set_payload(order.payload);
@@ -58,13 +58,13 @@
 
 void fillStop(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch)
 {
-    writeLife(message, worker, epoch);
+    writeWorker(message, worker, epoch);
     write(*message.mutable_stop()->mutable_attempt(), attempt);
 }
 
 void fill(wire::RelayCall& message, const WorkerLife& worker, const RenewOrder& order)
 {
-    writeLife(message, worker, order.epoch);
+    writeWorker(message, worker, order.epoch);
     wire::RelayCall::Renew& renew = *message.mutable_renew();
     renew.set_lease_until(order.leaseUntil);
     renew.set_ends_stored_up_to(order.endsStoredUpTo);
@@ -73,7 +73,7 @@
 
 void fillThrottle(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch)
 {
-    writeLife(message, worker, epoch);
+    writeWorker(message, worker, epoch);
     write(*message.mutable_throttle()->mutable_attempt(), attempt);
     message.mutable_throttle()->set_percent(percent);
 }
@@ -105,7 +105,7 @@
     }
 }
 
-WorkerLife lifeOf(const wire::RelayCall& message)
+WorkerLife workerOf(const wire::RelayCall& message)
 {
     return { .id = message.worker(), .address = message.address(), .dataHall = {} };
 }
--- a/src/jobs/relay/relay_codec.h
+++ b/src/jobs/relay/relay_codec.h
@@ -16,7 +16,7 @@
 /// Sets the worker and the kind of a call; the caller sets the number of the call.
 ///@{
 /// \param refers Whether the relay reads the payload from the store.
-void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refers);
+void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refersToStore);
 void fillStop(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch);
 void fill(wire::RelayCall& message, const WorkerLife& worker, const RenewOrder& order);
 void fillThrottle(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch);
@@ -27,7 +27,7 @@
 /// \name Decoding
 /// An outcome that this version does not define is decoded as `Unknown`.
 ///@{
-[[nodiscard]] WorkerLife lifeOf(const wire::RelayCall& message);
+[[nodiscard]] WorkerLife workerOf(const wire::RelayCall& message);
 [[nodiscard]] Attempt attemptOf(const wire::RelayAttempt& message);
 [[nodiscard]] StartOrder startOf(const wire::RelayCall& message);
 [[nodiscard]] RenewOrder renewalOf(const wire::RelayCall& message);
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -4,8 +4,8 @@
 #include "demand_codec.h"
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/work_meter.h"
-#include "open_calls.h"
-#include "reach_log.h"
+#include "outstanding_calls.h"
+#include "reachability_log.h"
 #include "relay_codec.h"
 #include "relay_times.h"
 
@@ -20,15 +20,15 @@
 
 namespace {
 
-constexpr Millis check { 100 }; // Between checks for unresponsive links and calls that time out.
+constexpr Millis checkInterval { 100 }; // Between checks for unresponsive links and calls that time out.
 /// A relay's call to a worker ends within 0.8 s; network delay and batching are added to that.
-constexpr Millis callTime { 1'100 };
+constexpr Millis callTimeout { 1'100 };
 /// For this time after a relay could not read a payload from the store, its calls include payloads.
-constexpr Millis inlineTime { 5'000 };
+constexpr Millis inlinePayloadTime { 5'000 };
 /// With a timer delay above this, this process was stalled itself, and missing answers are no evidence against relays.
-constexpr Millis heldUp { 300 };
+constexpr Millis maxTimerDelay { 300 };
 /// Reachability is published at each change, and at this interval to update its timestamps.
-constexpr Millis publishEvery { 1'000 };
+constexpr Millis publishInterval { 1'000 };
 
 } // namespace
 
@@ -41,7 +41,7 @@
         , m_reachability(reachability)
         , m_ownHall(std::move(ownHall))
         , m_plan(options, ownCores, reachability, m_ownHall)
-        , m_reachLog(*parts.log)
+        , m_reachabilityLog(*parts.log)
     {
     }
 
@@ -58,7 +58,7 @@
                 link->close();
         });
         m_checkedAt = m_parts.loop->now();
-        checkLater();
+        scheduleCheck();
     }
 
     void deactivate()
@@ -68,15 +68,15 @@
             relay.link->close();
         m_relays.clear();
         m_byName.clear();
-        m_granted.reset();
+        m_grants.reset();
         m_plan = RelayPlan(m_options, m_ownCores, m_reachability, m_ownHall);
-        m_openCalls.clear();
-        m_reachLog.forget();
+        m_outstandingCalls.clear();
+        m_reachabilityLog.forget();
         std::vector<std::uint64_t> all;
-        for (const auto& [call, pending] : m_pending)
+        for (const auto& [call, pending] : m_pendingCalls)
             all.push_back(call);
         for (const std::uint64_t call : all)
-            giveUp(call);
+            endAsUnknown(call);
     }
 
     using Done = std::variant<std::function<void(OrderResult)>, std::function<void(RenewResult)>>;
@@ -85,7 +85,7 @@
     struct RelayedCall {
         wire::RelayCall* message = nullptr; ///< Null: call the worker directly.
         std::uint64_t relay = 0; ///< Number of the link.
-        bool readsStore = true; ///< False for some time after the relay could not read a payload.
+        bool canReadStore = true; ///< False for some time after the relay could not read a payload.
         std::uint64_t call = 0;
     };
 
@@ -94,12 +94,12 @@
     {
         const WorkMeter::Piece piece(m_parts.meter, WorkKind::RelayFrames);
         const std::string name = m_active ? pathTo(worker) : std::string();
-        noteSize();
+        logRelayCount();
         const auto relay = m_byName.find(name);
         if (name.empty() || relay == m_byName.end()) {
             ++m_counts.direct;
             if (m_active && m_reachability.enabled)
-                done = watched(worker, wait, std::move(done));
+                done = trackDirectCall(worker, wait, std::move(done));
             return {};
         }
         return relayedOver(relay->second, worker, wait, std::move(done));
@@ -111,16 +111,16 @@
         ++m_counts.relayed;
         const std::uint64_t call = ++m_lastCall;
         Relay& used = m_relays.at(relay);
-        m_openCalls.add(call, { .path = used.name, .worker = worker.id, .dataHall = hallOf(worker), .expectedAt = now + wait });
-        m_pending.emplace(call, Pending { .relay = relay, .worker = worker.id, .deadline = now + wait + callTime, .done = std::move(done) });
+        m_outstandingCalls.add(call, { .path = used.name, .worker = worker.id, .dataHall = hallOf(worker), .expectedAt = now + wait });
+        m_pendingCalls.emplace(call, PendingCall { .relay = relay, .worker = worker.id, .deadline = now + wait + callTimeout, .done = std::move(done) });
         // After a pause the timeout starts at the first call: idle links have few heartbeats.
-        if (now - used.usedAt >= usedLinkSilence)
-            used.heardAt = now;
-        used.usedAt = now;
+        if (now - used.lastCallAt >= activeLinkTimeout)
+            used.lastReceivedAt = now;
+        used.lastCallAt = now;
         wire::RelayCall* message = used.frame.add_calls();
         message->set_call(call);
-        sendSoon(used);
-        return { message, relay, now >= used.inlineUntil, call };
+        scheduleSend(used);
+        return { message, relay, now >= used.inlinePayloadUntil, call };
     }
 
     /// Renews through a relay or directly, and retries an unreachable path to the worker's data hall if one is due.
@@ -134,7 +134,7 @@
         if (!m_active || !m_reachability.enabled)
             return;
         if (const std::optional<std::string> path = m_plan.takeRetry(worker.dataHall, m_parts.loop->now()))
-            retry(*path, worker, order.epoch);
+            probePath(*path, worker, order.epoch);
     }
 
     /// Notes overdue calls as evidence that their paths do not reach the worker's data hall.
@@ -143,14 +143,14 @@
         if (!m_active || !m_reachability.enabled)
             return;
         const MonotonicInstant now = m_parts.loop->now();
-        for (const OpenCall& call : m_openCalls.markOverdue(worker.id, now))
+        for (const OutstandingCall& call : m_outstandingCalls.markOverdue(worker.id, now))
             noteEvidence(call);
     }
 
     [[nodiscard]] std::shared_ptr<const Reachability> reachability()
     {
         const MonotonicInstant now = m_parts.loop->now();
-        const bool isCurrent = m_published && m_publishedChanges == m_plan.reachability().changes() && now - m_published->asOf < publishEvery;
+        const bool isCurrent = m_published && m_publishedChanges == m_plan.reachability().changes() && now - m_published->asOf < publishInterval;
         if (!isCurrent) {
             m_publishedChanges = m_plan.reachability().changes();
             m_published = std::make_shared<const Reachability>(m_active ? m_plan.reachability().snapshot(now) : Reachability { .asOf = now, .paths = {} });
@@ -160,13 +160,13 @@
 
     /// Starts an attempt through a relay or directly. If the relay could not read the payload, the start is sent again with the
     /// payload included.
-    void start(const WorkerLife& worker, const StartOrder& order, const std::function<void(OrderResult)>& done, bool mayRefer)
+    void start(const WorkerLife& worker, const StartOrder& order, const std::function<void(OrderResult)>& done, bool mayReferToStore)
     {
         const auto relay = std::make_shared<std::uint64_t>(0);
-        const bool isLong = mayRefer && isLongPayload(order);
-        std::function<void(OrderResult)> heard = done;
+        const bool isLong = mayReferToStore && isLongPayload(order);
+        std::function<void(OrderResult)> onResult = done;
         if (isLong) {
-            heard = [self = shared_from_this(), relay, worker, order, done](const OrderResult& result) {
+            onResult = [self = shared_from_this(), relay, worker, order, done](const OrderResult& result) {
                 if (result.outcome != OrderOutcome::NotDone || *relay == 0) {
                     done(result);
                     return;
@@ -175,39 +175,39 @@
                 self->start(worker, order, done, false);
             };
         }
-        Done wrapped(std::move(heard));
+        Done wrapped(std::move(onResult));
         const RelayedCall call = relayed(worker, Millis(0), wrapped);
         if (!call.message) {
             direct().start(worker, order, std::move(std::get<std::function<void(OrderResult)>>(wrapped)));
             return;
         }
-        const bool refers = isLong && call.readsStore;
-        *relay = refers ? call.relay : 0;
-        m_pending.at(call.call).refersPayload = refers;
-        fill(*call.message, worker, order, refers);
+        const bool refersToStore = isLong && call.canReadStore;
+        *relay = refersToStore ? call.relay : 0;
+        m_pendingCalls.at(call.call).isPayloadInStore = refersToStore;
+        fill(*call.message, worker, order, refersToStore);
     }
 
     void forget(const WorkerLife& worker)
     {
         const std::string name = m_plan.forget(worker.id);
-        m_openCalls.forget(worker.id);
+        m_outstandingCalls.forget(worker.id);
         m_parts.direct->forget(worker);
         const auto relay = m_byName.find(name);
         if (relay == m_byName.end())
             return;
         Relay& used = m_relays.at(relay->second);
-        wire::RelayLife& life = *used.frame.add_forgotten();
-        life.set_worker(worker.id);
-        life.set_address(worker.address);
-        sendSoon(used);
+        wire::RelayLife& incarnation = *used.frame.add_forgotten();
+        incarnation.set_worker(worker.id);
+        incarnation.set_address(worker.address);
+        scheduleSend(used);
     }
 
     AdmissionGrants grant(const AdmissionGrants& grants)
     {
         AdmissionGrants part = partOf(grants, static_cast<std::uint32_t>(m_byName.size() + 1));
-        m_granted = part;
+        m_grants = part;
         for (const auto& [name, number] : m_byName)
-            sendGranted(m_relays.at(number));
+            sendGrants(m_relays.at(number));
         return part;
     }
 
@@ -215,7 +215,7 @@
     {
         RelayCounts counts = m_counts;
         counts.relays = m_plan.relaysInUse();
-        counts.pathChanges = m_reachLog.pathChanges();
+        counts.pathChanges = m_reachabilityLog.pathChanges();
         return counts;
     }
 
@@ -230,22 +230,22 @@
     {
         const MonotonicInstant now = m_parts.loop->now();
         const std::string path = m_plan.relayOf(worker.id, now, hallOf(worker));
-        const std::set<std::string> overdue = m_openCalls.overduePaths(worker.id);
-        return overdue.contains(path) ? m_plan.otherPath(hallOf(worker), overdue, now).value_or(path) : path;
+        const std::set<std::string> overdue = m_outstandingCalls.overduePaths(worker.id);
+        return overdue.contains(path) ? m_plan.alternativePath(hallOf(worker), overdue, now).value_or(path) : path;
     }
 
     /// Wraps `done` so that the outcome of a direct call is evidence on the direct path.
-    Done watched(const WorkerLife& worker, Millis wait, Done done)
+    Done trackDirectCall(const WorkerLife& worker, Millis wait, Done done)
     {
         const std::uint64_t call = ++m_lastCall;
-        m_openCalls.add(call, { .path = {}, .worker = worker.id, .dataHall = worker.dataHall, .expectedAt = m_parts.loop->now() + wait });
+        m_outstandingCalls.add(call, { .path = {}, .worker = worker.id, .dataHall = worker.dataHall, .expectedAt = m_parts.loop->now() + wait });
         if (auto* order = std::get_if<std::function<void(OrderResult)>>(&done))
-            return watchedAs<OrderResult>(call, std::move(*order));
-        return watchedAs<RenewResult>(call, std::move(std::get<std::function<void(RenewResult)>>(done)));
+            return trackOutcome<OrderResult>(call, std::move(*order));
+        return trackOutcome<RenewResult>(call, std::move(std::get<std::function<void(RenewResult)>>(done)));
     }
 
     template <typename Result>
-    std::function<void(Result)> watchedAs(std::uint64_t call, std::function<void(Result)> done)
+    std::function<void(Result)> trackOutcome(std::uint64_t call, std::function<void(Result)> done)
     {
         return [self = weak_from_this(), call, done = std::move(done)](const Result& result) {
             if (const auto impl = self.lock())
@@ -256,23 +256,23 @@
 
     [[nodiscard]] static bool isAnswer(OrderOutcome outcome) { return outcome != OrderOutcome::Unknown && outcome != OrderOutcome::NotDone; }
 
-    /// Notes the outcome of a call as evidence on its path. \param saysNothing The call failed for another reason than the path.
-    void noteOutcome(std::uint64_t number, bool isAnswered, bool saysNothing)
+    /// Notes the outcome of a call as evidence on its path. \param isUnrelatedToPath The call failed for another reason than the path.
+    void noteOutcome(std::uint64_t number, bool isAnswered, bool isUnrelatedToPath)
     {
-        const std::optional<OpenCall> call = m_openCalls.take(number);
+        const std::optional<OutstandingCall> call = m_outstandingCalls.take(number);
         if (!call || !m_active)
             return;
         if (isAnswered)
             noteChange(m_plan.noteAnswered(call->path, call->worker, m_parts.loop->now(), call->dataHall));
-        else if (!saysNothing && !call->isOverdue)
+        else if (!isUnrelatedToPath && !call->isOverdue)
             noteEvidence(*call);
     }
 
-    void noteEvidence(const OpenCall& call)
+    void noteEvidence(const OutstandingCall& call)
     {
         const MonotonicInstant now = m_parts.loop->now();
         // After a stall of this process, its timers may run before answers that have arrived.
-        if (call.expectedAt < m_evidenceFrom || now - m_checkedAt > check + heldUp)
+        if (call.expectedAt < m_evidenceValidFrom || now - m_checkedAt > checkInterval + maxTimerDelay)
             return;
         noteChange(m_plan.noteEvidence(call.path, call.worker, call.dataHall, call.expectedAt, now));
     }
@@ -282,12 +282,12 @@
         if (!change)
             return;
         const MonotonicInstant now = m_parts.loop->now();
-        const std::optional<std::string> next = change->to == PathState::Unreachable ? m_plan.otherPath(change->dataHall, { change->path }, now) : std::nullopt;
-        m_reachLog.note(*change, next, *reachability());
+        const std::optional<std::string> next = change->to == PathState::Unreachable ? m_plan.alternativePath(change->dataHall, { change->path }, now) : std::nullopt;
+        m_reachabilityLog.logChange(*change, next, *reachability());
     }
 
     /// Probes an unreachable path by a renewal that leaves the lease unchanged. The worker's other calls keep their path.
-    void retry(const std::string& path, const WorkerLife& worker, std::uint64_t epoch)
+    void probePath(const std::string& path, const WorkerLife& worker, std::uint64_t epoch)
     {
         const RenewOrder order { .epoch = epoch };
         std::function<void(RenewResult)> ignored = [](const RenewResult&) {};
@@ -295,25 +295,25 @@
         if (relay != m_byName.end())
             fill(*relayedOver(relay->second, worker, Millis(0), std::move(ignored)).message, worker, order);
         else if (path.empty())
-            direct().renew(worker, order, std::get<std::function<void(RenewResult)>>(watched(worker, Millis(0), std::move(ignored))));
+            direct().renew(worker, order, std::get<std::function<void(RenewResult)>>(trackDirectCall(worker, Millis(0), std::move(ignored))));
     }
 
     struct Relay;
 
-    void sendGranted(Relay& relay)
+    void sendGrants(Relay& relay)
     {
-        if (!m_granted)
+        if (!m_grants)
             return;
         relay.frame.clear_admission();
-        jobs::fill(*relay.frame.mutable_admission(), *m_granted);
-        sendSoon(relay);
+        jobs::fill(*relay.frame.mutable_admission(), *m_grants);
+        scheduleSend(relay);
     }
 
     void noteUnreadPayload(std::uint64_t number)
     {
         const auto relay = m_relays.find(number);
         if (relay != m_relays.end())
-            relay->second.inlineUntil = m_parts.loop->now() + inlineTime;
+            relay->second.inlinePayloadUntil = m_parts.loop->now() + inlinePayloadTime;
     }
 
     /// A link to a relay.
@@ -321,19 +321,19 @@
         std::shared_ptr<PeerLink> link;
         std::string name; ///< Empty before the first frame, and after the relay announced that it leaves.
         wire::RelayFrame frame; ///< The next frame, while it is filled.
-        bool hasCalls = false; ///< Whether the frame is sent with the next batch.
-        MonotonicInstant heardAt;
-        MonotonicInstant usedAt;
-        MonotonicInstant inlineUntil; ///< Until then calls include payloads, since the relay could not read one.
-        MonotonicInstant heartbeatAt; ///< When the last frame was sent.
+        bool isSendPending = false; ///< Whether the frame is sent with the next batch.
+        MonotonicInstant lastReceivedAt;
+        MonotonicInstant lastCallAt;
+        MonotonicInstant inlinePayloadUntil; ///< Until then calls include payloads, since the relay could not read one.
+        MonotonicInstant lastSentAt; ///< When the last frame was sent.
     };
 
-    struct Pending {
+    struct PendingCall {
         std::uint64_t relay = 0; ///< Number of the link.
         std::string worker;
         MonotonicInstant deadline;
         Done done;
-        bool refersPayload = false; ///< Whether the relay reads the payload from the store.
+        bool isPayloadInStore = false; ///< Whether the relay reads the payload from the store.
     };
 
     void accepted(std::shared_ptr<PeerLink> link)
@@ -342,14 +342,14 @@
         const MonotonicInstant now = m_parts.loop->now();
         Relay& relay = m_relays[number];
         relay.link = std::move(link);
-        relay.heardAt = now;
-        relay.heartbeatAt = now;
+        relay.lastReceivedAt = now;
+        relay.lastSentAt = now;
         relay.link->observe({ .received = [self = weak_from_this(), number](const std::string& frame) {
                                  if (const auto impl = self.lock())
                                      impl->received(number, frame); },
             .closed = [self = weak_from_this(), number] {
                 if (const auto impl = self.lock())
-                    impl->lost(number, "closed"); } });
+                    impl->dropLink(number, "closed"); } });
     }
 
     void received(std::uint64_t number, const std::string& text)
@@ -360,12 +360,12 @@
             return;
         wire::RelayFrame frame;
         if (!frame.ParseFromString(text)) {
-            lost(number, "unreadable");
+            dropLink(number, "unreadable");
             return;
         }
-        found->second.heardAt = m_parts.loop->now();
+        found->second.lastReceivedAt = m_parts.loop->now();
         if (frame.has_hello())
-            joined(number, found->second, frame.hello());
+            onHello(number, found->second, frame.hello());
         for (const wire::RelayAnswer& answer : frame.answers())
             answered(answer);
         for (const EntryDemand& demand : demandOf(frame)) {
@@ -373,24 +373,24 @@
                 m_parts.demanded(demand);
         }
         if (frame.leaving())
-            leaves(number);
+            onLeaving(number);
     }
 
-    void joined(std::uint64_t number, Relay& relay, const wire::RelayHello& hello)
+    void onHello(std::uint64_t number, Relay& relay, const wire::RelayHello& hello)
     {
         constexpr double milli = 1'000;
         if (hello.name().empty() || !relay.name.empty()) {
-            lost(number, "unnamed");
+            dropLink(number, "unnamed");
             return;
         }
         relay.name = hello.name();
         // A new link of an instance replaces its earlier one.
         const auto before = m_byName.find(relay.name);
         if (before != m_byName.end() && before->second != number)
-            lost(before->second, "replaced");
+            dropLink(before->second, "replaced");
         m_byName[relay.name] = number;
         m_plan.addRelay(relay.name, hello.milli_cores() / milli, hello.data_hall());
-        sendGranted(relay);
+        sendGrants(relay);
         // After a first frame the relay can tell the end of the owner from an owner that never answered.
         send(relay);
         m_parts.log->decision("relay-joined", { { "relay", hello.name() }, { "milli_cores", std::int64_t { hello.milli_cores() } }, { "data_hall", hello.data_hall() } });
@@ -398,12 +398,12 @@
 
     void answered(const wire::RelayAnswer& answer)
     {
-        const auto found = m_pending.find(answer.call());
-        if (found == m_pending.end())
+        const auto found = m_pendingCalls.find(answer.call());
+        if (found == m_pendingCalls.end())
             return;
-        judge(answer.call(), found->second, answer);
+        noteAnswer(answer.call(), found->second, answer);
         const Done done = std::move(found->second.done);
-        m_pending.erase(found);
+        m_pendingCalls.erase(found);
         if (const auto* order = std::get_if<std::function<void(OrderResult)>>(&done))
             (*order)(orderResultOf(answer));
         else
@@ -411,20 +411,20 @@
     }
 
     /// Notes whether the worker answered through the relay. The calls of a failed relay are no evidence.
-    void judge(std::uint64_t call, const Pending& pending, const wire::RelayAnswer& answer)
+    void noteAnswer(std::uint64_t call, const PendingCall& pending, const wire::RelayAnswer& answer)
     {
         const auto relay = m_relays.find(pending.relay);
         if (relay == m_relays.end() || relay->second.name.empty()) {
-            m_openCalls.take(call);
+            m_outstandingCalls.take(call);
             return;
         }
         const auto outcome = orderResultOf(answer).outcome;
-        noteOutcome(call, isAnswer(outcome), outcome == OrderOutcome::NotDone && pending.refersPayload);
+        noteOutcome(call, isAnswer(outcome), outcome == OrderOutcome::NotDone && pending.isPayloadInStore);
         if (!isAnswer(outcome))
             m_plan.noteUnanswered(relay->second.name, pending.worker, m_parts.loop->now());
     }
 
-    void giveUp(std::uint64_t call)
+    void endAsUnknown(std::uint64_t call)
     {
         ++m_counts.unanswered;
         wire::RelayAnswer unknown;
@@ -433,7 +433,7 @@
         answered(unknown);
     }
 
-    void leaves(std::uint64_t number)
+    void onLeaving(std::uint64_t number)
     {
         const auto found = m_relays.find(number);
         if (found == m_relays.end() || found->second.name.empty())
@@ -444,13 +444,13 @@
         found->second.name.clear();
     }
 
-    void lost(std::uint64_t number, const char* reason)
+    void dropLink(std::uint64_t number, const char* reason)
     {
         const auto found = m_relays.find(number);
         if (found == m_relays.end())
             return;
         std::vector<std::uint64_t> calls;
-        for (const auto& [call, pending] : m_pending) {
+        for (const auto& [call, pending] : m_pendingCalls) {
             if (pending.relay == number)
                 calls.push_back(call);
         }
@@ -464,11 +464,11 @@
             m_plan.removeRelay(name);
         }
         for (const std::uint64_t call : calls)
-            giveUp(call);
+            endAsUnknown(call);
     }
 
     /// Logs changes of the number of relays in use.
-    void noteSize()
+    void logRelayCount()
     {
         const std::size_t relays = m_plan.relaysInUse();
         if (std::exchange(m_loggedRelays, relays) != relays)
@@ -476,12 +476,12 @@
     }
 
     /// Schedules one batch for the frames of all relays, since a timer for each relay would multiply the wake-ups of this process.
-    void sendSoon(Relay& relay)
+    void scheduleSend(Relay& relay)
     {
-        relay.hasCalls = true;
-        if (std::exchange(m_gathering, true))
+        relay.isSendPending = true;
+        if (std::exchange(m_isSendScheduled, true))
             return;
-        m_parts.loop->callAt(m_parts.loop->now() + callsGather, [self = weak_from_this()] {
+        m_parts.loop->callAt(m_parts.loop->now() + callBatchDelay, [self = weak_from_this()] {
             if (const auto impl = self.lock())
                 impl->sendAll();
         });
@@ -490,64 +490,64 @@
     void sendAll()
     {
         const WorkMeter::Piece piece(m_parts.meter, WorkKind::RelayFrames);
-        m_gathering = false;
+        m_isSendScheduled = false;
         for (auto& [number, relay] : m_relays) {
-            if (relay.hasCalls)
+            if (relay.isSendPending)
                 send(relay);
         }
     }
 
     void send(Relay& relay)
     {
-        relay.hasCalls = false;
-        relay.heartbeatAt = m_parts.loop->now();
-        relay.frame.set_sent_at_us(relay.heartbeatAt.time_since_epoch().count());
+        relay.isSendPending = false;
+        relay.lastSentAt = m_parts.loop->now();
+        relay.frame.set_sent_at_us(relay.lastSentAt.time_since_epoch().count());
         relay.link->send(relay.frame.SerializeAsString());
         relay.frame.Clear();
     }
 
-    void checkLater()
+    void scheduleCheck()
     {
-        m_parts.loop->callAt(m_parts.loop->now() + check, [self = weak_from_this(), term = m_term] {
+        m_parts.loop->callAt(m_parts.loop->now() + checkInterval, [self = weak_from_this(), term = m_term] {
             const auto impl = self.lock();
             if (!impl || !impl->m_active || impl->m_term != term)
                 return;
             impl->checkLinks();
             impl->checkCalls();
-            impl->checkLater();
+            impl->scheduleCheck();
         });
     }
 
     void checkLinks()
     {
         const MonotonicInstant now = m_parts.loop->now();
-        const bool wasHeldUp = now - std::exchange(m_checkedAt, now) > check + heldUp;
-        if (wasHeldUp)
-            m_evidenceFrom = now;
-        std::vector<std::uint64_t> silent;
+        const bool wasStalled = now - std::exchange(m_checkedAt, now) > checkInterval + maxTimerDelay;
+        if (wasStalled)
+            m_evidenceValidFrom = now;
+        std::vector<std::uint64_t> unresponsive;
         for (auto& [number, relay] : m_relays) {
-            const bool isUsed = now - relay.usedAt < usedLinkSilence;
-            if (wasHeldUp)
-                relay.heardAt = std::max(relay.heardAt, now - heartbeatOfUsed);
-            if (now - relay.heardAt > (isUsed ? usedLinkSilence : idleLinkSilence))
-                silent.push_back(number);
-            else if (now - relay.heartbeatAt >= (isUsed ? heartbeatOfUsed : heartbeatOfIdle))
+            const bool isActive = now - relay.lastCallAt < activeLinkTimeout;
+            if (wasStalled)
+                relay.lastReceivedAt = std::max(relay.lastReceivedAt, now - activeHeartbeatInterval);
+            if (now - relay.lastReceivedAt > (isActive ? activeLinkTimeout : idleLinkTimeout))
+                unresponsive.push_back(number);
+            else if (now - relay.lastSentAt >= (isActive ? activeHeartbeatInterval : idleHeartbeatInterval))
                 send(relay);
         }
-        for (const std::uint64_t number : silent)
-            lost(number, "silent");
+        for (const std::uint64_t number : unresponsive)
+            dropLink(number, "silent");
     }
 
     void checkCalls()
     {
         const MonotonicInstant now = m_parts.loop->now();
-        std::vector<std::uint64_t> late;
-        for (const auto& [call, pending] : m_pending) {
+        std::vector<std::uint64_t> expired;
+        for (const auto& [call, pending] : m_pendingCalls) {
             if (now >= pending.deadline)
-                late.push_back(call);
+                expired.push_back(call);
         }
-        for (const std::uint64_t call : late)
-            giveUp(call);
+        for (const std::uint64_t call : expired)
+            endAsUnknown(call);
     }
 
     RelayedWorkersParts m_parts;
@@ -556,23 +556,23 @@
     ReachabilityOptions m_reachability;
     std::string m_ownHall;
     RelayPlan m_plan;
-    ReachLog m_reachLog;
-    OpenCalls m_openCalls;
+    ReachabilityLog m_reachabilityLog;
+    OutstandingCalls m_outstandingCalls;
     std::shared_ptr<const Reachability> m_published;
     std::uint64_t m_publishedChanges = 0;
     RelayCounts m_counts;
     bool m_active = false;
-    std::optional<AdmissionGrants> m_granted; ///< The latest share of one instance.
+    std::optional<AdmissionGrants> m_grants; ///< The latest share of one instance.
     std::uint64_t m_term = 0;
     std::uint64_t m_lastRelay = 0;
     std::uint64_t m_lastCall = 0;
     std::size_t m_loggedRelays = 0;
-    bool m_gathering = false; ///< Whether a batch of frames is scheduled.
+    bool m_isSendScheduled = false; ///< Whether a batch of frames is scheduled.
     MonotonicInstant m_checkedAt;
-    MonotonicInstant m_evidenceFrom; ///< Calls that were due before are no evidence.
+    MonotonicInstant m_evidenceValidFrom; ///< Calls that were due before are no evidence.
     std::map<std::uint64_t, Relay> m_relays; ///< By link number.
     std::map<std::string, std::uint64_t> m_byName; ///< Link numbers of the relays that accept calls.
-    std::map<std::uint64_t, Pending> m_pending; ///< By call number.
+    std::map<std::uint64_t, PendingCall> m_pendingCalls; ///< By call number.
 };
 
 RelayedWorkers::RelayedWorkers(RelayedWorkersParts parts, RelayOptions options, double ownCores, ReachabilityOptions reachability, std::string ownHall)
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -70,24 +70,24 @@
     families.push_back(counter("lanemoor_waves_finished_total", "Waves brought to their end", counts.wavesFinished));
 }
 
-prometheus::MetricFamily byCopy(const std::string& name, const std::string& help, const std::vector<CopyReading>& copies, const std::function<double(const CopyReading&)>& valueOf)
+prometheus::MetricFamily byReplica(const std::string& name, const std::string& help, const std::vector<ReplicaReading>& replicas, const std::function<double(const ReplicaReading&)>& valueOf)
 {
     prometheus::MetricFamily family { name, help, prometheus::MetricType::Untyped, {} };
-    for (const CopyReading& copy : copies) {
+    for (const ReplicaReading& replica : replicas) {
         prometheus::ClientMetric metric;
-        metric.label.push_back({ "copy", copy.name });
-        metric.untyped.value = valueOf(copy);
+        metric.label.push_back({ "copy", replica.name });
+        metric.untyped.value = valueOf(replica);
         family.metric.push_back(std::move(metric));
     }
     return family;
 }
 
-void addCopies(std::vector<prometheus::MetricFamily>& families, const std::vector<CopyReading>& copies)
+void addReplicas(std::vector<prometheus::MetricFamily>& families, const std::vector<ReplicaReading>& replicas)
 {
-    families.push_back(byCopy("lanemoor_copy_age_seconds", "Since the time as of which a copy of a part of the store is known to hold all", copies, [](const CopyReading& copy) { return copy.ageSeconds; }));
-    families.push_back(byCopy("lanemoor_copy_watches_total", "Watches that were answered", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.answers); }));
-    families.push_back(byCopy("lanemoor_copy_changes_total", "Changes that watches brought", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.changes); }));
-    families.push_back(byCopy("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.parts); }));
+    families.push_back(byReplica("lanemoor_copy_age_seconds", "Since the time as of which a copy of a part of the store is known to hold all", replicas, [](const ReplicaReading& replica) { return replica.ageSeconds; }));
+    families.push_back(byReplica("lanemoor_copy_watches_total", "Watches that were answered", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.answers); }));
+    families.push_back(byReplica("lanemoor_copy_changes_total", "Changes that watches brought", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.changes); }));
+    families.push_back(byReplica("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.parts); }));
 }
 
 void addConfiguration(std::vector<prometheus::MetricFamily>& families, const MetricsReading& reading)
@@ -168,19 +168,19 @@
 }
 
 /// Max organisations with their own label value; the planned size has 180. The others are summed under one value.
-constexpr std::size_t mostOrganisations = 256;
+constexpr std::size_t maxOrganisationLabels = 256;
 constexpr const char* otherOrganisations = "(others)";
 
 prometheus::MetricFamily byOrganisation(const std::string& name, const std::string& help, const std::vector<OrganisationReport>& organisations, const std::function<double(const OrganisationReport&)>& valueOf)
 {
     prometheus::MetricFamily family { name, help, prometheus::MetricType::Gauge, {} };
     for (std::size_t i = 0; i < organisations.size(); ++i) {
-        if (i > mostOrganisations) {
+        if (i > maxOrganisationLabels) {
             family.metric.back().gauge.value += valueOf(organisations[i]);
             continue;
         }
         prometheus::ClientMetric metric;
-        metric.label.push_back({ "organisation", i < mostOrganisations ? organisations[i].name : std::string(otherOrganisations) });
+        metric.label.push_back({ "organisation", i < maxOrganisationLabels ? organisations[i].name : std::string(otherOrganisations) });
         metric.gauge.value = valueOf(organisations[i]);
         family.metric.push_back(std::move(metric));
     }
@@ -249,8 +249,8 @@
 class JobMetrics::Impl {
 public:
     prometheus::Registry registry;
-    prometheus::Family<prometheus::Counter>& handedIn = prometheus::BuildCounter().Name("lanemoor_jobs_handed_in_total").Help("Jobs handed in, by queue and answer").Register(registry);
-    prometheus::Family<prometheus::Histogram>& handInTime = prometheus::BuildHistogram().Name("lanemoor_job_hand_in_seconds").Help("From a job's arrival to its answer, by queue").Register(registry);
+    prometheus::Family<prometheus::Counter>& submitted = prometheus::BuildCounter().Name("lanemoor_jobs_handed_in_total").Help("Jobs handed in, by queue and answer").Register(registry);
+    prometheus::Family<prometheus::Histogram>& submissionTime = prometheus::BuildHistogram().Name("lanemoor_job_hand_in_seconds").Help("From a job's arrival to its answer, by queue").Register(registry);
     prometheus::Family<prometheus::Counter>& refused = prometheus::BuildCounter().Name("lanemoor_admission_refusals_total").Help("Jobs refused for their organisation's share, by queue and reason").Register(registry);
     prometheus::Family<prometheus::Counter>& cancels = prometheus::BuildCounter().Name("lanemoor_job_cancels_total").Help("Requests to cancel, by answer").Register(registry);
     prometheus::Family<prometheus::Histogram>& cancelTimes = prometheus::BuildHistogram().Name("lanemoor_job_cancel_seconds").Help("From a request to cancel to its answer").Register(registry);
@@ -258,7 +258,7 @@
     prometheus::Family<prometheus::Counter>& lookups = prometheus::BuildCounter().Name("lanemoor_job_lookups_total").Help("Statuses asked for, by answer").Register(registry);
     prometheus::Family<prometheus::Counter>& rejections = prometheus::BuildCounter().Name("lanemoor_jobs_rejected_total").Help("Descriptions that could not be read").Register(registry);
     prometheus::Counter& rejected = rejections.Add({});
-    prometheus::Family<prometheus::Counter>& turnedAway = prometheus::BuildCounter().Name("lanemoor_callers_refused_total").Help("Calls refused for their key, by reason").Register(registry);
+    prometheus::Family<prometheus::Counter>& callersRefused = prometheus::BuildCounter().Name("lanemoor_callers_refused_total").Help("Calls refused for their key, by reason").Register(registry);
 };
 
 JobMetrics::JobMetrics()
@@ -268,10 +268,10 @@
 
 JobMetrics::~JobMetrics() = default;
 
-void JobMetrics::noteHandedIn(const std::string& queue, AcceptOutcome outcome, double seconds)
+void JobMetrics::noteSubmitted(const std::string& queue, AcceptOutcome outcome, double seconds)
 {
-    m_impl->handedIn.Add({ { "queue", queue }, { "outcome", std::string(nameOf(outcome)) } }).Increment();
-    m_impl->handInTime.Add({ { "queue", queue } }, latencyBounds).Observe(seconds);
+    m_impl->submitted.Add({ { "queue", queue }, { "outcome", std::string(nameOf(outcome)) } }).Increment();
+    m_impl->submissionTime.Add({ { "queue", queue } }, latencyBounds).Observe(seconds);
 }
 
 void JobMetrics::noteRefused(const std::string& queue, const std::string& reason)
@@ -295,9 +295,9 @@
     m_impl->rejected.Increment();
 }
 
-void JobMetrics::noteTurnedAway(const std::string& reason)
+void JobMetrics::noteCallerRefused(const std::string& reason)
 {
-    m_impl->turnedAway.Add({ { "reason", reason } }).Increment();
+    m_impl->callersRefused.Add({ { "reason", reason } }).Increment();
 }
 
 std::string JobMetrics::text(const MetricsReading& reading, const SchedulerCounts& scheduler, const FleetCounts& fleet, const RelayCounts& relay) const
@@ -311,7 +311,7 @@
     families.push_back(counter("lanemoor_log_lines_dropped_total", "Log lines lost because standard output was slow", reading.logLinesDropped));
     families.push_back(counter("lanemoor_log_decisions_omitted_total", "Log lines left out for want of budget", reading.decisionsOmitted));
     addConfiguration(families, reading);
-    addCopies(families, reading.copies);
+    addReplicas(families, reading.replicas);
     addStore(families, reading);
     addScheduler(families, scheduler);
     addFleet(families, fleet);
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -17,7 +17,7 @@
 #include "lanemoor/jobs/owner/ownership_keeper.h"
 #include "lanemoor/jobs/owner/queue_counts_writer.h"
 #include "lanemoor/jobs/owner/worker_directory.h"
-#include "lanemoor/jobs/relay/order_relay.h"
+#include "lanemoor/jobs/relay/command_relay.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "lanemoor/jobs/service/job_metrics.h"
 #include "lanemoor/jobs/service/store_access.h"
@@ -32,7 +32,7 @@
 
 namespace {
 
-constexpr const char* theShard = "all"; // There is a single shard: one owner for all pools.
+constexpr const char* shardName = "all"; // There is a single shard: one owner for all pools.
 constexpr Millis watchTime { 1'000 };
 /// Pause between watches of the jobs. The owner needs new jobs soon; other instances only show their
 /// status, which the platform allows to be some seconds old.
@@ -52,27 +52,27 @@
 constexpr Millis standbyWatchGap { 1'000 };
 /// Time without answers of the store, longer than a watch and a call, after which this instance can't accept
 /// jobs and reports that it is not ready.
-constexpr Millis storeMissedAfter { 2'500 };
+constexpr Millis storeUnavailableAfter { 2'500 };
 /// Machines with fewer cores delay their claim of a free ownership. The owner of 349 workers uses 0.18 cores.
-constexpr double coresOfOwner = 0.2;
-constexpr Millis claimDelayOfSmall { 600 };
-constexpr int renewalsOfLease = 4; // Two renewals may fail before the lease expires.
+constexpr double minOwnerCores = 0.2;
+constexpr Millis smallMachineClaimDelay { 600 };
+constexpr int renewalsPerLease = 4; // Two renewals may fail before the lease expires.
 /// An owner with an older replica of the jobs would see cancels too late. It resigns, and does not claim the
 /// ownership for a while.
-constexpr Millis oldestCopyOfOwner { 4'000 };
-constexpr Millis resignedFor { 5'000 };
-constexpr Millis copyCheck { 500 };
+constexpr Millis maxOwnerReplicaAge { 4'000 };
+constexpr Millis resignationPause { 5'000 };
+constexpr Millis replicaCheckInterval { 500 };
 /// With an older replica the owner publishes no counts of pending jobs: a count is up to a second older when it is read.
-constexpr Millis countableCopyAge { 700 };
+constexpr Millis maxCountableReplicaAge { 700 };
 /// Max jobs in the catalog of an instance without a replica; beyond it the catalog is cleared.
-constexpr std::size_t maxJobsWithoutCopy = 10'000;
+constexpr std::size_t maxJobsWithoutReplica = 10'000;
 constexpr Millis defaultRetryAfter { 1'000 };
 /// A shorter outage hides no load: callers retry after a second, and the plan uses the demand of the last two seconds.
 constexpr Millis shortOutage { 1'000 };
-constexpr Millis stopCheck { 20 };
+constexpr Millis stopCheckInterval { 20 };
 /// The load balancer polls readiness every second and acts on the second failure. Until then it sends new
 /// connections, which a closed port would refuse.
-constexpr Millis seenUnready { 2'600 };
+constexpr Millis unreadyDetectionTime { 2'600 };
 constexpr Millis stopReserve { 1'500 }; // Part of the grace time that is left for sending the last answers.
 
 /// \returns Options of the configuration's replica. Two checks may fail before requests must be deferred.
@@ -80,15 +80,15 @@
 {
     constexpr double shareOfApplyTime = 0.35;
     constexpr double overdueShare = 0.125;
-    constexpr Millis maxPause { 2'000 }; // Below `storeMissedAfter`, since readiness depends on these checks too.
+    constexpr Millis maxPause { 2'000 }; // Below `storeUnavailableAfter`, since readiness depends on these checks too.
     const auto share = [&](double part) { return Millis(static_cast<Millis::rep>(part * static_cast<double>(settings.configurationApplyTime.count()))); };
     return { .key = std::move(key), .checkEvery = std::min(share(shareOfApplyTime), maxPause), .overdueAfter = share(overdueShare) };
 }
 
 Millis claimDelayOf(const JobServiceSettings& settings)
 {
-    const bool isSmall = settings.machineCores > 0 && settings.machineCores < coresOfOwner;
-    return isSmall ? claimDelayOfSmall : Millis(0);
+    const bool isSmall = settings.machineCores > 0 && settings.machineCores < minOwnerCores;
+    return isSmall ? smallMachineClaimDelay : Millis(0);
 }
 
 /// \returns Whether the machine claims a free ownership without delay. Other machines keep no replica of the jobs, since every
@@ -103,7 +103,7 @@
 }
 
 /// \returns A time below `spread` that depends on the instance's name, so that it survives a restart.
-Millis spreadOf(const std::string& name, Millis spread)
+Millis offsetWithin(const std::string& name, Millis spread)
 {
     return spread.count() == 0 ? Millis(0) : Millis(static_cast<Millis::rep>(std::hash<std::string> {}(name) % static_cast<std::size_t>(spread.count())));
 }
@@ -150,8 +150,8 @@
         , m_configurations(*parts.loop, *parts.store, configurationOptions(settings, parts.documents->configurationKey()), { .changed = [this](const StoreItem& item) { onConfiguration(item); }, .ended = [this](const DocumentReading& reading) { onConfigurationReading(reading); } })
         , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .leastGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
         , m_waves(*parts.loop, *parts.store, { .prefix = parts.documents->wavePrefix(), .watchTime = waveWatchTime }, [this](const StoreItem& item) { onWave(item); })
-        , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = theShard, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsOfLease, .claimDelay = claimDelayOf(settings) },
-              { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", copyAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", copyAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .endsLost = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
+        , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = shardName, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsPerLease, .claimDelay = claimDelayOf(settings) },
+              { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", replicaAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", replicaAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .endsLost = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
         , m_relayedWorkers({ .loop = parts.loop, .peers = parts.peers, .direct = parts.workers, .log = parts.log, .meter = &m_meter, .demanded = [this](const EntryDemand& demand) { m_scheduler.noteDemand(demand); } }, settings.policies.relay, settings.machineCores, settings.policies.reachability, settings.dataHall)
         , m_relay({ .loop = parts.loop, .peers = parts.peers, .workers = parts.workers, .store = parts.store, .log = parts.log, .ownerGone = [this](const std::string& address) { m_ownership.endLost(address); }, .takeDemand = [this] { return m_demand.take(); }, .granted = [this](const AdmissionGrants& grants) { m_gate.apply(grants, m_parts.loop->now()); } }, settings.name, settings.machineCores, settings.dataHall)
         , m_evacuations({ .loop = parts.loop, .store = parts.store, .log = parts.log, .prefix = parts.documents->evacuationPrefix(), .bound = settings.evacuationTime })
@@ -160,9 +160,9 @@
         , m_fleet(fleetOptions())
         , m_intake(*parts.loop, *parts.store, m_jobs, m_catalog)
         , m_lookup(
-              *parts.loop, *parts.store, m_jobs, m_catalog, [this] { return (m_ownership.isHeld() && hasCopy()) || m_intake.isStoreSilent(); }, lookupOptions(settings))
+              *parts.loop, *parts.store, m_jobs, m_catalog, [this] { return (m_ownership.isHeld() && hasReplica()) || m_intake.isStoreSilent(); }, lookupOptions(settings))
         , m_countsReader(*parts.loop, *parts.store)
-        , m_countsWriter({ .loop = parts.loop, .store = parts.store, .catalog = &m_catalog, .ownership = &m_ownership, .configuration = [this] { return m_configuration; }, .isCurrent = [this] { return m_parts.loop->now() - m_jobs.freshAt() < countableCopyAge; } })
+        , m_countsWriter({ .loop = parts.loop, .store = parts.store, .catalog = &m_catalog, .ownership = &m_ownership, .configuration = [this] { return m_configuration; }, .isCurrent = [this] { return m_parts.loop->now() - m_jobs.freshAt() < maxCountableReplicaAge; } })
         , m_retirement({ .loop = parts.loop, .store = parts.store, .mirror = &m_jobs, .catalog = &m_catalog, .ownership = &m_ownership, .log = parts.log, .statusTime = settings.statusTime })
     {
         m_catalog.observe([this](const std::string& id) {
@@ -184,7 +184,7 @@
             m_workers.start();
         }
         m_ownership.start();
-        checkCopyLater();
+        scheduleReplicaCheck();
         m_retirement.start();
         m_countsWriter.start();
     }
@@ -204,19 +204,19 @@
         m_ownership.release([] {});
         const MonotonicInstant now = m_parts.loop->now();
         const MonotonicInstant by = now + std::max(m_settings.stopGrace - stopReserve, Millis(0));
-        serveUntil(std::min(now + seenUnready, by), by, done);
+        serveUntil(std::min(now + unreadyDetectionTime, by), by, done);
     }
 
     [[nodiscard]] bool takesRequests() const { return m_configuration && (isStandby() ? m_jobs : m_owners).isLoaded(); }
 
     /// \returns Whether this instance keeps a replica of all jobs.
-    [[nodiscard]] bool hasCopy() const { return isStandby() || m_scheduler.isActive(); }
+    [[nodiscard]] bool hasReplica() const { return isStandby() || m_scheduler.isActive(); }
 
     /// \returns When the latest answered periodic call to the store was sent.
     [[nodiscard]] MonotonicInstant storeAnsweredAt() const { return isStandby() ? m_jobs.answeredAt() : std::max(m_owners.answeredAt(), m_configurations.answeredAt()); }
 
     /// \returns Age of the replica of the jobs in ms; of the ownership's replica if there is none of the jobs.
-    [[nodiscard]] std::int64_t copyAge() const { return since(hasCopy() ? m_jobs.freshAt() : m_owners.freshAt()); }
+    [[nodiscard]] std::int64_t replicaAge() const { return since(hasReplica() ? m_jobs.freshAt() : m_owners.freshAt()); }
 
     void pending(const std::string& queue, const std::function<void(std::optional<std::uint64_t>)>& done)
     {
@@ -225,7 +225,7 @@
                 { { "queue", queue }, { "route", routeOf(*configuration, queue) }, { "configuration", static_cast<std::int64_t>(configuration->version) }, { "configuration_age_ms", configurationAge }, { "outcome", std::string(count ? "counted" : "unavailable") }, { "ms", since(sentAt) } });
             done(count);
         };
-        if (!hasCopy())
+        if (!hasReplica())
             m_countsReader.pending(queue, answer);
         else
             answer(m_parts.loop->now() - m_jobs.freshAt() > maxCountAge ? std::nullopt : std::optional(m_catalog.pending(queue)));
@@ -233,7 +233,7 @@
 
     [[nodiscard]] bool isReady() const
     {
-        return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreSilent() && m_parts.loop->now() - storeAnsweredAt() < storeMissedAfter;
+        return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreSilent() && m_parts.loop->now() - storeAnsweredAt() < storeUnavailableAfter;
     }
 
     /// \returns Whether every configuration that must be in force by now is known here, so that decisions by it are valid.
@@ -250,17 +250,17 @@
         const QueueSettings* settings = m_configuration->queue(caller.queue);
         const MonotonicInstant usefulUntil = m_parts.loop->now() + usefulTime(settings, spec);
         const JobRecord record { .queue = caller.queue, .pool = settings ? settings->pool : std::string(), .acceptedAt = m_parts.loop->timeOfDay(), .spec = std::move(spec), .organisation = caller.organisation };
-        const AdmissionVerdict verdict = judge(caller, id, record.spec);
-        const auto answer = [this, id, caller, verdict, usefulUntil, spec = record.spec, done = std::move(done), sentAt = m_parts.loop->now(), version = m_configuration->version, configurationAge = configurationAge()](AcceptOutcome outcome) {
-            metrics.noteHandedIn(caller.queue, outcome, secondsSince(sentAt));
+        const AdmissionVerdict gateResult = judge(caller, id, record.spec);
+        const auto answer = [this, id, caller, gateResult, usefulUntil, spec = record.spec, done = std::move(done), sentAt = m_parts.loop->now(), version = m_configuration->version, configurationAge = configurationAge()](AcceptOutcome outcome) {
+            metrics.noteSubmitted(caller.queue, outcome, secondsSince(sentAt));
             noteSubmission(caller, id, spec, usefulUntil, outcome);
             m_parts.log->decision("job-handed-in",
                 { { "job", id }, { "queue", caller.queue }, { "organisation", caller.organisation }, { "configuration", static_cast<std::int64_t>(version) }, { "configuration_age_ms", configurationAge }, { "outcome", std::string(nameOf(outcome)) }, { "ms", since(sentAt) } });
             if (outcome == AcceptOutcome::Refused)
-                noteRefused(caller, id, verdict);
+                noteRefused(caller, id, gateResult);
             done(outcome);
         };
-        if (verdict.admitted)
+        if (gateResult.admitted)
             m_intake.accept(caller, id, record, stillAdmitted(), answer);
         else
             m_intake.refuse(caller, id, record, answer);
@@ -282,13 +282,13 @@
         return m_gate.judge(caller.queue, caller.organisation, spec, organisation ? organisation->weight : 0, m_parts.loop->now());
     }
 
-    void noteRefused(const Caller& caller, const std::string& id, const AdmissionVerdict& verdict)
+    void noteRefused(const Caller& caller, const std::string& id, const AdmissionVerdict& gateResult)
     {
-        metrics.noteRefused(caller.queue, std::string(nameOf(verdict.basis)));
-        const AdmissionBudget& budget = verdict.budget;
+        metrics.noteRefused(caller.queue, std::string(nameOf(gateResult.basis)));
+        const AdmissionBudget& budget = gateResult.budget;
         m_parts.log->decision("job-refused",
-            { { "job", id }, { "queue", caller.queue }, { "organisation", caller.organisation }, { "reason", std::string(nameOf(verdict.basis)) }, { "budget_ms", budget.workMillis }, { "rate_milli_cpu", budget.milliCpu }, { "use_permille", std::int64_t { budget.usePermille } },
-                { "share_permille", std::int64_t { budget.sharePermille } }, { "expected_end_ms", std::int64_t { budget.expectedEnd.count() } }, { "limit_ms", std::int64_t { budget.limit.count() } }, { "grant_age_ms", std::int64_t { verdict.grantAge.count() } }, { "retry_after_ms", std::int64_t { verdict.retryAfter.count() } } });
+            { { "job", id }, { "queue", caller.queue }, { "organisation", caller.organisation }, { "reason", std::string(nameOf(gateResult.basis)) }, { "budget_ms", budget.workMillis }, { "rate_milli_cpu", budget.milliCpu }, { "use_permille", std::int64_t { budget.usePermille } },
+                { "share_permille", std::int64_t { budget.sharePermille } }, { "expected_end_ms", std::int64_t { budget.expectedEnd.count() } }, { "limit_ms", std::int64_t { budget.limit.count() } }, { "grant_age_ms", std::int64_t { gateResult.grantAge.count() } }, { "retry_after_ms", std::int64_t { gateResult.retryAfter.count() } } });
     }
 
     /// Records submissions that the store did not accept: their retries are future load, which only this instance can report to the
@@ -322,44 +322,44 @@
         return adviseRetry(m_refusals.situationOf(submission, m_parts.loop->now()), m_random);
     }
 
-    AdmittedCall admit(std::string_view host, std::string_view path, std::optional<std::string_view> key)
+    AdmissionResult admit(std::string_view host, std::string_view path, std::optional<std::string_view> key)
     {
         const std::shared_ptr<const ServiceConfiguration> configuration = m_configuration;
-        const auto refusal = [](Admission admission) { return AdmittedCall { .admission = admission, .caller = {}, .job = {} }; };
+        const auto refusal = [](Admission admission) { return AdmissionResult { .admission = admission, .caller = {}, .job = {} }; };
         if (!configuration || !takesRequests())
-            return refusal(Admission::Later);
+            return refusal(Admission::Deferred);
         if (!isConfigurationCurrent()) {
-            noteProof();
-            noteUnserved("caller-deferred", "configuration-unproven", host, path);
-            return refusal(Admission::Later);
+            logConfigurationProof();
+            logUnserved("caller-deferred", "configuration-unproven", host, path);
+            return refusal(Admission::Deferred);
         }
         const QueueSettings* queue = configuration->queueFor(host, path);
         if (!queue) {
-            noteUnserved("caller-refused", "no-such-queue", host, path);
+            logUnserved("caller-refused", "no-such-queue", host, path);
             return refusal(Admission::NoSuchQueue);
         }
         std::optional<Caller> caller = identify(*configuration, *queue, key);
         if (!caller) {
-            noteTurnedAway(queue->name, key);
+            noteCallerRefused(queue->name, key);
             return refusal(Admission::KeyRefused);
         }
         if (!caller->isOpen && !trustsKeys())
-            return refusal(Admission::Later);
-        return { .admission = Admission::LetIn, .caller = std::move(*caller), .job = std::string(path.substr(queue->pathPrefix.size())) };
+            return refusal(Admission::Deferred);
+        return { .admission = Admission::Admitted, .caller = std::move(*caller), .job = std::string(path.substr(queue->pathPrefix.size())) };
     }
 
     /// Logs a call whose route is unknown, or that is deferred since the configuration may be outdated.
-    void noteUnserved(const char* event, const char* reason, std::string_view host, std::string_view path)
+    void logUnserved(const char* event, const char* reason, std::string_view host, std::string_view path)
     {
-        constexpr std::size_t mostOfPath = 80; // The path is caller input.
-        metrics.noteTurnedAway(reason);
+        constexpr std::size_t maxLoggedPath = 80; // The path is caller input.
+        metrics.noteCallerRefused(reason);
         m_parts.log->decision(event,
-            { { "reason", std::string(reason) }, { "route", std::string(host) + std::string(path.substr(0, mostOfPath)) }, { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() } });
+            { { "reason", std::string(reason) }, { "route", std::string(host) + std::string(path.substr(0, maxLoggedPath)) }, { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() } });
     }
 
-    void noteTurnedAway(const std::string& queue, std::optional<std::string_view> key)
+    void noteCallerRefused(const std::string& queue, std::optional<std::string_view> key)
     {
-        metrics.noteTurnedAway(key ? "unknown-key" : "no-key");
+        metrics.noteCallerRefused(key ? "unknown-key" : "no-key");
         m_parts.log->decision("caller-refused",
             { { "queue", queue }, { "reason", std::string(key ? "unknown-key" : "no-key") }, { "key", key ? ApiKeyDigest::of(*key).fingerprint() : std::string() }, { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() } });
     }
@@ -405,11 +405,11 @@
         });
     }
 
-    [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t most) const
+    [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t limit) const
     {
         std::vector<JobSummary> list;
         for (const auto& [id, entry] : m_catalog.all()) {
-            if (list.size() == most)
+            if (list.size() == limit)
                 break;
             if (entry.record && (!queue || entry.record->queue == *queue))
                 list.push_back(summaryOf(id, entry));
@@ -428,7 +428,7 @@
 
     [[nodiscard]] std::vector<ShardReport> shards() const
     {
-        return { { .shard = theShard, .owner = m_ownership.holder(), .term = m_ownership.lastTerm(), .ownedHere = m_ownership.isHeld(), .copyAgeMillis = copyAge() } };
+        return { { .shard = shardName, .owner = m_ownership.holder(), .term = m_ownership.lastTerm(), .ownedHere = m_ownership.isHeld(), .copyAgeMillis = replicaAge() } };
     }
 
     [[nodiscard]] OrganisationsReport organisations() const
@@ -446,9 +446,9 @@
         return { .ownedHere = m_scheduler.isActive(), .owner = m_ownership.holder(), .workers = m_scheduler.workers() };
     }
 
-    [[nodiscard]] CopyReading readingOf(const std::string& name, const StoreMirror& copy) const
+    [[nodiscard]] ReplicaReading readingOf(const std::string& name, const StoreMirror& replica) const
     {
-        return { .name = name, .counts = copy.counts(), .ageSeconds = secondsSince(copy.freshAt()) };
+        return { .name = name, .counts = replica.counts(), .ageSeconds = secondsSince(replica.freshAt()) };
     }
 
     [[nodiscard]] std::string metricsText() const
@@ -460,8 +460,8 @@
             .configurationAgeSeconds = secondsSince(m_configurations.provenAt()),
             .configurationReads = m_configurations.counts(),
             .jobs = m_catalog.all().size(),
-            .storeAgeSeconds = secondsSince(hasCopy() ? m_jobs.freshAt() : m_owners.freshAt()),
-            .copies = { readingOf("jobs", m_jobs), readingOf("ownership", m_owners), readingOf("workers", m_workers), readingOf("waves", m_waves) },
+            .storeAgeSeconds = secondsSince(hasReplica() ? m_jobs.freshAt() : m_owners.freshAt()),
+            .replicas = { readingOf("jobs", m_jobs), readingOf("ownership", m_owners), readingOf("workers", m_workers), readingOf("waves", m_waves) },
             .storeState = m_access->condition()->state,
             .hedges = m_access->hedges(),
             .unsavedChanges = unsaved.jobs,
@@ -497,7 +497,7 @@
     StoreMirror m_waves;
     OwnershipKeeper m_ownership;
     RelayedWorkers m_relayedWorkers; ///< Calls of this instance as the owner.
-    OrderRelay m_relay; ///< Calls on behalf of another owner.
+    CommandRelay m_relay; ///< Calls on behalf of another owner.
     HallEvacuations m_evacuations;
     AdmissionGate m_gate;
     JobScheduler m_scheduler;
@@ -511,7 +511,7 @@
     bool m_isConfigurationProven = true; ///< As last logged.
     bool m_stopping = false;
     bool m_storeAnswers = true;
-    bool m_copyLags = false; ///< Whether the replica of the jobs lags although the store answers.
+    bool m_replicaLags = false; ///< Whether the replica of the jobs lags although the store answers.
 
 private:
     /// \returns Whether the job is known and belongs to another caller, which is logged.
@@ -520,7 +520,7 @@
         const CatalogEntry* entry = m_catalog.find(id);
         if (!entry || !entry->record || mayUse(caller, *entry->record))
             return false;
-        metrics.noteTurnedAway("other-organisation");
+        metrics.noteCallerRefused("other-organisation");
         m_parts.log->decision("caller-refused", { { "job", id }, { "queue", caller.queue }, { "reason", std::string("other-organisation") }, { "organisation", caller.organisation } });
         return true;
     }
@@ -592,7 +592,7 @@
     void onOwnership(const StoreItem& item)
     {
         m_ownership.observe(item);
-        m_relay.follow(m_ownership.holderPeer());
+        m_relay.setOwner(m_ownership.holderPeer());
     }
 
     void onItem(const StoreItem& item)
@@ -660,7 +660,7 @@
     void onConfigurationReading(const DocumentReading& reading)
     {
         noteConfigurationReading(reading);
-        noteProof();
+        logConfigurationProof();
         const bool isAnswered = reading.outcome != StoreOutcome::Unknown && reading.outcome != StoreOutcome::NotDone;
         if (isAnswered) {
             m_jobs.noteStoreRevision(reading.newRevision, reading.sentAt);
@@ -668,7 +668,7 @@
         }
         // A watch may end at any time, and a failed call says nothing about the store if its repeat was answered.
         if (isAnswered || (reading.call != DocumentCall::Watch && m_configurations.answeredAt() < reading.sentAt))
-            noteStore(isAnswered ? StoreOutcome::Done : reading.outcome);
+            logStoreState(isAnswered ? StoreOutcome::Done : reading.outcome);
     }
 
     /// Logs why a new configuration is read late: no answer, a slow answer, or a busy event loop.
@@ -684,7 +684,7 @@
     }
 
     /// Logs when the configuration may have been replaced too long ago, and when it is known to be the newest again.
-    void noteProof()
+    void logConfigurationProof()
     {
         const bool isProven = isConfigurationCurrent();
         if (!m_configuration || std::exchange(m_isConfigurationProven, isProven) == isProven)
@@ -694,20 +694,20 @@
     }
 
     /// Makes an owner resign whose replica lags behind the store, for lack of processor time or connectivity.
-    void checkCopyLater()
+    void scheduleReplicaCheck()
     {
-        m_parts.loop->callAt(m_parts.loop->now() + copyCheck, [this] {
+        m_parts.loop->callAt(m_parts.loop->now() + replicaCheckInterval, [this] {
             const MonotonicInstant now = m_parts.loop->now();
-            const bool lags = now - m_jobs.freshAt() > oldestCopyOfOwner && now - m_ownership.heldSince() > oldestCopyOfOwner;
+            const bool lags = now - m_jobs.freshAt() > maxOwnerReplicaAge && now - m_ownership.heldSince() > maxOwnerReplicaAge;
             if (m_ownership.isHeld() && lags) {
-                m_parts.log->change("ownership-resigned", { { "epoch", static_cast<std::int64_t>(m_ownership.ownership().epoch) }, { "copy_age_ms", copyAge() } });
-                m_ownership.resign(resignedFor);
+                m_parts.log->change("ownership-resigned", { { "epoch", static_cast<std::int64_t>(m_ownership.ownership().epoch) }, { "copy_age_ms", replicaAge() } });
+                m_ownership.resign(resignationPause);
             }
-            noteLag();
-            if (!isStandby() && !m_ownership.isHeld() && !m_claimed && m_catalog.all().size() > maxJobsWithoutCopy)
+            logReplicaLag();
+            if (!isStandby() && !m_ownership.isHeld() && !m_claimed && m_catalog.all().size() > maxJobsWithoutReplica)
                 forgetJobs();
             m_directory.forgetOld();
-            checkCopyLater();
+            scheduleReplicaCheck();
         });
     }
 
@@ -719,12 +719,12 @@
     }
 
     /// Logs when the replica of the jobs lags although the store answers, and when it is up to date again.
-    void noteLag()
+    void logReplicaLag()
     {
         const MonotonicInstant now = m_parts.loop->now();
         const bool lags = now - m_jobs.freshAt() > maxCountAge && now - m_jobs.answeredAt() <= maxCountAge;
-        if (std::exchange(m_copyLags, lags) != lags)
-            m_parts.log->change(lags ? "copy-behind" : "copy-caught-up", { { "copy_age_ms", copyAge() }, { "answer_age_ms", since(m_jobs.answeredAt()) }, { "revision", static_cast<std::int64_t>(m_jobs.revision()) }, { "changes", static_cast<std::int64_t>(m_jobs.counts().changes) }, { "parts", static_cast<std::int64_t>(m_jobs.counts().parts) } });
+        if (std::exchange(m_replicaLags, lags) != lags)
+            m_parts.log->change(lags ? "copy-behind" : "copy-caught-up", { { "copy_age_ms", replicaAge() }, { "answer_age_ms", since(m_jobs.answeredAt()) }, { "revision", static_cast<std::int64_t>(m_jobs.revision()) }, { "changes", static_cast<std::int64_t>(m_jobs.counts().changes) }, { "parts", static_cast<std::int64_t>(m_jobs.counts().parts) } });
     }
 
     /// Resends waiting calls when the store answers again: the owner at once, other instances spread over time, since all
@@ -736,7 +736,7 @@
         if (m_parts.loop->now() - from.since > shortOutage)
             m_fleet.noteOutageOver();
         const bool goesFirst = m_claimed || m_ownership.holder() == m_holder;
-        const Millis pause = goesFirst ? Millis(0) : spreadOf(m_settings.name, m_settings.policies.storeOutages.returnSpread);
+        const Millis pause = goesFirst ? Millis(0) : offsetWithin(m_settings.name, m_settings.policies.storeOutages.returnSpread);
         // Calls that were sent after the store answered again are not resent.
         m_parts.loop->callAt(m_parts.loop->now() + pause, [this, answeredAt = m_access->answeredAt()] { sendWaitingCalls(answeredAt); });
     }
@@ -746,28 +746,28 @@
     {
         m_ownership.renewNow();
         m_configurations.checkNow(answeredAt);
-        for (StoreMirror* copy : { &m_owners, &m_jobs, &m_workers, &m_waves })
-            copy->retryNow(answeredAt);
+        for (StoreMirror* replica : { &m_owners, &m_jobs, &m_workers, &m_waves })
+            replica->retryNow(answeredAt);
         m_fleet.retryStore();
         m_access->resendWaiting(answeredAt);
     }
 
     /// Logs when the store stops answering, and when it answers again.
-    void noteStore(StoreOutcome outcome)
+    void logStoreState(StoreOutcome outcome)
     {
         const bool answers = outcome == StoreOutcome::Done || outcome == StoreOutcome::NotFound;
         if (std::exchange(m_storeAnswers, answers) == answers)
             return;
-        m_parts.log->change(answers ? "store-back" : "store-lost", { { "outcome", std::string(nameOf(outcome)) }, { "copy_age_ms", copyAge() } });
+        m_parts.log->change(answers ? "store-back" : "store-lost", { { "outcome", std::string(nameOf(outcome)) }, { "copy_age_ms", replicaAge() } });
     }
 
     /// Starts a term. Commands wait until the replica holds everything that was written before the claim of the ownership.
     void gained(const Ownership& ownership)
     {
-        m_parts.log->change("ownership-claimed", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "term", static_cast<std::int64_t>(ownership.term) }, { "copy_age_ms", copyAge() } });
+        m_parts.log->change("ownership-claimed", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "term", static_cast<std::int64_t>(ownership.term) }, { "copy_age_ms", replicaAge() } });
         m_claimed = ownership;
         m_evacuations.start();
-        m_relay.follow({});
+        m_relay.setOwner({});
         m_relayedWorkers.activate();
         m_jobs.setPace(ownerWatchGap, ownerWatchTime, true);
         if (!isStandby()) {
@@ -794,7 +794,7 @@
         if (m_claimed != ownership)
             return;
         if (!m_ownership.isHeld() || !m_configuration || !m_workers.isLoaded()) {
-            m_parts.loop->callAt(m_parts.loop->now() + stopCheck, [this, ownership] { activate(ownership); });
+            m_parts.loop->callAt(m_parts.loop->now() + stopCheckInterval, [this, ownership] { activate(ownership); });
             return;
         }
         m_claimed.reset();
@@ -822,11 +822,11 @@
     }
 
     /// Serves until `least`, then until every call is answered, and no longer than `most`.
-    void serveUntil(MonotonicInstant least, MonotonicInstant most, const std::function<void()>& done)
+    void serveUntil(MonotonicInstant earliest, MonotonicInstant limit, const std::function<void()>& done)
     {
         const MonotonicInstant now = m_parts.loop->now();
-        if (now < least || (m_intake.inFlight() + m_lookup.inFlight() + m_relay.inFlight() > 0 && now < most))
-            m_parts.loop->callAt(now + stopCheck, [this, least, most, done] { serveUntil(least, most, done); });
+        if (now < earliest || (m_intake.inFlight() + m_lookup.inFlight() + m_relay.inFlight() > 0 && now < limit))
+            m_parts.loop->callAt(now + stopCheckInterval, [this, earliest, limit, done] { serveUntil(earliest, limit, done); });
         else
             done();
     }
@@ -902,7 +902,7 @@
     m_impl->cancel(caller, id, std::move(done));
 }
 
-AdmittedCall JobService::admit(std::string_view host, std::string_view path, std::optional<std::string_view> key)
+AdmissionResult JobService::admit(std::string_view host, std::string_view path, std::optional<std::string_view> key)
 {
     return m_impl->admit(host, path, key);
 }
@@ -943,9 +943,9 @@
     m_impl->pending(queue, done);
 }
 
-std::vector<JobSummary> JobService::jobs(const std::optional<std::string>& queue, std::size_t most) const
+std::vector<JobSummary> JobService::jobs(const std::optional<std::string>& queue, std::size_t limit) const
 {
-    return m_impl->jobs(queue, most);
+    return m_impl->jobs(queue, limit);
 }
 
 std::optional<JobReport> JobService::job(const std::string& id) const
--- a/src/jobs/service/job_service_settings.cpp
+++ b/src/jobs/service/job_service_settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::int64_t longestMillis = 3'600'000;
+constexpr std::int64_t maxMillis = 3'600'000;
 
 std::optional<HttpAddress> readAddress(ObjectReader& reader, const char* name, bool required)
 {
@@ -25,31 +25,31 @@
     return address;
 }
 
-void readMillis(ObjectReader& reader, const char* name, std::int64_t least, Millis& time)
+void readMillis(ObjectReader& reader, const char* name, std::int64_t minimum, Millis& time)
 {
-    if (const std::optional<std::int64_t> value = reader.integer(name, least, longestMillis))
+    if (const std::optional<std::int64_t> value = reader.integer(name, minimum, maxMillis))
         time = Millis(*value);
 }
 
 void readSeconds(ObjectReader& reader, const char* name, Millis& time)
 {
-    constexpr double longestSeconds = 3'600;
+    constexpr double maxSeconds = 3'600;
     constexpr double millisPerSecond = 1'000;
-    if (const std::optional<double> value = reader.number(name, 0, longestSeconds))
+    if (const std::optional<double> value = reader.number(name, 0, maxSeconds))
         time = Millis(std::llround(*value * millisPerSecond));
 }
 
 void readTimes(ObjectReader& reader, JobServiceSettings& settings)
 {
-    constexpr std::int64_t leastLease = 1'000; // Renewals of shorter leases would be late on a busy machine.
-    readMillis(reader, "ownershipMs", leastLease, settings.ownershipTime);
-    Millis granted(0); // The shortest lease that the store grants.
-    readMillis(reader, "leastLeaseMs", 0, granted);
-    settings.ownershipTime = std::max(settings.ownershipTime, granted);
-    readMillis(reader, "workerLeaseMs", leastLease, settings.workerLeaseTime);
+    constexpr std::int64_t minLease = 1'000; // Renewals of shorter leases would be late on a busy machine.
+    readMillis(reader, "ownershipMs", minLease, settings.ownershipTime);
+    Millis storeMinLease(0); // The shortest lease that the store grants.
+    readMillis(reader, "leastLeaseMs", 0, storeMinLease);
+    settings.ownershipTime = std::max(settings.ownershipTime, storeMinLease);
+    readMillis(reader, "workerLeaseMs", minLease, settings.workerLeaseTime);
     readMillis(reader, "handoverMs", 0, settings.handover);
-    constexpr std::int64_t leastApplyTime = 1'000; // Several reads must fit into this time.
-    readMillis(reader, "configurationApplyMs", leastApplyTime, settings.configurationApplyTime);
+    constexpr std::int64_t minApplyTime = 1'000; // Several reads must fit into this time.
+    readMillis(reader, "configurationApplyMs", minApplyTime, settings.configurationApplyTime);
     readMillis(reader, "evacuationMs", 0, settings.evacuationTime);
     readMillis(reader, "restoreMs", 0, settings.restoreTime);
     readMillis(reader, "configurationTrustMs", 0, settings.configurationTrust);
@@ -59,9 +59,9 @@
     readSeconds(reader, "statusSeconds", settings.statusTime);
 }
 
-void readNumber(ObjectReader& reader, const char* name, double least, double most, double& number)
+void readNumber(ObjectReader& reader, const char* name, double minimum, double maximum, double& number)
 {
-    if (const std::optional<double> value = reader.number(name, least, most))
+    if (const std::optional<double> value = reader.number(name, minimum, maximum))
         number = *value;
 }
 
@@ -73,29 +73,29 @@
 
 void readWorkerHealth(ObjectReader& reader, WorkerHealthOptions& options)
 {
-    constexpr std::int64_t leastBackoff = 100;
-    constexpr double leastLateFactor = 1.5; // Run times vary by half.
-    constexpr double mostLateFactor = 1'000;
+    constexpr std::int64_t minBackoff = 100;
+    constexpr double minLateFactor = 1.5; // Run times vary by half.
+    constexpr double maxLateFactor = 1'000;
     readSwitch(reader, "enabled", options.enabled);
     readNumber(reader, "mostOfPool", 0, 1, options.mostOfPool);
     readNumber(reader, "mostOfDomain", 0, 1, options.mostOfDomain);
-    readMillis(reader, "firstBackoffMs", leastBackoff, options.firstBackoff);
-    readMillis(reader, "longestBackoffMs", leastBackoff, options.longestBackoff);
-    readNumber(reader, "lateFactor", leastLateFactor, mostLateFactor, options.lateFactor);
+    readMillis(reader, "firstBackoffMs", minBackoff, options.firstBackoff);
+    readMillis(reader, "longestBackoffMs", minBackoff, options.longestBackoff);
+    readNumber(reader, "lateFactor", minLateFactor, maxLateFactor, options.lateFactor);
     if (options.longestBackoff < options.firstBackoff)
         reader.fault(DocumentFaultCode::BadValue, "longestBackoffMs", "not below firstBackoffMs");
 }
 
-constexpr double mostMargin = 10;
-constexpr double mostFairnessGap = 1'000;
+constexpr double maxMargin = 10;
+constexpr double maxFairnessGap = 1'000;
 
 void readCapacity(ObjectReader& capacity, CapacityOptions& options)
 {
-    readNumber(capacity, "margin", 1, mostMargin, options.margin);
+    readNumber(capacity, "margin", 1, maxMargin, options.margin);
     readMillis(capacity, "demandMemoryMs", 0, options.demandMemory);
     readMillis(capacity, "idleBeforeOffMs", 0, options.idleBeforeOff);
     readSwitch(capacity, "sharesFairly", options.sharesFairly);
-    readNumber(capacity, "fairnessGap", 0, mostFairnessGap, options.fairnessGap);
+    readNumber(capacity, "fairnessGap", 0, maxFairnessGap, options.fairnessGap);
     readSwitch(capacity, "backlogApart", options.backlogApart);
     readSwitch(capacity, "seesRises", options.seesRises);
     readSwitch(capacity, "leastFirst", options.leastFirst);
@@ -103,38 +103,38 @@
 
 void readAdmission(ObjectReader& admission, AdmissionOptions& options)
 {
-    constexpr std::int64_t leastPause = 50; // A grant for hundreds of entry instances costs a few ms.
-    constexpr std::int64_t fewestMisses = 1;
-    constexpr std::int64_t mostMisses = 1'000;
+    constexpr std::int64_t minPause = 50; // A grant for hundreds of entry instances costs a few ms.
+    constexpr std::int64_t minMisses = 1;
+    constexpr std::int64_t maxMisses = 1'000;
     readSwitch(admission, "enabled", options.enabled);
-    readNumber(admission, "lateFactor", 1, mostMargin, options.lateFactor);
-    readMillis(admission, "grantEveryMs", leastPause, options.grantEvery);
-    readMillis(admission, "grantValidityMs", leastPause, options.grantValidity);
+    readNumber(admission, "lateFactor", 1, maxMargin, options.lateFactor);
+    readMillis(admission, "grantEveryMs", minPause, options.grantEvery);
+    readMillis(admission, "grantValidityMs", minPause, options.grantValidity);
     readMillis(admission, "deficitMemoryMs", 0, options.deficitMemory);
-    if (const std::optional<std::int64_t> misses = admission.integer("missesOfGroup", fewestMisses, mostMisses))
+    if (const std::optional<std::int64_t> misses = admission.integer("missesOfGroup", minMisses, maxMisses))
         options.missesOfGroup = static_cast<std::uint32_t>(*misses);
 }
 
 void readReachability(ObjectReader& reachability, ReachabilityOptions& options)
 {
-    constexpr std::int64_t fewestWorkers = 2; // A single unanswered worker may have crashed.
-    constexpr std::int64_t mostWorkers = 100;
-    constexpr std::int64_t leastPause = 10; // Each retry is a call.
+    constexpr std::int64_t minWorkers = 2; // A single unanswered worker may have crashed.
+    constexpr std::int64_t maxWorkers = 100;
+    constexpr std::int64_t minPause = 10; // Each retry is a call.
     readSwitch(reachability, "enabled", options.enabled);
-    if (const std::optional<std::int64_t> count = reachability.integer("workersToDoubt", fewestWorkers, mostWorkers))
+    if (const std::optional<std::int64_t> count = reachability.integer("workersToDoubt", minWorkers, maxWorkers))
         options.workersToDoubt = static_cast<std::uint32_t>(*count);
-    readMillis(reachability, "evidenceLastsMs", leastPause, options.evidenceLasts);
-    readMillis(reachability, "answerLastsMs", leastPause, options.answerLasts);
-    readMillis(reachability, "firstRetryMs", leastPause, options.firstRetry);
-    readMillis(reachability, "longestRetryMs", leastPause, options.longestRetry);
+    readMillis(reachability, "evidenceLastsMs", minPause, options.evidenceLasts);
+    readMillis(reachability, "answerLastsMs", minPause, options.answerLasts);
+    readMillis(reachability, "firstRetryMs", minPause, options.firstRetry);
+    readMillis(reachability, "longestRetryMs", minPause, options.longestRetry);
 }
 
 void readFailureDomains(ObjectReader& domains, FailureDomainOptions& options)
 {
-    constexpr std::int64_t mostWorkers = 100'000;
+    constexpr std::int64_t maxWorkers = 100'000;
     readSwitch(domains, "enabled", options.enabled);
     readMillis(domains, "lossWindowMs", 1, options.lossWindow);
-    if (const std::optional<std::int64_t> count = domains.integer("leastStopped", 1, mostWorkers))
+    if (const std::optional<std::int64_t> count = domains.integer("leastStopped", 1, maxWorkers))
         options.leastStopped = static_cast<std::uint32_t>(*count);
     readNumber(domains, "lostShare", 0, 1, options.lostShare);
     readMillis(domains, "returnStepMs", 0, options.returnStep);
@@ -146,32 +146,32 @@
     reader.object("capacity", [&](ObjectReader& capacity) { readCapacity(capacity, policies.capacity); });
     reader.object("admission", [&](ObjectReader& admission) { readAdmission(admission, policies.admission); });
     reader.object("relay", [&](ObjectReader& relay) {
-        constexpr double mostWorkers = 100'000;
-        constexpr double mostShrink = 100;
-        readNumber(relay, "workersPerCore", 0, mostWorkers, policies.relay.workersPerCore);
-        readNumber(relay, "shrinkAt", 1, mostShrink, policies.relay.shrinkAt);
+        constexpr double maxWorkers = 100'000;
+        constexpr double maxShrink = 100;
+        readNumber(relay, "workersPerCore", 0, maxWorkers, policies.relay.workersPerCore);
+        readNumber(relay, "shrinkAt", 1, maxShrink, policies.relay.shrinkAt);
     });
     reader.object("reachability", [&](ObjectReader& reachability) { readReachability(reachability, policies.reachability); });
     reader.object("lookup", [&](ObjectReader& lookup) { readSwitch(lookup, "readsThrough", policies.lookup.readsThrough); });
     reader.object("placement", [&](ObjectReader& placement) {
         readSwitch(placement, "waitsForRack", policies.placement.waitsForRack);
         readSwitch(placement, "hopelessLast", policies.placement.hopelessLast);
-        readNumber(placement, "hopelessShare", 0, mostMargin, policies.placement.hopelessShare);
+        readNumber(placement, "hopelessShare", 0, maxMargin, policies.placement.hopelessShare);
         readSwitch(placement, "beyondRateLast", policies.placement.beyondRateLast);
     });
     reader.object("storeOutages", [&](ObjectReader& outages) {
-        constexpr double mostBurst = 10'000;
+        constexpr double maxBurst = 10'000;
         readSwitch(outages, "enabled", policies.storeOutages.enabled);
         readNumber(outages, "hedgeShare", 0, 1, policies.storeOutages.hedgeShare);
-        readNumber(outages, "hedgeBurst", 0, mostBurst, policies.storeOutages.hedgeBurst);
+        readNumber(outages, "hedgeBurst", 0, maxBurst, policies.storeOutages.hedgeBurst);
         readMillis(outages, "returnSpreadMs", 0, policies.storeOutages.returnSpread);
     });
     reader.object("failureDomains", [&](ObjectReader& domains) { readFailureDomains(domains, policies.failureDomains); });
     reader.object("workerHealth", [&](ObjectReader& health) { readWorkerHealth(health, policies.workerHealth); });
     reader.object("losses", [&](ObjectReader& losses) {
-        constexpr std::int64_t fewestLosses = 2; // Any task may see a single worker failure.
+        constexpr std::int64_t minCrashes = 2; // Any task may see a single worker failure.
         readSwitch(losses, "keepsSuspectsApart", policies.crashes.isolatesSuspects);
-        if (const std::optional<std::int64_t> count = losses.integer("lossesToGiveUp", fewestLosses, maxCrashes))
+        if (const std::optional<std::int64_t> count = losses.integer("lossesToGiveUp", minCrashes, maxCrashes))
             policies.crashes.crashesToFail = static_cast<std::uint32_t>(*count);
     });
 }
@@ -191,15 +191,15 @@
             settings.store = readAddress(service, "store", true).value_or(HttpAddress {});
             settings.fleet = readAddress(service, "fleet", true).value_or(HttpAddress {});
             settings.advisor = readAddress(service, "advisor", false);
-            constexpr double mostCores = 1'024;
-            if (const std::optional<double> cores = service.number("machineCores", 0, mostCores))
+            constexpr double maxCores = 1'024;
+            if (const std::optional<double> cores = service.number("machineCores", 0, maxCores))
                 settings.machineCores = *cores;
-            constexpr double mostActs = 1'000'000;
-            readNumber(service, "fleetActsPerSecond", 0, mostActs, settings.fleetActsPerSecond);
-            constexpr double mostFactor = 1'000;
-            readNumber(service, "farFactor", 1, mostFactor, settings.policies.placement.farFactor);
-            constexpr std::int64_t mostHalls = 1'000;
-            if (const std::optional<std::int64_t> halls = service.integer("survivedDataHalls", 0, mostHalls))
+            constexpr double maxFleetActs = 1'000'000;
+            readNumber(service, "fleetActsPerSecond", 0, maxFleetActs, settings.fleetActsPerSecond);
+            constexpr double maxFactor = 1'000;
+            readNumber(service, "farFactor", 1, maxFactor, settings.policies.placement.farFactor);
+            constexpr std::int64_t maxHalls = 1'000;
+            if (const std::optional<std::int64_t> halls = service.integer("survivedDataHalls", 0, maxHalls))
                 settings.survivedDataHalls = static_cast<std::uint32_t>(*halls);
             service.object("times", [&](ObjectReader& times) { readTimes(times, settings); });
             service.object("policies", [&](ObjectReader& policies) { readPolicies(policies, settings.policies); });
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -9,7 +9,7 @@
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
 #include "lanemoor/jobs/policy/retry_advice.h"
-#include "lanemoor/jobs/relay/order_relay.h"
+#include "lanemoor/jobs/relay/command_relay.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "support.h"
 
@@ -43,12 +43,12 @@
     CapacityPlan plan({ .observation = observation });
     static_cast<void>(plan.next(idlePools(true), start));
     REQUIRE(!plan.next(idlePools(true), start + observation).moves.empty());
-    const MonotonicInstant back = start + Millis(8'000);
-    plan.observeAnew(back);
-    CHECK(plan.next(idlePools(false), back + Millis(10'000)).moves.empty());
-    CHECK(plan.next(idlePools(true), back + Millis(11'000)).moves.empty());
-    CHECK(plan.next(idlePools(true), back + Millis(11'000) + observation - Millis(1)).moves.empty());
-    CHECK(!plan.next(idlePools(true), back + Millis(11'000) + observation).moves.empty());
+    const MonotonicInstant availableAt = start + Millis(8'000);
+    plan.observeAnew(availableAt);
+    CHECK(plan.next(idlePools(false), availableAt + Millis(10'000)).moves.empty());
+    CHECK(plan.next(idlePools(true), availableAt + Millis(11'000)).moves.empty());
+    CHECK(plan.next(idlePools(true), availableAt + Millis(11'000) + observation - Millis(1)).moves.empty());
+    CHECK(!plan.next(idlePools(true), availableAt + Millis(11'000) + observation).moves.empty());
 }
 
 TEST_CASE("Refused submissions count like arrivals of the same work")
@@ -103,13 +103,13 @@
     WorkerClient ownerWorkers(workers, ownerProcess);
     WorkerClient entryWorkers(workers, entryProcess);
     DemandReport report;
-    std::vector<EntryDemand> heard;
-    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demanded = [&](const EntryDemand& demand) { heard.push_back(demand); } }, { .workersPerCore = 10 }, 1);
-    OrderRelay entry({ .loop = &entryProcess, .peers = &entryPort, .workers = &entryWorkers, .log = &log, .takeDemand = [&] { return report.take(); } }, "entry", 1);
+    std::vector<EntryDemand> reports;
+    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demanded = [&](const EntryDemand& demand) { reports.push_back(demand); } }, { .workersPerCore = 10 }, 1);
+    CommandRelay entry({ .loop = &entryProcess, .peers = &entryPort, .workers = &entryWorkers, .log = &log, .takeDemand = [&] { return report.take(); } }, "entry", 1);
     owner.activate();
-    entry.follow("owner");
+    entry.setOwner("owner");
     clock.runFor(Millis(1'000));
-    CHECK(heard.empty());
+    CHECK(reports.empty());
     const JobSpec spec = job({ step(2) });
     for (int i = 0; i < 100; ++i) {
         report.noteRefused("work", "north", spec);
@@ -117,10 +117,10 @@
         clock.runFor(Millis(10));
     }
     clock.runFor(Millis(500));
-    CHECK(heard.size() >= 4);
-    CHECK(heard.size() <= 6);
+    CHECK(reports.size() >= 4);
+    CHECK(reports.size() <= 6);
     EntryDemand sum { .queue = "work", .organisation = "north" };
-    for (const EntryDemand& demand : heard) {
+    for (const EntryDemand& demand : reports) {
         CHECK(demand.organisation == "north");
         sum.refused += demand.refused;
         sum.workMillis += demand.workMillis;
@@ -150,7 +150,7 @@
     CHECK(countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(-100) })[1] == 900);
 }
 
-TEST_CASE("Refused submissions are waited for until they are settled or their callers have given up")
+TEST_CASE("Refused submissions count as waiting until they are settled or no longer useful")
 {
     RefusedSubmissions refusals;
     const MonotonicInstant useful = start + Millis(5'000);
@@ -169,9 +169,9 @@
 }
 
 // Guards against pools that are powered off after an outage, since the owner saw no arrivals meanwhile.
-TEST_CASE("An outage does not cost a pool its instances")
+TEST_CASE("A pool keeps its instances after an outage")
 {
-    const auto leastAfterOutage = [](bool isEnabled) {
+    const auto minInstancesAfterOutage = [](bool isEnabled) {
         SmallCluster cluster(21, 3, 6, 2, 1);
         Policies policies;
         policies.storeOutages.enabled = isEnabled;
@@ -181,28 +181,28 @@
         for (std::size_t i = 0; i < cluster.entries(); ++i)
             cluster.start(i);
         std::uint64_t number = 0;
-        const auto play = [&](Millis time, bool hasLoad) {
-            std::size_t least = cluster.workers.instances().size();
-            for (Millis played(0); played < time; played += Millis(50)) {
+        const auto minInstancesDuring = [&](Millis time, bool hasLoad) {
+            std::size_t minInstances = cluster.workers.instances().size();
+            for (Millis elapsed(0); elapsed < time; elapsed += Millis(50)) {
                 if (hasLoad)
                     cluster.submit(++number % 3, "work", jobId(number), job({ step(3) }));
                 cluster.clock.runFor(Millis(50));
                 const auto on = std::count_if(cluster.workers.instances().begin(), cluster.workers.instances().end(), [](const auto& entry) { return entry.second.pool == "main"; });
-                least = std::min(least, static_cast<std::size_t>(on));
+                minInstances = std::min(minInstances, static_cast<std::size_t>(on));
             }
-            return least;
+            return minInstances;
         };
-        play(Millis(8'000), true);
+        minInstancesDuring(Millis(8'000), true);
         cluster.store.trouble = { .leasesWait = true, .refusing = true };
-        play(Millis(4'000), false);
+        minInstancesDuring(Millis(4'000), false);
         cluster.store.trouble = {};
         // Callers retry within 3 s.
-        const std::size_t least = play(Millis(2'500), false);
+        const std::size_t minInstances = minInstancesDuring(Millis(2'500), false);
         CHECK(cluster.witness.breaches().empty());
-        return least;
+        return minInstances;
     };
-    const std::size_t without = leastAfterOutage(false);
-    const std::size_t with = leastAfterOutage(true);
+    const std::size_t without = minInstancesAfterOutage(false);
+    const std::size_t with = minInstancesAfterOutage(true);
     INFO("least instances in 2.5 s after the outage, without this part " << without << ", with it " << with);
     CHECK(with > without);
 }
--- a/tests/jobs/operator_test.cpp
+++ b/tests/jobs/operator_test.cpp
@@ -54,7 +54,7 @@
     CHECK(jobsText(call(cluster, other, "GET", "/v1/jobs?queue=none").body).find(jobId(1)) == std::string::npos);
 }
 
-TEST_CASE("Operators see which task ends its workers")
+TEST_CASE("Operators see which task crashes its workers")
 {
     SmallCluster cluster(1, 3, 6, 0);
     cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.task.index == 1; };
@@ -66,7 +66,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Operators see who owns, cancel jobs, and get typed refusals")
+TEST_CASE("Operators see the shard's owner, cancel jobs, and get typed errors")
 {
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ longStep(1) }));
@@ -85,7 +85,7 @@
     CHECK(call(cluster, other, "GET", "/metrics").body.find("lanemoor_ready 1") != std::string::npos);
 }
 
-TEST_CASE("Operators see the health of workers and what speaks against one")
+TEST_CASE("Operators see the health of workers and why one is ejected")
 {
     SmallCluster cluster;
     for (auto& [id, worker] : cluster.workers.workers())
@@ -101,7 +101,7 @@
     CHECK(instancesText(call(cluster, other, "GET", "/v1/instances").body).find("known to the owner only: entry-" + std::to_string(owner)) != std::string::npos);
 }
 
-TEST_CASE("Operators see what organisations have running, and that a quota is what tasks wait for")
+TEST_CASE("Operators see the usage of organisations, and which quota tasks wait for")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
--- a/tests/jobs/reachability_test.cpp
+++ b/tests/jobs/reachability_test.cpp
@@ -87,7 +87,7 @@
             start(i);
         }
         clock.runFor(Millis(1'000));
-        play(Millis(2'000));
+        submitLoad(Millis(2'000));
     }
 
     static const std::string& hall(std::size_t i) { return threeHalls.at(i % threeHalls.size()); }
@@ -100,7 +100,7 @@
     }
 
     /// Submits more work than two data halls can run. \returns Starts by data hall.
-    std::map<std::string, std::uint64_t> play(Millis time)
+    std::map<std::string, std::uint64_t> submitLoad(Millis time)
     {
         std::map<std::string, std::set<std::pair<std::string, Attempt>>> seen;
         const MonotonicInstant until = clock.now() + time;
@@ -124,7 +124,7 @@
     [[nodiscard]] bool ownerShows(const std::string& line) { return entry(*owner()).metrics().find(line + '\n') != std::string::npos; }
 
     /// Checks that all accepted jobs succeed and that no guarantee is violated.
-    void checkEnds()
+    void checkAllSucceed()
     {
         for (const std::string& id : accepted())
             CHECK(waitFor(Millis(20'000), [&] { return owner() && status(*owner(), id) == JobStatus::Succeeded; }));
@@ -136,7 +136,7 @@
 
 } // namespace
 
-TEST_CASE("One worker that does not answer says nothing of its data hall, two of them do")
+TEST_CASE("One unanswered worker is no evidence against a path, two are")
 {
     Table table;
     CHECK_FALSE(table.unanswered(0, Millis(0)));
@@ -163,7 +163,7 @@
     CHECK(table.unanswered(3, Millis(260)));
 }
 
-TEST_CASE("Evidence does not add up over long times, and a crashed worker is evidence against few paths")
+TEST_CASE("Evidence expires, and a crashed worker is evidence against few paths")
 {
     Table table;
     CHECK_FALSE(table.unanswered(0, Millis(0)));
@@ -226,7 +226,7 @@
         CHECK(plan.plan.relayOf("other" + std::to_string(i), now + Millis(200), "hall-b") == others[worker(i)]);
 }
 
-TEST_CASE("Relays that are not in use are taken into use when those in use do not reach a data hall, and leave when they do again")
+TEST_CASE("Unused relays are used while the relays in use do not reach a data hall")
 {
     // One large relay in hall-b has capacity for all 60 workers.
     RelayPlan plan({ .workersPerCore = 10 }, 0.1, {}, "hall-b");
@@ -254,7 +254,7 @@
     CHECK(plan.relaysInUse() == 1);
 }
 
-TEST_CASE("No relay carries more than twice its capacity because of a cut")
+TEST_CASE("No relay serves more than twice its capacity because of a partition")
 {
     Plan plan(1);
     static_cast<void>(plan.spread(30, Millis(0)));
@@ -279,13 +279,13 @@
 TEST_CASE("The call after an overdue one takes a path that starts in another data hall")
 {
     Plan plan;
-    CHECK(plan.plan.otherPath("hall-a", { "b0" }, now).value_or("") == "a0");
-    CHECK(plan.plan.otherPath("hall-a", { "b0", "a0" }, now).value_or("") == "c0");
-    CHECK_FALSE(plan.plan.otherPath("", { "b0" }, now));
+    CHECK(plan.plan.alternativePath("hall-a", { "b0" }, now).value_or("") == "a0");
+    CHECK(plan.plan.alternativePath("hall-a", { "b0", "a0" }, now).value_or("") == "c0");
+    CHECK_FALSE(plan.plan.alternativePath("", { "b0" }, now));
 }
 
 /// With 588 relays and 6,000 workers, a call must not iterate over them unless its worker needs another path.
-TEST_CASE("A cut on the largest fleet moves its workers within their next calls, in the time of some calls")
+TEST_CASE("A partition on the largest fleet reassigns its workers at their next calls")
 {
     RelayPlan plan({}, 0.5, {}, "hall-0");
     for (std::size_t i = 0; i < 588; ++i)
@@ -312,43 +312,43 @@
         CHECK(cut.count(plan.relayOf(worker(i), now + Millis(300), "hall-1")) == 0);
 }
 
-TEST_CASE("While two data halls are cut from each other, workers of both run tasks through the third one")
+TEST_CASE("While two data halls are partitioned from each other, workers of both run tasks through the third one")
 {
     for (const double workersPerCore : { 4.0, 130.0 }) {
         CAPTURE(workersPerCore);
         ThreeHalls cluster(1, workersPerCore);
         const auto [near, far, third] = cluster.hallsByOwner();
         cluster.peers.cuts.set(near, far, true);
-        static_cast<void>(cluster.play(Millis(1'500)));
+        static_cast<void>(cluster.submitLoad(Millis(1'500)));
         for (int second = 0; second < 4; ++second) {
             CAPTURE(second);
-            const std::map<std::string, std::uint64_t> starts = cluster.play(Millis(1'000));
+            const std::map<std::string, std::uint64_t> starts = cluster.submitLoad(Millis(1'000));
             CHECK(starts.at(far) >= starts.at(near) / 2);
         }
         CHECK(cluster.ownerShows("lanemoor_task_lapses_total 0"));
         CHECK(cluster.entry(*cluster.owner()).metrics().find("lanemoor_hall_paths{data_hall=\"" + far + "\",state=\"unreachable\"}") != std::string::npos);
         CHECK_FALSE(cluster.ownerShows("lanemoor_path_changes_total 0"));
         cluster.peers.cuts.clear();
-        static_cast<void>(cluster.play(Millis(2'000)));
-        cluster.checkEnds();
+        static_cast<void>(cluster.submitLoad(Millis(2'000)));
+        cluster.checkAllSucceed();
     }
 }
 
-TEST_CASE("A cut in one direction is routed around too")
+TEST_CASE("A one-way partition is routed around too")
 {
     for (const bool isFromOwner : { true, false }) {
         CAPTURE(isFromOwner);
         ThreeHalls cluster(2);
         const auto [near, far, third] = cluster.hallsByOwner();
         cluster.peers.cuts.setOneWay(isFromOwner ? near : far, isFromOwner ? far : near, true);
-        static_cast<void>(cluster.play(Millis(1'500)));
-        const std::map<std::string, std::uint64_t> starts = cluster.play(Millis(2'000));
+        static_cast<void>(cluster.submitLoad(Millis(1'500)));
+        const std::map<std::string, std::uint64_t> starts = cluster.submitLoad(Millis(2'000));
         CHECK(starts.at(far) >= starts.at(near) / 2);
-        cluster.checkEnds();
+        cluster.checkAllSucceed();
     }
 }
 
-TEST_CASE("A cut that heals while workers change their paths, and comes again, leaves nothing behind")
+TEST_CASE("A partition that heals and recurs while workers change their paths has no lasting effect")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
@@ -356,48 +356,48 @@
         const auto [near, far, third] = cluster.hallsByOwner();
         for (int round = 0; round < 6; ++round) {
             cluster.peers.cuts.set(near, far, round % 2 == 0);
-            static_cast<void>(cluster.play(Millis(150 * static_cast<int>(seed) + 100 * round)));
+            static_cast<void>(cluster.submitLoad(Millis(150 * static_cast<int>(seed) + 100 * round)));
         }
         cluster.peers.cuts.clear();
-        static_cast<void>(cluster.play(Millis(2'500)));
+        static_cast<void>(cluster.submitLoad(Millis(2'500)));
         CHECK(cluster.ownerShows("lanemoor_relay_calls_unanswered_total 0") == false);
-        cluster.checkEnds();
+        cluster.checkAllSucceed();
     }
 }
 
-TEST_CASE("An owner that is lost during a cut is followed by one that reaches all workers")
+TEST_CASE("The successor of an owner that fails during a partition reaches all workers")
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         CAPTURE(seed);
         ThreeHalls cluster(seed);
         const auto [near, far, third] = cluster.hallsByOwner();
         cluster.peers.cuts.set(near, far, true);
-        static_cast<void>(cluster.play(Millis(700)));
+        static_cast<void>(cluster.submitLoad(Millis(700)));
         cluster.kill(*cluster.owner(), seed % 2 == 0);
-        static_cast<void>(cluster.play(Millis(4'000)));
-        const std::map<std::string, std::uint64_t> starts = cluster.play(Millis(2'000));
+        static_cast<void>(cluster.submitLoad(Millis(4'000)));
+        const std::map<std::string, std::uint64_t> starts = cluster.submitLoad(Millis(2'000));
         for (const std::string& dataHall : { near, far, third }) {
             CAPTURE(dataHall);
             CHECK(starts.count(dataHall) == 1);
         }
         cluster.peers.cuts.clear();
-        cluster.checkEnds();
+        cluster.checkAllSucceed();
     }
 }
 
-TEST_CASE("Two cuts at once leave the workers of the data hall that nobody else reaches to their leases")
+TEST_CASE("While a data hall is partitioned from all others, the others run tasks, and it recovers afterwards")
 {
     ThreeHalls cluster(4);
     const auto [near, far, third] = cluster.hallsByOwner();
     cluster.peers.cuts.set(near, far, true);
     cluster.peers.cuts.set(third, far, true);
-    static_cast<void>(cluster.play(Millis(3'000)));
-    const std::map<std::string, std::uint64_t> starts = cluster.play(Millis(2'000));
+    static_cast<void>(cluster.submitLoad(Millis(3'000)));
+    const std::map<std::string, std::uint64_t> starts = cluster.submitLoad(Millis(2'000));
     CHECK(starts.at(near) > 0);
     CHECK(starts.at(third) > 0);
     cluster.peers.cuts.clear();
-    static_cast<void>(cluster.play(Millis(3'000)));
-    const std::map<std::string, std::uint64_t> after = cluster.play(Millis(1'000));
+    static_cast<void>(cluster.submitLoad(Millis(3'000)));
+    const std::map<std::string, std::uint64_t> after = cluster.submitLoad(Millis(1'000));
     CHECK(after.at(far) >= after.at(near) / 2);
-    cluster.checkEnds();
+    cluster.checkAllSucceed();
 }
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -1,7 +1,7 @@
 /// Calls to workers that other entry instances relay for the owner.
 
 #include "lanemoor/adapters/event_log.h"
-#include "lanemoor/jobs/relay/order_relay.h"
+#include "lanemoor/jobs/relay/command_relay.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "support.h"
 
@@ -17,9 +17,9 @@
 constexpr MonotonicInstant now { std::chrono::seconds(100) };
 
 /// Records the calls to workers, and answers each with success.
-class NotingWorkers final : public WorkerControl {
+class RecordingWorkers final : public WorkerControl {
 public:
-    explicit NotingWorkers(EventLoop& loop)
+    explicit RecordingWorkers(EventLoop& loop)
         : m_loop(loop)
     {
     }
@@ -60,12 +60,12 @@
 };
 
 /// An owner and two relays on a simulated network.
-struct Link {
-    Link()
+struct RelayFixture {
+    RelayFixture()
     {
         owner.activate();
-        first.follow("owner");
-        second.follow("owner");
+        first.setOwner("owner");
+        second.setOwner("owner");
         clock.runFor(Millis(50));
     }
 
@@ -73,8 +73,8 @@
     void renewAll(std::size_t workers)
     {
         for (std::size_t i = 0; i < workers; ++i) {
-            const WorkerLife life { "w" + std::to_string(i), "10.0.0.1:1" };
-            owner.renew(life, { .leaseUntil = 1, .epoch = 2, .endsStoredUpTo = 3, .wait = Millis(0) }, [this, id = life.id](const RenewResult& result) { outcomes[id] = result; });
+            const WorkerLife worker { "w" + std::to_string(i), "10.0.0.1:1" };
+            owner.renew(worker, { .leaseUntil = 1, .epoch = 2, .endsStoredUpTo = 3, .wait = Millis(0) }, [this, id = worker.id](const RenewResult& result) { outcomes[id] = result; });
         }
     }
 
@@ -90,12 +90,12 @@
     model::PeerPort ownerPort { peers, ownerProcess, "owner" };
     model::PeerPort firstPort { peers, firstProcess, "first" };
     model::PeerPort secondPort { peers, secondProcess, "second" };
-    NotingWorkers direct { ownerProcess };
-    NotingWorkers byFirst { firstProcess };
-    NotingWorkers bySecond { secondProcess };
+    RecordingWorkers direct { ownerProcess };
+    RecordingWorkers byFirst { firstProcess };
+    RecordingWorkers bySecond { secondProcess };
     RelayedWorkers owner { { .loop = &ownerProcess, .peers = &ownerPort, .direct = &direct, .log = &log }, { .workersPerCore = 4 }, 1.0 };
-    OrderRelay first { { .loop = &firstProcess, .peers = &firstPort, .workers = &byFirst, .store = &store, .log = &log }, "first", 1.0 };
-    OrderRelay second { { .loop = &secondProcess, .peers = &secondPort, .workers = &bySecond, .store = &store, .log = &log }, "second", 1.0 };
+    CommandRelay first { { .loop = &firstProcess, .peers = &firstPort, .workers = &byFirst, .store = &store, .log = &log }, "first", 1.0 };
+    CommandRelay second { { .loop = &secondProcess, .peers = &secondPort, .workers = &bySecond, .store = &store, .log = &log }, "second", 1.0 };
     std::map<std::string, RenewResult> outcomes;
 };
 
@@ -134,7 +134,7 @@
     CHECK(plan.relaysInUse() == 3);
 }
 
-TEST_CASE("A relay that comes late takes its share from the others")
+TEST_CASE("A relay that joins late gets its share of workers from the others")
 {
     RelayPlan plan({ .workersPerCore = 10 }, 0.1);
     plan.addRelay("early", 2.0);
@@ -148,7 +148,7 @@
     CHECK(byRelay["early"] + byRelay["late"] == 40);
 }
 
-TEST_CASE("The workers of a relay that is gone get others, or are called directly")
+TEST_CASE("The workers of a removed relay are reassigned, or called directly")
 {
     RelayPlan plan({ .workersPerCore = 10 }, 0.1);
     plan.addRelay("a", 1.0);
@@ -179,7 +179,7 @@
     CHECK(plan.relayOf("w3", now) != before);
 }
 
-TEST_CASE("A relay through which worker after worker does not answer rests, and gets no new workers meanwhile")
+TEST_CASE("A relay with consecutive unanswered calls is suspended and gets no workers meanwhile")
 {
     RelayPlan plan({ .workersPerCore = 10 }, 0.1);
     plan.addRelay("a", 2.0);
@@ -205,7 +205,7 @@
     CHECK(workersOfA(now + Millis(6'100)) >= 14);
 }
 
-TEST_CASE("Relays are let go only when the others have room to spare")
+TEST_CASE("Relays are released only when the others have spare capacity")
 {
     RelayPlan plan({ .workersPerCore = 10, .shrinkAt = 1.5 }, 0.1);
     for (const char* name : { "a", "b", "c" })
@@ -224,43 +224,43 @@
     CHECK(plan.relaysInUse() == 0);
 }
 
-TEST_CASE("Calls and answers arrive whole through relays")
+TEST_CASE("Calls and answers pass through relays unchanged")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    REQUIRE(link.outcomes.size() == 8);
-    CHECK(link.byFirst.renewals.size() + link.bySecond.renewals.size() >= 4);
-    CHECK(link.owner.counts().relays == 2);
-    const RenewResult& result = link.outcomes["w7"];
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    REQUIRE(fixture.outcomes.size() == 8);
+    CHECK(fixture.byFirst.renewals.size() + fixture.bySecond.renewals.size() >= 4);
+    CHECK(fixture.owner.counts().relays == 2);
+    const RenewResult& result = fixture.outcomes["w7"];
     CHECK(result.outcome == OrderOutcome::Done);
     CHECK(result.workerClock == 9);
     CHECK(result.running == std::vector<RunningAttempt> { { .attempt = { "job", { 1, 2, 3 }, 4 }, .checkpoint = "half", .percent = 50, .load = 5 } });
     CHECK(result.ended == std::vector<EndedAttempt> { { .sequence = 6, .attempt = { "job", { 0, 1, 2 }, 3 }, .end = AttemptEnd::GangBroken, .checkpoint = "c" } });
-    link.owner.forget({ "w7", "10.0.0.1:1" });
-    link.clock.runFor(Millis(20));
-    CHECK(link.byFirst.forgotten.size() + link.bySecond.forgotten.size() == 1);
+    fixture.owner.forget({ "w7", "10.0.0.1:1" });
+    fixture.clock.runFor(Millis(20));
+    CHECK(fixture.byFirst.forgotten.size() + fixture.bySecond.forgotten.size() == 1);
 }
 
 TEST_CASE("A long payload is read from the store by the relay, once")
 {
-    Link link;
+    RelayFixture fixture;
     const std::string payload(3'000, 'x');
-    link.storeModel.put(jobKey("job"), encode(JobRecord { .queue = "q", .pool = "p", .acceptedAt = {}, .spec = job({ step(3) }) }));
+    fixture.storeModel.put(jobKey("job"), encode(JobRecord { .queue = "q", .pool = "p", .acceptedAt = {}, .spec = job({ step(3) }) }));
     JobRecord record { .queue = "q", .pool = "p", .acceptedAt = {}, .spec = job({ step(3) }) };
     record.spec.payload = payload;
-    link.storeModel.put(jobKey("job"), encode(record));
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
+    fixture.storeModel.put(jobKey("job"), encode(record));
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
     std::vector<OrderOutcome> outcomes;
     for (std::uint32_t i = 0; i < 8; ++i) {
         const StartOrder order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-        link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
+        fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
     }
-    link.clock.runFor(Millis(200));
+    fixture.clock.runFor(Millis(200));
     CHECK(outcomes == std::vector<OrderOutcome>(8, OrderOutcome::Done));
-    REQUIRE(link.byFirst.starts.size() + link.bySecond.starts.size() == 8);
-    for (const std::string& started : link.byFirst.starts)
+    REQUIRE(fixture.byFirst.starts.size() + fixture.bySecond.starts.size() == 8);
+    for (const std::string& started : fixture.byFirst.starts)
         CHECK(started == payload);
 }
 
@@ -268,137 +268,137 @@
 TEST_CASE("A relay that is paused while it waits for a payload does not send the start afterwards")
 {
     for (int pauseAfter = 0; pauseAfter < 20; ++pauseAfter) {
-        Link link;
-        link.renewAll(8);
-        link.clock.runFor(Millis(100));
+        RelayFixture fixture;
+        fixture.renewAll(8);
+        fixture.clock.runFor(Millis(100));
         const std::string payload(3'000, 'x');
         JobRecord record { .queue = "q", .pool = "p", .acceptedAt = {}, .spec = job({ step(8) }) };
         record.spec.payload = payload;
-        link.storeModel.put(jobKey("job"), encode(record));
+        fixture.storeModel.put(jobKey("job"), encode(record));
         for (std::uint32_t i = 0; i < 8; ++i) {
             const StartOrder order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [](const OrderResult&) {});
+            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [](const OrderResult&) {});
         }
-        link.clock.runFor(Millis(pauseAfter));
-        const std::size_t before = link.byFirst.starts.size() + link.bySecond.starts.size();
-        for (model::SimProcess* process : { &link.firstProcess, &link.secondProcess })
+        fixture.clock.runFor(Millis(pauseAfter));
+        const std::size_t before = fixture.byFirst.starts.size() + fixture.bySecond.starts.size();
+        for (model::SimProcess* process : { &fixture.firstProcess, &fixture.secondProcess })
             process->freeze();
-        link.clock.runFor(Millis(3'000));
-        for (model::SimProcess* process : { &link.firstProcess, &link.secondProcess })
+        fixture.clock.runFor(Millis(3'000));
+        for (model::SimProcess* process : { &fixture.firstProcess, &fixture.secondProcess })
             process->thaw();
-        link.clock.runFor(Millis(20));
-        CHECK(link.byFirst.starts.size() + link.bySecond.starts.size() == before);
+        fixture.clock.runFor(Millis(20));
+        CHECK(fixture.byFirst.starts.size() + fixture.bySecond.starts.size() == before);
     }
 }
 
-TEST_CASE("A payload that the store does not give the relay travels with the call")
+TEST_CASE("A payload that the relay can't read from the store is sent with the call")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    link.store.cutOff = true; // Both relays use the same client here.
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    fixture.store.cutOff = true; // Both relays use the same client here.
     const std::string payload(3'000, 'x');
     std::vector<OrderOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
         for (std::uint32_t i = 0; i < 8; ++i) {
             const StartOrder order { .attempt = { "job", { 0, 0, i }, number }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            link.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
+            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const OrderResult& result) { outcomes.push_back(result.outcome); });
         }
     };
     startAll(1);
-    link.clock.runFor(Millis(400));
+    fixture.clock.runFor(Millis(400));
     CHECK(outcomes == std::vector<OrderOutcome>(8, OrderOutcome::Done));
-    REQUIRE(link.byFirst.starts.size() + link.bySecond.starts.size() == 8);
-    for (const std::string& started : link.byFirst.starts)
+    REQUIRE(fixture.byFirst.starts.size() + fixture.bySecond.starts.size() == 8);
+    for (const std::string& started : fixture.byFirst.starts)
         CHECK(started == payload);
     // The next starts do not wait for the store.
     startAll(2);
-    link.clock.runFor(Millis(40));
+    fixture.clock.runFor(Millis(40));
     CHECK(outcomes.size() == 16);
     // A payload that arrives late does not start the task a second time.
-    link.store.cutOff = false;
-    link.clock.runFor(Millis(3'000));
-    CHECK(link.byFirst.starts.size() + link.bySecond.starts.size() == 16);
+    fixture.store.cutOff = false;
+    fixture.clock.runFor(Millis(3'000));
+    CHECK(fixture.byFirst.starts.size() + fixture.bySecond.starts.size() == 16);
 }
 
-TEST_CASE("The calls of a relay that goes silent are unknown within a second, and its workers are called by others")
+TEST_CASE("The calls of an unresponsive relay end as unknown within a second, and other relays call its workers")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    link.peers.trouble.cutOff = { "first" };
-    link.outcomes.clear();
-    link.renewAll(8);
-    link.clock.runFor(Millis(1'100));
-    REQUIRE(link.outcomes.size() == 8);
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    fixture.peers.trouble.cutOff = { "first" };
+    fixture.outcomes.clear();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(1'100));
+    REQUIRE(fixture.outcomes.size() == 8);
     std::size_t unknown = 0;
-    for (const auto& [id, result] : link.outcomes)
+    for (const auto& [id, result] : fixture.outcomes)
         unknown += result.outcome == OrderOutcome::Unknown ? 1 : 0;
     CHECK(unknown >= 3);
     CHECK(unknown <= 5);
-    link.outcomes.clear();
-    link.renewAll(8);
-    link.clock.runFor(Millis(50));
-    REQUIRE(link.outcomes.size() == 8);
-    for (const auto& [id, result] : link.outcomes)
+    fixture.outcomes.clear();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(50));
+    REQUIRE(fixture.outcomes.size() == 8);
+    for (const auto& [id, result] : fixture.outcomes)
         CHECK(result.outcome == OrderOutcome::Done);
     // The relay is used again once it is reachable.
-    link.peers.trouble.cutOff.clear();
-    link.clock.runFor(Millis(7'000));
-    link.renewAll(8);
-    link.clock.runFor(Millis(50));
-    CHECK(link.owner.counts().relays == 2);
+    fixture.peers.trouble.cutOff.clear();
+    fixture.clock.runFor(Millis(7'000));
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(50));
+    CHECK(fixture.owner.counts().relays == 2);
 }
 
-TEST_CASE("A connection that goes silent for good is replaced")
+TEST_CASE("A connection that stays unresponsive is replaced")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    link.peers.silenceAll();
-    link.renewAll(8);
-    link.clock.runFor(Millis(8'000));
-    link.outcomes.clear();
-    link.renewAll(8);
-    link.clock.runFor(Millis(50));
-    CHECK(link.owner.counts().relays == 2);
-    for (const auto& [id, result] : link.outcomes)
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    fixture.peers.silenceAll();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(8'000));
+    fixture.outcomes.clear();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(50));
+    CHECK(fixture.owner.counts().relays == 2);
+    for (const auto& [id, result] : fixture.outcomes)
         CHECK(result.outcome == OrderOutcome::Done);
 }
 
-TEST_CASE("A relay that was frozen does not carry out what it finds waiting")
+TEST_CASE("A relay that was frozen does not make the calls that queued up meanwhile")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    link.firstProcess.freeze();
-    const std::size_t before = link.byFirst.renewals.size();
-    link.renewAll(8);
-    link.clock.runFor(Millis(700));
-    link.firstProcess.thaw();
-    link.clock.runFor(Millis(50));
-    CHECK(link.byFirst.renewals.size() == before);
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    fixture.firstProcess.freeze();
+    const std::size_t before = fixture.byFirst.renewals.size();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(700));
+    fixture.firstProcess.thaw();
+    fixture.clock.runFor(Millis(50));
+    CHECK(fixture.byFirst.renewals.size() == before);
 }
 
-TEST_CASE("A relay that leaves answers what it has and gets no more")
+TEST_CASE("A relay that leaves answers its pending calls and gets no new ones")
 {
-    Link link;
-    link.renewAll(8);
-    link.clock.runFor(Millis(100));
-    link.first.leave();
-    link.clock.runFor(Millis(50));
-    const std::size_t before = link.byFirst.renewals.size();
-    link.outcomes.clear();
-    link.renewAll(8);
-    link.clock.runFor(Millis(50));
-    CHECK(link.byFirst.renewals.size() == before);
-    REQUIRE(link.outcomes.size() == 8);
-    for (const auto& [id, result] : link.outcomes)
+    RelayFixture fixture;
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(100));
+    fixture.first.leave();
+    fixture.clock.runFor(Millis(50));
+    const std::size_t before = fixture.byFirst.renewals.size();
+    fixture.outcomes.clear();
+    fixture.renewAll(8);
+    fixture.clock.runFor(Millis(50));
+    CHECK(fixture.byFirst.renewals.size() == before);
+    REQUIRE(fixture.outcomes.size() == 8);
+    for (const auto& [id, result] : fixture.outcomes)
         CHECK(result.outcome == OrderOutcome::Done);
-    CHECK(link.first.inFlight() == 0);
+    CHECK(fixture.first.inFlight() == 0);
 }
 
-TEST_CASE("Jobs run through relays, also when one is lost in the middle")
+TEST_CASE("Jobs run through relays, even if a relay fails meanwhile")
 {
     SmallCluster cluster(7, 3, 6, 0, 1);
     for (std::uint64_t i = 1; i <= 6; ++i)
@@ -413,7 +413,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Without a lost owner or relay nothing lapses and nothing is in doubt")
+TEST_CASE("Without a failure of owner or relays no lease expires and every start is acknowledged")
 {
     SmallCluster cluster(8, 3, 6, 0, 1);
     for (std::uint64_t i = 1; i <= 20; ++i) {
