--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -101,8 +101,8 @@
         std::size_t workers = 0;
         std::map<std::size_t, std::size_t> workersByHall; ///< Excludes workers of unknown data halls.
         std::uint32_t unanswered = 0; ///< Consecutive calls.
-        std::uint32_t suspensions = 0; ///< Consecutive suspensions.
-        MonotonicInstant suspendedUntil; ///< End of the suspension: it gets no workers before.
+        std::uint32_t suspensions = 0; ///< Consecutive.
+        MonotonicInstant suspendedUntil; ///< The relay gets no workers before.
         bool inUse = false;
         bool isSelected = false; ///< Whether the plan in progress uses it.
         bool servesCutHallsOnly = false; ///< Used only for data halls that the other relays do not reach.
@@ -120,9 +120,9 @@
         std::string path;
         std::string from; ///< Data hall where the path starts.
         PathRank rank = PathRank::MayReach;
-        bool startsInOtherHall = false; ///< The path starts in another data hall than its target.
-        double utilisation = 0; ///< Utilisation: workers by capacity.
-        std::uint32_t callsSinceRanking = 0; ///< Calls assigned to it since the ranking.
+        bool startsInOtherHall = false; ///< The path starts in another data hall than the workers'.
+        double utilisation = 0; ///< Workers by capacity.
+        std::uint32_t callsSinceRanking = 0;
     };
 
     struct PathRanking {
@@ -152,7 +152,7 @@
     std::map<std::string, Assignment> m_assignments; ///< By worker.
     std::map<std::size_t, std::size_t> m_workersByHall; ///< Excludes workers of unknown data halls.
     ReachabilityTable m_reachability;
-    bool m_usesRelaysForLoad = false; ///< The workers exceed the capacity of the owner's machine: it calls none directly.
+    bool m_usesRelaysForLoad = false; ///< The workers exceed the capacity of the owner's machine: relays get all of them.
     std::size_t m_inUse = 0;
     std::size_t m_plannedWorkers = 0; ///< Number of workers when the plan was made.
     MonotonicInstant m_now; ///< Latest time that was passed in.
--- a/include/lanemoor/jobs/service/job_metrics.h
+++ b/include/lanemoor/jobs/service/job_metrics.h
@@ -38,7 +38,7 @@
     std::uint64_t configurationVersion = 0;
     double configurationAgeSeconds = 0; ///< Since the store was last known to hold no newer version.
     DocumentCopyCounts configurationReads;
-    std::uint64_t jobs = 0; ///< In the replica of the store.
+    std::uint64_t jobs = 0; ///< In the catalog.
     double storeAgeSeconds = 0; ///< Since the replica of the jobs was last known to be up to date.
     std::vector<ReplicaReading> replicas;
     StoreState storeState = StoreState::Writing;
--- a/include/lanemoor/jobs/service/job_service.h
+++ b/include/lanemoor/jobs/service/job_service.h
@@ -115,7 +115,7 @@
 
     /// \name Operators
     ///@{
-    /// \returns Up to `most` jobs of `queue`, or of all queues, ordered by id.
+    /// \returns Up to `limit` jobs of `queue`, or of all queues, ordered by id.
     [[nodiscard]] std::vector<JobSummary> jobs(const std::optional<std::string>& queue, std::size_t limit) const;
 
     /// \returns This instance's report on the job; nothing if the job is not in its catalog.
--- a/src/jobs/relay/command_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -325,7 +325,7 @@
     std::minstd_rand m_random; ///< Seeded by the name.
     bool m_isLinked = false; ///< Whether the owner sent a frame over the link.
     MonotonicInstant m_refusalWindowEnd;
-    bool m_isDemandScheduled = false; ///< Whether a demand report is scheduled.
+    bool m_isDemandScheduled = false;
     MonotonicInstant m_demandSentAt;
     bool m_leaving = false;
     MonotonicInstant m_storeUnavailableUntil; ///< No payload is read before, since a read failed.
--- a/src/jobs/relay/relay_codec.h
+++ b/src/jobs/relay/relay_codec.h
@@ -15,7 +15,7 @@
 /// \name Encoding
 /// Sets the worker and the kind of a call; the caller sets the number of the call.
 ///@{
-/// \param refers Whether the relay reads the payload from the store.
+/// \param refersToStore Whether the relay reads the payload from the store.
 void fill(wire::RelayCall& message, const WorkerLife& worker, const StartOrder& order, bool refersToStore);
 void fillStop(wire::RelayCall& message, const WorkerLife& worker, const Attempt& attempt, std::uint64_t epoch);
 void fill(wire::RelayCall& message, const WorkerLife& worker, const RenewOrder& order);
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -21,7 +21,7 @@
 /// and mixed with calls to other workers.
 constexpr std::uint32_t unansweredToSuspend = 8;
 constexpr Millis suspension { 5'000 };
-constexpr std::uint32_t maxSuspensionDoublings = 3; // Of the suspension, while no worker answers after it.
+constexpr std::uint32_t maxSuspensionDoublings = 3; // Of consecutive suspensions, while no worker answers.
 /// The plan is recomputed when the number of workers has changed by one in this many. Each move of an instance removes a worker and
 /// adds one: a shift of load moves 600 of 1,100 instances in a second, and recomputing for each of them sorted 146 relays twice.
 constexpr std::size_t replanDivisor = 100;
@@ -113,7 +113,7 @@
         replan();
         return;
     }
-    // Takes the first other relay in use that is no more loaded.
+    // Takes the first other relay in use that has at most one worker more.
     for (auto& [name, other] : m_relays) {
         if (name == relay || !other.inUse || other.workers > found->second.workers + 1)
             continue;
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -325,7 +325,7 @@
         MonotonicInstant lastReceivedAt;
         MonotonicInstant lastCallAt;
         MonotonicInstant inlinePayloadUntil; ///< Until then calls include payloads, since the relay could not read one.
-        MonotonicInstant lastSentAt; ///< When the last frame was sent.
+        MonotonicInstant lastSentAt; ///< Any frame counts as a heartbeat.
     };
 
     struct PendingCall {
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -821,7 +821,7 @@
         }
     }
 
-    /// Serves until `least`, then until every call is answered, and no longer than `most`.
+    /// Serves until `earliest`, then until every call is answered, and no longer than `limit`.
     void serveUntil(MonotonicInstant earliest, MonotonicInstant limit, const std::function<void()>& done)
     {
         const MonotonicInstant now = m_parts.loop->now();
