--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -1,5 +1,7 @@
-/// After an outage of the store the plan had seen no load and powered pools off, while the callers that had been refused all came
-/// back. These tests guard what the plan goes by after an outage, and when refused callers are told to come back.
+/// Capacity planning and Retry-After after an outage of the store.
+///
+/// Guards against pools that are powered off after an outage: no load arrives at the plan meanwhile, but all refused callers
+/// retry afterwards.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/intake/demand_report.h"
@@ -7,7 +9,7 @@
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
 #include "lanemoor/jobs/policy/retry_advice.h"
-#include "lanemoor/jobs/relay/order_relay.h"
+#include "lanemoor/jobs/relay/command_relay.h"
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "support.h"
 
@@ -24,7 +26,7 @@
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
 constexpr Millis observation { 3'000 };
 
-/// \returns A pool whose instances are all idle, and a reserve.
+/// \returns A pool of idle instances, and a reserve pool.
 std::vector<PoolLoad> idlePools(bool hasArrivals)
 {
     PoolLoad pool { .pool = "main", .requirements = { { Requirement {}, {} } }, .instances = {} };
@@ -41,12 +43,12 @@
     CapacityPlan plan({ .observation = observation });
     static_cast<void>(plan.next(idlePools(true), start));
     REQUIRE(!plan.next(idlePools(true), start + observation).moves.empty());
-    const MonotonicInstant back = start + Millis(8'000);
-    plan.restartObservation(back);
-    CHECK(plan.next(idlePools(false), back + Millis(10'000)).moves.empty());
-    CHECK(plan.next(idlePools(true), back + Millis(11'000)).moves.empty());
-    CHECK(plan.next(idlePools(true), back + Millis(11'000) + observation - Millis(1)).moves.empty());
-    CHECK(!plan.next(idlePools(true), back + Millis(11'000) + observation).moves.empty());
+    const MonotonicInstant availableAt = start + Millis(8'000);
+    plan.restartObservation(availableAt);
+    CHECK(plan.next(idlePools(false), availableAt + Millis(10'000)).moves.empty());
+    CHECK(plan.next(idlePools(true), availableAt + Millis(11'000)).moves.empty());
+    CHECK(plan.next(idlePools(true), availableAt + Millis(11'000) + observation - Millis(1)).moves.empty());
+    CHECK(!plan.next(idlePools(true), availableAt + Millis(11'000) + observation).moves.empty());
 }
 
 TEST_CASE("Refused submissions count like arrivals of the same work")
@@ -86,7 +88,7 @@
     CHECK(refused == 2 * DemandReport::maxEntries);
 }
 
-// Guards against a frame for each refusal: an outage refuses hundreds a second.
+// Guards against one frame for each refusal, since an instance refuses hundreds of submissions a second in an outage.
 TEST_CASE("An entry instance reports refusals to the owner at most once in 250 ms, and nothing without any")
 {
     SimClock clock;
@@ -101,13 +103,13 @@
     WorkerClient ownerWorkers(workers, ownerProcess);
     WorkerClient entryWorkers(workers, entryProcess);
     DemandReport report;
-    std::vector<EntryDemand> heard;
-    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demanded = [&](const EntryDemand& demand) { heard.push_back(demand); } }, { .workersPerCore = 10 }, 1);
-    OrderRelay entry({ .loop = &entryProcess, .peers = &entryPort, .workers = &entryWorkers, .log = &log, .takeDemand = [&] { return report.take(); } }, "entry", 1);
+    std::vector<EntryDemand> reports;
+    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demanded = [&](const EntryDemand& demand) { reports.push_back(demand); } }, { .workersPerCore = 10 }, 1);
+    CommandRelay entry({ .loop = &entryProcess, .peers = &entryPort, .workers = &entryWorkers, .log = &log, .takeDemand = [&] { return report.take(); } }, "entry", 1);
     owner.activate();
-    entry.follow("owner");
+    entry.setOwner("owner");
     clock.runFor(Millis(1'000));
-    CHECK(heard.empty());
+    CHECK(reports.empty());
     const JobSpec spec = job({ step(2) });
     for (int i = 0; i < 100; ++i) {
         report.noteRefused("work", "north", spec);
@@ -115,10 +117,10 @@
         clock.runFor(Millis(10));
     }
     clock.runFor(Millis(500));
-    CHECK(heard.size() >= 4);
-    CHECK(heard.size() <= 6);
+    CHECK(reports.size() >= 4);
+    CHECK(reports.size() <= 6);
     EntryDemand sum { .queue = "work", .organisation = "north" };
-    for (const EntryDemand& demand : heard) {
+    for (const EntryDemand& demand : reports) {
         CHECK(demand.organisation == "north");
         sum.refused += demand.refused;
         sum.workMillis += demand.workMillis;
@@ -136,19 +138,19 @@
             ++counts.at(static_cast<std::size_t>(adviseRetry(situation, random) / Millis(1'000)));
         return counts;
     };
-    // Just begun: the store may be back at once.
+    // The outage has just begun: the store may be available again at once.
     CHECK(countsOf({ .refused = 5, .waiting = 5, .lasted = Millis(200), .useful = Millis(20'000) })[1] == 900);
     const std::array<int, 4> spread = countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(20'000) });
     CHECK(spread[0] == 0);
     for (const std::size_t seconds : { 1U, 2U, 3U })
         CHECK(std::abs(spread.at(seconds) - 300) < 80);
-    // Most have come back: what is left drains within a second.
+    // Most callers have retried: the others drain within a second.
     CHECK(countsOf({ .refused = 400, .waiting = 80, .lasted = Millis(4'000), .useful = Millis(20'000) })[1] == 900);
     CHECK(countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(2'100) })[3] == 0);
     CHECK(countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(-100) })[1] == 900);
 }
 
-TEST_CASE("Refused submissions are waited for until they are settled or their callers have given up")
+TEST_CASE("Refused submissions count as waiting until they are settled or no longer useful")
 {
     RefusedSubmissions refusals;
     const MonotonicInstant useful = start + Millis(5'000);
@@ -160,16 +162,16 @@
     refusals.noteSettled("a");
     CHECK(refusals.situationOf("a", start + Millis(2'000)) == RefusalSituation {});
     CHECK(refusals.situationOf("b", start + Millis(2'000)).waiting == 1);
-    // Nobody is waited for any more: refusals begin anew.
+    // No caller is waiting any more: the next refusal begins a new outage.
     refusals.noteRefused("c", useful, start + Millis(20'000));
     CHECK(refusals.waiting() == 1);
     CHECK(refusals.situationOf("c", start + Millis(20'000)).refused == 1);
 }
 
-// Guards against pools that are powered off after an outage: the owner saw no arrivals for its length.
-TEST_CASE("An outage does not cost a pool its instances")
+// Guards against pools that are powered off after an outage, since the owner saw no arrivals meanwhile.
+TEST_CASE("A pool keeps its instances after an outage")
 {
-    const auto leastAfterOutage = [](bool isEnabled) {
+    const auto minInstancesAfterOutage = [](bool isEnabled) {
         SmallCluster cluster(21, 3, 6, 2, 1);
         Policies policies;
         policies.storeOutages.enabled = isEnabled;
@@ -179,28 +181,28 @@
         for (std::size_t i = 0; i < cluster.entries(); ++i)
             cluster.start(i);
         std::uint64_t number = 0;
-        const auto play = [&](Millis time, bool hasLoad) {
-            std::size_t least = cluster.workers.instances().size();
-            for (Millis played(0); played < time; played += Millis(50)) {
+        const auto minInstancesDuring = [&](Millis time, bool hasLoad) {
+            std::size_t minInstances = cluster.workers.instances().size();
+            for (Millis elapsed(0); elapsed < time; elapsed += Millis(50)) {
                 if (hasLoad)
                     cluster.submit(++number % 3, "work", jobId(number), job({ step(3) }));
                 cluster.clock.runFor(Millis(50));
                 const auto on = std::count_if(cluster.workers.instances().begin(), cluster.workers.instances().end(), [](const auto& entry) { return entry.second.pool == "main"; });
-                least = std::min(least, static_cast<std::size_t>(on));
+                minInstances = std::min(minInstances, static_cast<std::size_t>(on));
             }
-            return least;
+            return minInstances;
         };
-        play(Millis(8'000), true);
+        minInstancesDuring(Millis(8'000), true);
         cluster.store.trouble = { .leasesWait = true, .refusing = true };
-        play(Millis(4'000), false);
+        minInstancesDuring(Millis(4'000), false);
         cluster.store.trouble = {};
-        // Callers come back within 3 s.
-        const std::size_t least = play(Millis(2'500), false);
+        // Callers retry within 3 s.
+        const std::size_t minInstances = minInstancesDuring(Millis(2'500), false);
         CHECK(cluster.witness.breaches().empty());
-        return least;
+        return minInstances;
     };
-    const std::size_t without = leastAfterOutage(false);
-    const std::size_t with = leastAfterOutage(true);
+    const std::size_t without = minInstancesAfterOutage(false);
+    const std::size_t with = minInstancesAfterOutage(true);
     INFO("least instances in 2.5 s after the outage, without this part " << without << ", with it " << with);
     CHECK(with > without);
 }
