--- a/include/lanemoor/decisions/admission.h
+++ b/include/lanemoor/decisions/admission.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Admission of requests to a pool: who starts next, who waits, who is told to come back.
+/// Admission control of a pool: which request starts next, waits or is refused.
 
 #include "lanemoor/decisions/request.h"
 #include "lanemoor/decisions/time.h"
@@ -16,7 +16,7 @@
 
 namespace lanemoor {
 
-/// A request that asks to be admitted.
+/// A request to be admitted.
 struct Ticket {
     std::uint64_t id = 0; ///< Unique in its queue.
     RequestClass requestClass = RequestClass::Check;
@@ -26,7 +26,7 @@
     [[nodiscard]] bool operator==(const Ticket&) const = default;
 };
 
-/// What binds one queue.
+/// Limits of one queue.
 struct AdmissionLimits {
     std::uint32_t slots = 0; ///< Requests in flight at once.
     std::uint32_t mostWaiting = 256;
@@ -34,7 +34,7 @@
     [[nodiscard]] bool operator==(const AdmissionLimits&) const = default;
 };
 
-/// A refused request and when asking again makes sense.
+/// Why a request is refused and when a retry can succeed.
 struct AdmissionRefusal {
     RequestRefusal reason = RequestRefusal::QueueFull;
     Instant retryAt;
@@ -42,7 +42,7 @@
     [[nodiscard]] bool operator==(const AdmissionRefusal&) const = default;
 };
 
-/// A waiting request that is given up on.
+/// A waiting request that can no longer meet its deadline.
 struct ExpiredTicket {
     std::uint64_t id = 0;
     AdmissionRefusal refusal;
@@ -50,13 +50,13 @@
     [[nodiscard]] bool operator==(const ExpiredTicket&) const = default;
 };
 
-/// \brief The queue of one pool at one entry instance. Pure: it is told the time.
+/// \brief The queue of one pool at one entry instance. Pure: the caller passes the time.
 ///
-/// Checks and orders start before batch, but of `batchTurn` starts at least one is a
-/// batch request if any waits, so that batch never starves. Within a class the team
-/// with the smallest share of its quota in flight goes first, and within a team the
-/// earliest deadline. Run times are observed, never declared: a request whose deadline
-/// can't be met by them is refused at once.
+/// Checks and orders start before batch requests, but while a batch request waits, at
+/// least one of every five starts is a batch request, so that batch does not starve.
+/// Within a class, the team with the smallest share of its quota in flight goes first;
+/// within a team, the earliest deadline. Expected run times are a moving average of
+/// observed ones; a request that they show to miss its deadline is refused on arrival.
 ///
 /// \code
 /// AdmissionQueue queue({ .slots = 8 });
@@ -69,27 +69,28 @@
 public:
     explicit AdmissionQueue(AdmissionLimits limits);
 
-    /// \brief Sets new limits; what is in flight stays so.
+    /// \brief Sets new limits. Requests in flight are not affected.
     void setLimits(AdmissionLimits limits) noexcept { m_limits = limits; }
 
-    /// \brief Sets the requests that `team` may have in flight here; unknown teams have
-    /// no quota and share what is left.
+    /// \brief Sets how many requests of `team` may be in flight on this entry instance.
+    /// A team without a quota is bounded by the free slots only.
     void setQuota(const std::string& team, std::uint32_t quota);
 
-    /// \brief Takes a request into the queue.
-    /// \returns Nothing, or why it is refused.
+    /// \brief Adds a request to the queue.
+    /// \returns Nothing if the request was added, otherwise the refusal.
     [[nodiscard]] std::optional<AdmissionRefusal> offer(const Ticket& ticket, Instant now);
 
-    /// \brief Starts the request whose turn it is, if a slot is free.
+    /// \brief Starts the next request if a slot is free.
+    /// \returns The id of the started request, or nothing.
     [[nodiscard]] std::optional<std::uint64_t> start(Instant now);
 
-    /// \brief Removes and returns the waiting requests that can't make their deadlines any more.
+    /// \brief Removes and returns the waiting requests that can no longer meet their deadlines.
     [[nodiscard]] std::vector<ExpiredTicket> expire(Instant now);
 
-    /// \brief Ends a started request and learns how long it ran.
+    /// \brief Ends a started request and adds its run time to the moving average.
     void finish(std::uint64_t id, Instant now);
 
-    /// \brief Removes a request that its caller gave up, waiting or started.
+    /// \brief Removes a waiting or started request that its caller cancelled.
     void cancel(std::uint64_t id);
 
     /// \name Observed
@@ -97,12 +98,12 @@
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
     [[nodiscard]] std::size_t inFlight() const noexcept { return m_started.size(); }
 
-    /// \returns The run time that a request of `requestClass` is expected to need.
+    /// \returns The moving average of the run times of `requestClass`.
     [[nodiscard]] Millis expectedRunTime(RequestClass requestClass) const noexcept;
     ///@}
 
 private:
-    /// Order in which the requests of one class and team start.
+    /// Orders the waiting requests of one class and team by deadline.
     struct WaitingKey {
         Instant deadline;
         std::uint64_t id = 0;
--- a/include/lanemoor/decisions/configuration.h
+++ b/include/lanemoor/decisions/configuration.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The operators' configuration: what lanemoor is asked to hold.
+/// The operators' configuration: the desired state of the fleet.
 
 #include "lanemoor/decisions/instance.h"
 #include "lanemoor/decisions/selector.h"
@@ -13,10 +13,10 @@
 
 namespace lanemoor {
 
-/// \brief How many instances of a pool stay in service, whatever happens.
+/// \brief How many instances of a pool must stay in service.
 ///
-/// The budget holds while, after the loss of the largest failure domain of kind
-/// `survives`, at least `minimum` instances would still be in service.
+/// The budget is met while at least `minimum` instances would remain in service after
+/// the failure of the largest failure domain of kind `survives`.
 struct AvailabilityBudget {
     std::uint32_t minimum = 0; ///< Instances.
     FailureDomain survives = FailureDomain::Rack;
@@ -27,7 +27,7 @@
 /// A weekly window in which maintenance may begin, in minutes since Monday 00:00 UTC.
 struct MaintenanceWindow {
     std::uint32_t beginMinute = 0;
-    std::uint32_t endMinute = 0; ///< Exclusive; a value not above `beginMinute` wraps over the week's end.
+    std::uint32_t endMinute = 0; ///< Exclusive. A value up to `beginMinute` means that the window wraps around the end of the week.
 
     [[nodiscard]] bool contains(Instant now) const noexcept;
     [[nodiscard]] bool operator==(const MaintenanceWindow&) const = default;
@@ -37,8 +37,8 @@
 struct Pool {
     std::string name;
     Selector selector;
-    std::int32_t priority = 0; ///< The higher one gets instances first where selectors overlap.
-    std::uint32_t wanted = 0; ///< Instances at least, beyond what the budget needs.
+    std::int32_t priority = 0; ///< Where selectors overlap, pools of higher priority get instances first.
+    std::uint32_t wanted = 0; ///< Minimum size in instances, if the budget requires fewer.
     AvailabilityBudget budget;
     std::vector<MaintenanceWindow> windows; ///< Empty: at any time.
 
@@ -53,7 +53,7 @@
     [[nodiscard]] bool operator==(const Team&) const = default;
 };
 
-/// What the operators weigh; 0 means: of no concern.
+/// Relative cost of moves and of roll-out time; 0 ignores that cost.
 struct Weights {
     std::uint32_t moves = 1;
     std::uint32_t rollOut = 1;
@@ -61,19 +61,19 @@
     [[nodiscard]] bool operator==(const Weights&) const = default;
 };
 
-/// How every instance is maintained.
+/// Maintenance policy for all instances.
 struct Maintenance {
-    std::uint32_t periodDays = 49; ///< Every instance is maintained once in this time.
-    std::uint32_t returnMinutes = 30; ///< An instance not back by then counts as lost.
-    Instant waveRequestedAt; ///< Instances last maintained before this are due at once.
+    std::uint32_t periodDays = 49; ///< Every instance is maintained once per period.
+    std::uint32_t returnMinutes = 30; ///< An instance that takes longer to return counts as lost.
+    Instant waveRequestedAt; ///< Instances last maintained before this instant are due immediately.
 
     [[nodiscard]] bool operator==(const Maintenance&) const = default;
 };
 
 /// \brief One accepted version of the operators' configuration. Immutable.
 struct Configuration {
-    std::uint64_t revision = 0; ///< The store's version of the document; 0 is no configuration.
-    std::string changeId; ///< Of the change that brought it; settles writes whose answer was lost.
+    std::uint64_t revision = 0; ///< The store's version of the document; 0 means no configuration.
+    std::string changeId; ///< Id of the change that wrote this version; tells whether a write without a response took effect.
     std::vector<Pool> pools; ///< Ordered by name.
     std::vector<Team> teams; ///< Ordered by name.
     std::vector<std::string> drains; ///< Instances that operators want out of service.
--- a/include/lanemoor/decisions/controller.h
+++ b/include/lanemoor/decisions/controller.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One step of the control role: from what is observed to the next ledger.
+/// One step of the control loop: computes the next ledger from the observations.
 
 #include "lanemoor/decisions/fleet_view.h"
 #include "lanemoor/decisions/membership.h"
@@ -14,28 +14,28 @@
 
 namespace lanemoor {
 
-/// What the platform is asked to do with an instance.
+/// What the platform should do with an instance.
 enum class ActionKind {
-    Drain, ///< No new work; report when idle.
+    Drain, ///< Assign no new work and report when idle.
     Reboot,
-    Undrain, ///< Back into service without a reboot.
+    Undrain, ///< Return to service without a reboot.
 };
 
 /// \returns The name of `kind` as the platform's interface spells it.
 [[nodiscard]] std::string_view nameOf(ActionKind kind) noexcept;
 
-/// \brief One act on one instance. It may be sent any number of times: the
-/// platform tells repeats by grant and epoch.
+/// \brief One action on one instance. Idempotent: the platform detects repeats by
+/// grant and epoch.
 struct Action {
     ActionKind kind = ActionKind::Drain;
     std::string instance;
     std::uint64_t grant = 0;
-    std::uint64_t epoch = 0; ///< Of the sender, so that a platform which checks it refuses a late holder.
+    std::uint64_t epoch = 0; ///< Of the sender. A platform that checks epochs refuses actions of a previous holder.
 
     [[nodiscard]] bool operator==(const Action&) const = default;
 };
 
-/// An operator's drain that has to wait.
+/// A drain requested by an operator that can't be granted yet.
 struct DrainRefusal {
     std::string instance;
     DisruptionRefusal reason = DisruptionRefusal::BudgetSpent;
@@ -47,17 +47,17 @@
 struct ControlPlan {
     Ledger next; ///< To be written by compare-and-swap if `changed`.
     bool changed = false;
-    bool superseded = false; ///< The ledger was written under a later epoch: nothing may be done.
+    bool superseded = false; ///< The ledger was written under a later epoch, so this holder must not act.
     std::vector<Move> moves; ///< Contained in `next`.
     std::vector<PoolCondition> conditions;
     std::vector<DrainRefusal> refusedDrains;
 };
 
-/// \brief Decides one step of the control role. Pure: no clock, no I/O.
+/// \brief Computes one step of the control loop. Pure: no clock, no I/O.
 ///
-/// A step gives grants in the ledger only. What has to be done under the standing
-/// grants is told by `actionsFor` of a ledger that the store has accepted, so that
-/// nothing is done to an instance before its grant stands.
+/// A step only records grants in the ledger. `actionsFor` derives the actions from a
+/// ledger that the store has accepted, so that no instance is acted on before its
+/// grant is stored.
 ///
 /// \code
 /// Controller controller(std::make_unique<StickyMembershipPlanner>());
@@ -72,9 +72,9 @@
     /// \param epoch Of the lease under which the control role is held.
     [[nodiscard]] ControlPlan step(const FleetView& view, std::uint64_t epoch) const;
 
-    /// \param epoch Of the lease under which the acts are sent.
-    /// \returns What the standing grants ask for; the same for the same observations. An
-    /// instance found drained under no grant, by a late act of a former holder, is let back.
+    /// \param epoch Of the lease under which the actions are sent.
+    /// \returns The actions that the active grants require. An instance that a delayed action
+    /// of a previous holder drained without a grant is returned to service.
     [[nodiscard]] static std::vector<Action> actionsFor(const FleetView& view, std::uint64_t epoch);
 
 private:
--- a/include/lanemoor/decisions/disruption_guard.h
+++ b/include/lanemoor/decisions/disruption_guard.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The one place that permits an act which takes an instance out of service.
+/// The only place that permits actions which take an instance out of service.
 
 #include "lanemoor/decisions/fleet_index.h"
 #include "lanemoor/decisions/fleet_view.h"
@@ -15,20 +15,20 @@
 /// Why an instance may not be taken out of service.
 enum class DisruptionRefusal {
     UnknownInstance, ///< Neither in the ledger nor listed.
-    GrantStands, ///< It is out of service under another grant.
-    BudgetSpent, ///< The pool would not survive the loss of its largest failure domain.
+    GrantStands, ///< Already out of service under a grant.
+    BudgetSpent, ///< The pool would not survive the failure of its largest failure domain.
 };
 
 /// \returns A short English text for `refusal`.
 [[nodiscard]] std::string_view describe(DisruptionRefusal refusal) noexcept;
 
-/// How a pool stands against its budget.
+/// Availability of a pool compared with its budget.
 struct PoolAvailability {
     std::uint32_t inService = 0; ///< Instances.
-    std::uint32_t largestDomain = 0; ///< Instances in service that one failure of the named kind takes.
+    std::uint32_t largestDomain = 0; ///< Instances in service in the largest failure domain of the budget's kind.
     std::uint32_t minimum = 0; ///< The budget's minimum.
 
-    /// \returns Instances that may be taken out now; negative: missing.
+    /// \returns Instances that may be taken out of service now; negative if some are missing.
     [[nodiscard]] std::int64_t slack() const noexcept
     {
         return std::int64_t { inService } - largestDomain - minimum;
@@ -37,11 +37,11 @@
     [[nodiscard]] bool operator==(const PoolAvailability&) const = default;
 };
 
-/// \brief Answers whether an act may take an instance out of service.
+/// \brief Decides whether an instance may be taken out of service.
 ///
-/// It counts what is in service by the newest observation: instances lost to
-/// failure, under a grant or failing their work do not count. Acts that were
-/// granted in the same step are counted by `take`.
+/// Counts the instances in service by the latest observation, without those that
+/// failed, are under a grant or fail their requests. `take` counts the grants that
+/// were given in the same step.
 ///
 /// \code
 /// DisruptionGuard guard(view, index);
@@ -51,19 +51,19 @@
 /// \see Grant
 class DisruptionGuard {
 public:
-    /// \param index Made from the view's configuration and instances.
+    /// \param index Built from the view's configuration and instances.
     DisruptionGuard(const FleetView& view, const FleetIndex& index);
     ~DisruptionGuard();
     DisruptionGuard(DisruptionGuard&&) noexcept;
     DisruptionGuard& operator=(DisruptionGuard&&) noexcept;
 
-    /// \returns Nothing if `instance` may be taken out of service now, or the reason why not.
+    /// \returns Nothing if `instance` may be taken out of service now, otherwise the reason.
     [[nodiscard]] std::optional<DisruptionRefusal> refusalFor(std::string_view instance) const;
 
-    /// \brief Counts `instance` as out of service from here on.
+    /// \brief Counts `instance` as out of service in later calls.
     void take(std::string_view instance);
 
-    /// \returns How pool `name` stands; of an unknown pool all zero.
+    /// \returns The availability of pool `name`; all zero for an unknown pool.
     [[nodiscard]] PoolAvailability availability(std::string_view name) const;
 
 private:
--- a/include/lanemoor/decisions/ejection.h
+++ b/include/lanemoor/decisions/ejection.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Takes endpoints that fail their work out of the choice, and probes them back.
+/// Outlier ejection: stops sending requests to failing endpoints and probes them later.
 
 #include "lanemoor/decisions/ejection_backoff.h"
 #include "lanemoor/decisions/time.h"
@@ -13,29 +13,30 @@
 
 namespace lanemoor {
 
-/// \brief Judges endpoints by the ends of their requests. Pure: it is told the time.
+/// \brief Tracks the results of requests per endpoint. Pure: the caller passes the time.
 ///
-/// An endpoint is ejected after a few failures in a row and let back for one probe
-/// after a time that doubles with each ejection. Of a pool at least half of the
-/// endpoints stay in the choice, however many fail.
+/// An endpoint is ejected after three consecutive failures. It gets a probe after a pause
+/// that doubles with each ejection. At most half of a pool's endpoints are ejected at once,
+/// even if more of them fail.
 class EjectionTracker {
 public:
-    /// \brief Learns that a request to `endpoint` of `pool` ended well.
+    /// \brief Records that a request to `endpoint` succeeded.
     void onSuccess(const std::string& endpoint);
 
-    /// \brief Learns that a request to `endpoint` failed.
+    /// \brief Records that a request to `endpoint` failed.
     void onFailure(const std::string& endpoint, Instant now);
 
     /// \param members The endpoints of one pool.
-    /// \returns Those to be left out at `now`; never more than half.
+    /// \returns The members ejected at `now`, at most half of them.
     [[nodiscard]] std::vector<std::string> ejected(const std::vector<std::string>& members, Instant now) const;
 
-    /// \returns Every endpoint with enough failures in a row, probes included.
+    /// \returns Every endpoint with enough consecutive failures to be ejected, including
+    /// those that are being probed.
     [[nodiscard]] std::vector<std::string> failing() const;
 
 private:
     struct Record {
-        std::uint32_t failures = 0; ///< In a row.
+        std::uint32_t failures = 0; ///< Consecutive.
         EjectionBackoff<Instant> backoff;
     };
 
--- a/include/lanemoor/decisions/ejection_backoff.h
+++ b/include/lanemoor/decisions/ejection_backoff.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// How long something that failed is left out before it is tried again.
+/// Exponential backoff before a failed target is tried again.
 
 #include "lanemoor/decisions/time.h"
 
@@ -9,7 +9,7 @@
 
 namespace lanemoor {
 
-/// \brief A pause that doubles with each ejection. Pure: time is passed in.
+/// \brief A pause that doubles with each ejection. Pure: the caller passes the time.
 ///
 /// \code
 /// EjectionBackoff<Instant> backoff;
@@ -20,21 +20,21 @@
 class EjectionBackoff {
 public:
     /// \brief Begins the next pause.
-    /// \param first The length of the first one.
-    /// \param mostDoublings After so many the pause grows no more.
+    /// \param first Length of the first pause.
+    /// \param mostDoublings Number of doublings after which the pause stays constant.
     void begin(TimePoint now, Millis first, std::uint32_t mostDoublings)
     {
         m_until = now + first * (1U << std::min(m_ejections, mostDoublings));
         ++m_ejections;
     }
 
-    /// \brief The pause lasts until `until`; the next one doubles as it would have.
+    /// \brief Moves the end of the current pause to `until`. The next pause still doubles.
     void postpone(TimePoint until) noexcept { m_until = until; }
 
-    /// \brief The next pause is as short as the first one.
+    /// \brief Resets the length of the next pause to that of the first one.
     void reset() noexcept { m_ejections = 0; }
 
-    /// \returns When the pause is over.
+    /// \returns The end of the current pause.
     [[nodiscard]] TimePoint until() const noexcept { return m_until; }
 
 private:
--- a/include/lanemoor/decisions/fleet_index.h
+++ b/include/lanemoor/decisions/fleet_index.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What decisions look up again and again, worked out once for a step.
+/// Lookup tables that are computed once per control step.
 
 #include "lanemoor/decisions/configuration.h"
 #include "lanemoor/decisions/instance.h"
@@ -20,7 +20,7 @@
 public:
     DomainIndex(const Instances& instances, FailureDomain kind);
 
-    /// \returns The number of the domain that instance number `instance` lies in.
+    /// \returns The domain number of instance number `instance`.
     [[nodiscard]] std::size_t of(std::size_t instance) const { return m_of[instance]; }
 
     [[nodiscard]] std::size_t count() const noexcept { return m_count; }
@@ -30,11 +30,11 @@
     std::size_t m_count = 0;
 };
 
-/// \brief Matches of all selectors, failure domains and the sizes of all pools, for one
-/// configuration and one observation, which must outlive the index.
+/// \brief Selector matches, failure domains and pool sizes for one configuration and one
+/// list of instances, which must both outlive the index.
 ///
-/// Selectors are evaluated once for each distinct label set, of which a fleet has few.
-/// Pools and instances are told by their number in the configuration and the list.
+/// Selectors are evaluated once per distinct label set, because a fleet has few of them.
+/// Pools and instances are identified by their position in the configuration and the list.
 class FleetIndex {
 public:
     FleetIndex(const Configuration& configuration, const Instances& instances);
@@ -42,13 +42,13 @@
     /// \returns Whether `pool`'s selector matches `instance`.
     [[nodiscard]] bool matches(std::size_t pool, std::size_t instance) const { return m_matches[pool][m_labelSet[instance]]; }
 
-    /// \returns The failure domains that `pool`'s budget outlives.
+    /// \returns The failure domains of the kind that `pool`'s budget survives.
     [[nodiscard]] const DomainIndex& domains(std::size_t pool) const;
 
-    /// \returns Size of `pool`.
+    /// \returns The size that `pool` needs.
     [[nodiscard]] const PoolSize& size(std::size_t pool) const { return m_sizes[pool]; }
 
-    /// \returns Size of `pool` with which its budget can miss `instances` more.
+    /// \returns The size that `pool` needs to meet its budget with `instances` more out of service.
     [[nodiscard]] PoolSize sizeMissing(std::size_t pool, std::uint32_t instances) const;
 
     /// \returns The number of the pool called `name`, or nothing.
@@ -67,8 +67,8 @@
     std::vector<PoolSize> m_sizes; ///< By pool.
 };
 
-/// \brief Goes through the ledger's lines together with the list, both ordered by id.
-/// \param visit Called with the line, the instance (null: not listed) and its number.
+/// \brief Visits the ledger's entries together with the listed instances, both ordered by id.
+/// \param visit Called with the entry, the instance (null if not listed) and its number.
 template <typename Visit>
 void forEachEntry(const Ledger& ledger, const Instances& instances, Visit&& visit)
 {
--- a/include/lanemoor/decisions/fleet_view.h
+++ b/include/lanemoor/decisions/fleet_view.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What a decision is made on.
+/// The input of a control decision.
 
 #include "lanemoor/decisions/configuration.h"
 #include "lanemoor/decisions/instance.h"
@@ -8,9 +8,9 @@
 
 namespace lanemoor {
 
-/// \brief The configuration, ledger and observations that one decision sees.
+/// \brief The configuration, ledger and observations that one decision is based on.
 ///
-/// It refers to its parts and must not outlive them.
+/// A view holds references to its parts and must not outlive them.
 struct FleetView {
     const Configuration& configuration;
     const Ledger& ledger;
@@ -18,8 +18,8 @@
     Instant now;
 };
 
-/// \returns Whether the instance of `entry` serves its pool: healthy as `instance`
-/// tells (null: not listed), not drained and under no grant.
+/// \returns Whether the instance of `entry` serves its pool: listed (`instance` is not
+/// null), healthy, not drained and under no grant.
 [[nodiscard]] inline bool isInService(const LedgerEntry& entry, const Instance* instance) noexcept
 {
     return instance && isHealthy(*instance) && !instance->drained && !entry.grant;
--- a/include/lanemoor/decisions/invariants.h
+++ b/include/lanemoor/decisions/invariants.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// What must always hold, as checks. Tests run them over every step; the daemon
-/// counts their breaches.
+/// Invariants of the control loop. Tests check them after every step; the daemon counts
+/// breaches.
 
 #include "lanemoor/decisions/fleet_view.h"
 
@@ -13,17 +13,17 @@
 
 namespace lanemoor {
 
-/// An invariant that was found broken.
+/// The invariant that was violated.
 enum class InvariantCode {
-    BudgetBrokenByGrant, ///< A pool is below its minimum, one domain failed at most, and grants stand in it.
-    BudgetBrokenByLoss, ///< A pool that stood well fell below its minimum by the loss of one domain.
-    GrantMissing, ///< An instance was acted on without a standing grant.
+    BudgetBrokenByGrant, ///< A pool with active grants is below its minimum although at most one domain failed.
+    BudgetBrokenByLoss, ///< The failure of one domain brought a pool that met its budget below its minimum.
+    GrantMissing, ///< An instance was acted on without an active grant.
 };
 
 /// \returns A short English text for `code`.
 [[nodiscard]] std::string_view describe(InvariantCode code) noexcept;
 
-/// One breach.
+/// An observed violation of an invariant.
 struct InvariantBreach {
     InvariantCode code = InvariantCode::BudgetBrokenByGrant;
     std::string subject; ///< Pool or instance.
@@ -31,32 +31,32 @@
     [[nodiscard]] bool operator==(const InvariantBreach&) const = default;
 };
 
-/// How a pool's members are at one moment.
+/// State of a pool's members at one moment.
 struct PoolStanding {
     std::string pool;
     std::uint32_t minimum = 0;
     std::uint32_t inService = 0;
-    std::uint32_t granted = 0; ///< Taken out of service under a grant, and not lost since.
-    std::set<std::string> failedDomains; ///< Domains of the budget's kind with members lost to failure, granted or not.
+    std::uint32_t granted = 0; ///< Out of service under a grant and not failed since.
+    std::set<std::string> failedDomains; ///< Domains of the budget's kind with failed members, whether or not under a grant.
     std::int64_t slack = 0; ///< See PoolAvailability.
 
     [[nodiscard]] bool operator==(const PoolStanding&) const = default;
 };
 
-/// \returns The standing of each configured pool, in the configuration's order.
+/// \returns The status of each configured pool, in the configuration's order.
 [[nodiscard]] std::vector<PoolStanding> standings(const FleetView& view);
 
-/// \brief Checks budgets from one moment to the next.
+/// \brief Checks availability budgets over a sequence of moments.
 ///
-/// A budget promises its minimum while at most one failure domain of its kind is
-/// lost since the pool last stood well (slack of 0 or more). A pool that was never
-/// filled is not held to it.
+/// A budget guarantees its minimum while at most one failure domain of its kind has
+/// failed since the pool last met its budget (slack of 0 or more). A pool that never
+/// met its budget is not checked.
 class BudgetInvariant {
 public:
-    /// \returns Breaches at this moment. Moments must be given in order of time.
+    /// \returns Breaches at this moment. Calls must be in chronological order.
     [[nodiscard]] std::vector<InvariantBreach> check(const FleetView& view);
 
-    /// \param now The `standings` of this moment, for a caller that has them.
+    /// \param now The result of `standings` for this moment, for callers that already have it.
     [[nodiscard]] std::vector<InvariantBreach> check(const Configuration& configuration, const std::vector<PoolStanding>& now);
 
 private:
@@ -64,7 +64,7 @@
         std::string pool;
         AvailabilityBudget budget;
         bool stoodWell = false;
-        std::set<std::string> failedSince; ///< Domains lost since it last stood well.
+        std::set<std::string> failedSince; ///< Domains that failed since the pool last met its budget.
     };
 
     [[nodiscard]] History& historyOf(const Pool& pool);
--- a/include/lanemoor/decisions/labels.h
+++ b/include/lanemoor/decisions/labels.h
@@ -18,7 +18,7 @@
     [[nodiscard]] auto operator<=>(const Label&) const = default;
 };
 
-/// \brief An immutable set of labels, ordered by key; a key stands in it once.
+/// \brief An immutable set of labels with unique keys, ordered by key.
 ///
 /// \code
 /// LabelSet labels({ { "service", "counter" }, { "tier", "gold" } });
@@ -29,7 +29,7 @@
 public:
     LabelSet() = default;
 
-    /// \param labels In any order; of labels with the same key the last one stays.
+    /// \param labels In any order. The last label of a key replaces earlier ones.
     explicit LabelSet(std::vector<Label> labels);
 
     /// \returns The value under `key`, or nothing.
--- a/include/lanemoor/decisions/ledger.h
+++ b/include/lanemoor/decisions/ledger.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The fleet ledger: which pool has which instance, and which grants stand.
+/// The fleet ledger: pool membership and active grants of all instances.
 
 #include "lanemoor/decisions/time.h"
 
@@ -19,32 +19,32 @@
     Quarantine,
 };
 
-/// How far the work under a grant has come.
+/// Progress of the work under a grant.
 enum class GrantPhase {
     Draining,
     Rebooting,
-    Held, ///< Stays out of service until an operator lifts it.
+    Held, ///< Out of service until an operator withdraws the drain.
 };
 
 /// \brief Permission to keep one instance out of service.
 ///
-/// A grant stands in the ledger before anything is done to the instance. Time
-/// does not end it: it ends when the instance is seen back in service or gone.
+/// A grant is stored in the ledger before the instance is acted on. It has no timeout:
+/// it ends when the instance is observed back in service or gone.
 struct Grant {
     std::uint64_t id = 0;
-    std::uint64_t epoch = 0; ///< Of the control role that gave it.
+    std::uint64_t epoch = 0; ///< Epoch of the holder that issued the grant.
     GrantReason reason = GrantReason::Maintenance;
     GrantPhase phase = GrantPhase::Draining;
-    std::uint64_t bootIdBefore = 0; ///< Boot id seen when the grant was given.
-    Instant deadline; ///< The instance counts as lost if not back by then.
+    std::uint64_t bootIdBefore = 0; ///< Boot id observed when the grant was issued.
+    Instant deadline; ///< An instance that is not back by then counts as lost.
 
     [[nodiscard]] bool operator==(const Grant&) const = default;
 };
 
-/// One instance's line in the ledger.
+/// The entry of one instance in the ledger.
 struct LedgerEntry {
     std::string instance;
-    std::string pool; ///< Its one pool; empty: spare.
+    std::string pool; ///< Empty if the instance is spare.
     Instant maintainedAt; ///< End of its last maintenance.
     std::optional<Grant> grant;
 
@@ -53,11 +53,11 @@
 
 /// \brief One version of the ledger. Immutable once published.
 ///
-/// An instance has one line and a line one pool, so an instance is in exactly
-/// one pool by construction, and a move is one compare-and-swap of the document.
+/// Each instance has one entry with one pool, so that it can't be in two pools, and a
+/// move is a single compare-and-swap of the document.
 struct Ledger {
     std::uint64_t version = 0; ///< The store's version; not part of the document.
-    std::uint64_t epoch = 0; ///< Of the control role that wrote it.
+    std::uint64_t epoch = 0; ///< Epoch of the holder that wrote this version.
     std::uint64_t nextGrant = 1;
     std::vector<LedgerEntry> entries; ///< Ordered by instance.
 
--- a/include/lanemoor/decisions/membership.h
+++ b/include/lanemoor/decisions/membership.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Decides which pool has which instance.
+/// Planning of pool membership.
 
 #include "lanemoor/decisions/fleet_index.h"
 #include "lanemoor/decisions/fleet_view.h"
@@ -11,7 +11,7 @@
 
 namespace lanemoor {
 
-/// One instance that changes pool. An empty pool name is the spare set.
+/// The move of one instance to another pool. An empty pool name means the spare set.
 struct Move {
     std::string instance;
     std::string from;
@@ -20,11 +20,11 @@
     [[nodiscard]] bool operator==(const Move&) const = default;
 };
 
-/// What an operator is told of a pool.
+/// A condition of a pool that is reported to operators.
 enum class PoolConditionCode {
-    BudgetNeverHolds, ///< The matching instances can't hold the budget, however placed.
-    TooFewInstances, ///< Other pools have the instances that it would need.
-    AwaitingReplacement, ///< Members that no longer match stay until the budget lets them go.
+    BudgetNeverHolds, ///< No placement of the matching instances meets the budget.
+    TooFewInstances, ///< The instances that the pool needs are in other pools.
+    AwaitingReplacement, ///< Members that no longer match stay until the budget permits their removal.
     WaveStalled, ///< Instances are due for maintenance and no spare can be lent.
 };
 
@@ -35,12 +35,12 @@
 struct PoolCondition {
     std::string pool;
     PoolConditionCode code = PoolConditionCode::TooFewInstances;
-    std::uint32_t instances = 0; ///< How many are missing or waiting.
+    std::uint32_t instances = 0; ///< Number of missing or waiting instances.
 
     [[nodiscard]] bool operator==(const PoolCondition&) const = default;
 };
 
-/// Extra members asked for one pool, filled only from what no pool needs.
+/// Extra members requested for a pool, taken only from instances that no pool needs.
 struct PoolBoost {
     std::string pool;
     std::uint32_t instances = 0;
@@ -48,32 +48,32 @@
     [[nodiscard]] bool operator==(const PoolBoost&) const = default;
 };
 
-/// New membership as changes to the old one.
+/// Changes from the current membership to the planned one.
 struct MembershipPlan {
-    std::vector<Move> moves; ///< To be applied together, in one version of the ledger.
+    std::vector<Move> moves; ///< To be applied atomically, in one version of the ledger.
     std::vector<PoolCondition> conditions;
 
     [[nodiscard]] bool operator==(const MembershipPlan&) const = default;
 };
 
-/// \brief Plans membership. An interface, so that baselines can stand beside it.
+/// \brief Plans membership. An interface, so that benchmarks can compare implementations.
 class MembershipPlanner {
 public:
     virtual ~MembershipPlanner() = default;
 
-    /// \param view The ledger must have a line for every listed instance.
-    /// \param index Made from the view's configuration and instances.
-    /// \param boosts Pools that should have more members for a while, the most urgent first.
+    /// \param view Its ledger must have an entry for every listed instance.
+    /// \param index Built from the view's configuration and instances.
+    /// \param boosts Pools that temporarily need more members, the most urgent first.
     [[nodiscard]] virtual MembershipPlan plan(const FleetView& view, const FleetIndex& index, const std::vector<PoolBoost>& boosts) const = 0;
 };
 
-/// \brief Keeps every member that still fits and fills what is missing by the
-/// cheapest chains of moves.
+/// \brief Keeps all members that still match and fills vacancies by the cheapest chains
+/// of moves.
 ///
-/// Each missing member is found by a shortest augmenting path over the pools: an
-/// instance from the spare set or from a pool with more than it needs, or one
-/// from another pool that is replaced in turn. Instances with long sessions cost
-/// more than those without. A pool is never brought below what its budget needs.
+/// Each vacancy is filled along a shortest augmenting path over the pools. The instance
+/// comes from the spare set, from a pool with a surplus, or from a pool that gets a
+/// replacement along the path. Moving an instance with long sessions costs more. No move
+/// brings a pool below its budget.
 class StickyMembershipPlanner final : public MembershipPlanner {
 public:
     [[nodiscard]] MembershipPlan plan(const FleetView& view, const FleetIndex& index, const std::vector<PoolBoost>& boosts) const override;
--- a/include/lanemoor/decisions/request.h
+++ b/include/lanemoor/decisions/request.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What is decided on of a caller's request.
+/// Classes, outcomes and refusals of callers' requests.
 
 #include "lanemoor/decisions/time.h"
 
@@ -10,12 +10,12 @@
 
 namespace lanemoor {
 
-/// The classes of requests.
+/// Class of a request, which determines its priority and the resource it uses.
 enum class RequestClass {
-    Check, ///< Quick; late is lost.
-    Listener, ///< Held open for hours; takes a connection, not a slot.
-    Batch, ///< Long; must finish by its deadline and must not starve.
-    Order, ///< May not be repeated.
+    Check, ///< Short; worthless after its deadline.
+    Listener, ///< Held open for hours; uses a connection, not a slot.
+    Batch, ///< Long-running; must finish by its deadline and must not starve.
+    Order, ///< Must not be repeated.
 };
 
 inline constexpr std::size_t requestClassCount = 4;
@@ -23,27 +23,27 @@
 /// \returns The name of `requestClass` in headers and metrics.
 [[nodiscard]] std::string_view nameOf(RequestClass requestClass) noexcept;
 
-/// What is known of a request's execution.
+/// What is known about the execution of a request.
 enum class RequestOutcome {
     Ran, ///< The endpoint answered.
-    NotRun, ///< No endpoint has run it, for certain.
-    Unknown, ///< It was sent and no whole answer came.
+    NotRun, ///< Certain not to have run on any endpoint.
+    Unknown, ///< Sent, but no complete response arrived.
 };
 
 /// \returns The name of `outcome` in headers and metrics.
 [[nodiscard]] std::string_view nameOf(RequestOutcome outcome) noexcept;
 
-/// Why a request got no endpoint's answer.
+/// Why a request was not answered by an endpoint.
 enum class RequestRefusal {
     UnknownPool,
-    BadHeader, ///< A header of lanemoor's own can't be read.
-    DeadlinePassed, ///< It passed, or can't be met by what was observed.
+    BadHeader, ///< A `Lanemoor-` header is malformed.
+    DeadlinePassed, ///< Passed, or can't be met by the expected run time.
     QueueFull,
     TeamOverQuota,
     NoEndpoint, ///< No instance of the pool is in service.
-    EntryStopping, ///< This entry instance is being stopped.
-    EntryNotReady, ///< No configuration, no seat, or cut off from the others.
-    StoreAway, ///< An order can't be claimed while the store is away.
+    EntryStopping, ///< This entry instance is shutting down.
+    EntryNotReady, ///< No configuration, no shard, or partitioned from the other entry instances.
+    StoreAway, ///< An order can't be claimed while the store is unavailable.
     AlreadyAccepted, ///< The idempotency key was used before.
     EndpointFailed, ///< Every attempt failed.
     AnswerCut,
--- a/include/lanemoor/decisions/retry_budget.h
+++ b/include/lanemoor/decisions/retry_budget.h
@@ -1,15 +1,15 @@
 #pragma once
 /// \file
-/// Bounds retries so that they can't multiply an overload.
+/// Limits retries so that they can't amplify an overload.
 
 #include <atomic>
 #include <cstdint>
 
 namespace lanemoor {
 
-/// \brief Permits retries as a share of first attempts. Safe for several threads.
+/// \brief Limits retries to a share of first attempts. Thread-safe.
 ///
-/// Every first attempt earns a tenth of a retry, up to a bound.
+/// Every first attempt earns a tenth of a retry, up to a maximum of 100 saved retries.
 /// \code
 /// budget.onFirstAttempt();
 /// if (failed && budget.take())
@@ -20,7 +20,7 @@
     /// \brief Counts a first attempt.
     void onFirstAttempt() noexcept;
 
-    /// \returns Whether one retry is permitted; it is then counted.
+    /// \returns Whether a retry is permitted. A permitted retry is deducted from the budget.
     [[nodiscard]] bool take() noexcept;
 
 private:
--- a/include/lanemoor/decisions/selector.h
+++ b/include/lanemoor/decisions/selector.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Selectors: the operators' way to say which instances a pool may have.
+/// Label selectors, which define the instances that a pool may have.
 
 #include "lanemoor/decisions/labels.h"
 
@@ -22,7 +22,7 @@
     ExpectedComma,
 };
 
-/// A parse fault with its place in the selector's text.
+/// A parse error and its position in the selector's text.
 struct SelectorFault {
     SelectorFaultCode code = SelectorFaultCode::ExpectedKey;
     std::size_t column = 1; ///< 1-based, in bytes.
@@ -36,7 +36,7 @@
 /// How one requirement compares a label.
 enum class SelectorOperator {
     In, ///< `key=value`, `key==value`, `key in (a,b)`
-    NotIn, ///< `key!=value`, `key notin (a,b)`; holds too if the key is absent
+    NotIn, ///< `key!=value`, `key notin (a,b)`; also holds if the key is absent
     Exists, ///< `key`
     NotExists, ///< `!key`
 };
@@ -53,8 +53,8 @@
 
 /// \brief An immutable conjunction of requirements on labels.
 ///
-/// The forms are those operators know from other fleet managers: equality, set
-/// and exists requirements joined by commas. The empty selector matches everything.
+/// The syntax is that of other fleet managers: equality, set and existence requirements
+/// separated by commas. The empty selector matches everything.
 ///
 /// \code
 /// SelectorParser parser;
@@ -79,13 +79,13 @@
     std::vector<SelectorRequirement> m_requirements;
 };
 
-/// \brief Parses selectors; keeps the reason of the last failure.
+/// \brief Parses selectors and keeps the last parse error.
 class SelectorParser {
 public:
-    /// \returns The selector, or nothing; then `lastFault()` says why.
+    /// \returns The selector, or nothing; `lastFault()` then has the error.
     [[nodiscard]] std::optional<Selector> parse(std::string_view text);
 
-    /// \returns The fault of the last `parse` that returned nothing.
+    /// \returns The error of the last `parse`, or nothing if it succeeded.
     [[nodiscard]] const std::optional<SelectorFault>& lastFault() const noexcept { return m_lastFault; }
 
 private:
--- a/include/lanemoor/decisions/time.h
+++ b/include/lanemoor/decisions/time.h
@@ -1,20 +1,20 @@
 #pragma once
 /// \file
-/// Instants and lengths of time as the decision code uses them.
+/// Time types of the decision code.
 
 #include <chrono>
 
 namespace lanemoor {
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 using Millis = std::chrono::milliseconds;
 
-/// A point in time, in milliseconds since the Unix epoch. Deadlines are stored
-/// as instants; lengths of time appear only in settings and in computations.
+/// A point in time, in milliseconds since the Unix epoch. Deadlines are stored as
+/// instants; durations occur only in settings and in computations.
 using Instant = std::chrono::time_point<std::chrono::system_clock, Millis>;
 
-/// \brief Reads the clock of this process. Only adapters and the daemon call it;
-/// decisions are given the time.
+/// \brief Reads the system clock. Only adapters and the daemon call this function;
+/// decisions get the time as a parameter.
 [[nodiscard]] inline Instant currentInstant() noexcept
 {
     return std::chrono::time_point_cast<Millis>(std::chrono::system_clock::now());
--- a/include/lanemoor/state/configuration_document.h
+++ b/include/lanemoor/state/configuration_document.h
@@ -12,7 +12,7 @@
 
 namespace lanemoor {
 
-/// \brief Reads the operators' configuration and checks it whole.
+/// \brief Reads the operators' configuration and reports all faults, not only the first.
 ///
 /// \code
 /// ConfigurationReader reader;
@@ -24,18 +24,18 @@
 class ConfigurationReader {
 public:
     /// \param revision The store's version of the document.
-    /// \returns The configuration, or nothing if there is any fault at all.
+    /// \returns The configuration, or nothing if the document has any fault.
     [[nodiscard]] std::optional<Configuration> read(std::string_view text, std::uint64_t revision);
 
-    /// \returns All faults of the last `read`, in the order of the text's fields.
+    /// \returns All faults of the last `read`, in the order in which they were found.
     [[nodiscard]] const std::vector<DocumentFault>& faults() const noexcept { return m_faults; }
 
 private:
     std::vector<DocumentFault> m_faults;
 };
 
-/// \returns `configuration` as `ConfigurationReader` reads it, indented.
-/// The revision is not in it.
+/// \returns `configuration` as indented JSON that `ConfigurationReader` can read. The
+/// revision is not part of the document.
 [[nodiscard]] std::string formatConfiguration(const Configuration& configuration);
 
 } // namespace lanemoor
--- a/include/lanemoor/state/json_document.h
+++ b/include/lanemoor/state/json_document.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// JSON text that knows where each of its values stands, and readers that check it whole.
+/// JSON documents with source positions, and readers that report all faults.
 
 #include <cstddef>
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace lanemoor {
 
-/// A place in a text, 1-based; columns count bytes.
+/// A position in a text, 1-based; columns count bytes.
 struct SourcePosition {
     std::size_t line = 1;
     std::size_t column = 1;
@@ -22,7 +22,7 @@
     [[nodiscard]] bool operator==(const SourcePosition&) const = default;
 };
 
-/// What is wrong with a document.
+/// The kind of a fault in a document.
 enum class DocumentFaultCode {
     Syntax,
     DuplicateField,
@@ -39,17 +39,17 @@
 /// \returns A short English text for `code`.
 [[nodiscard]] std::string_view describe(DocumentFaultCode code) noexcept;
 
-/// One fault with its place.
+/// One fault and its position.
 struct DocumentFault {
     DocumentFaultCode code = DocumentFaultCode::Syntax;
     std::string field; ///< JSON pointer, for example `/pools/0/budget/minimum`.
     SourcePosition position;
-    std::string detail; ///< What was found or expected.
+    std::string detail; ///< The found or expected value.
 
     [[nodiscard]] bool operator==(const DocumentFault&) const = default;
 };
 
-/// \returns `file:line:column: field: text (detail)`, as compilers print it.
+/// \returns `file:line:column: field: text (detail)`, the format of compiler diagnostics.
 [[nodiscard]] std::string formatFault(std::string_view file, const DocumentFault& fault);
 
 /// \brief A parsed JSON text with the position of each value.
@@ -61,15 +61,15 @@
 /// \endcode
 class JsonDocument {
 public:
-    /// \returns Whether `text` is JSON without doubled fields; else `faults()` says why not.
+    /// \returns Whether `text` is valid JSON without duplicate fields; if not, `faults()` has the reasons.
     [[nodiscard]] bool parse(std::string_view text);
 
     [[nodiscard]] const nlohmann::json& root() const noexcept { return m_root; }
 
-    /// \returns The position of the value at JSON pointer `field`, or of its nearest parent.
+    /// \returns The position of the value at JSON pointer `field`, or of its closest existing ancestor.
     [[nodiscard]] SourcePosition positionOf(std::string_view field) const;
 
-    /// \brief Records a fault found while reading the values.
+    /// \brief Records a fault of the value at JSON pointer `field`.
     void addFault(DocumentFaultCode code, const std::string& field, std::string detail);
 
     [[nodiscard]] const std::vector<DocumentFault>& faults() const noexcept { return m_faults; }
@@ -83,15 +83,15 @@
 
 /// \brief Reads one object of a document field by field and records every fault.
 ///
-/// Fields that were not asked for are recorded as unknown by `finish`.
+/// `finish` records all fields that were not read as unknown.
 class ObjectReader {
 public:
     /// \param field JSON pointer of the object; empty for the root.
     ObjectReader(JsonDocument& document, const nlohmann::json& value, std::string field);
 
     /// \name Fields
-    /// Each returns nothing, and records the fault, if the field is there and wrong;
-    /// an absent field is a fault only if it is required.
+    /// Each function records a fault and returns nothing if the field is present but invalid.
+    /// An absent field is a fault only if it is required.
     ///@{
     [[nodiscard]] std::optional<std::string> string(const char* name, bool required = false);
     [[nodiscard]] std::optional<std::int64_t> integer(const char* name, std::int64_t least, std::int64_t most, bool required = false);
@@ -102,10 +102,10 @@
     void objects(const char* name, const std::function<void(ObjectReader&)>& read);
     ///@}
 
-    /// \brief Records `detail` against field `name` (or the object itself, if empty).
+    /// \brief Records a fault of field `name`, or of the object itself if `name` is empty.
     void fault(DocumentFaultCode code, const char* name, std::string detail);
 
-    /// \brief Records every field that was not asked for.
+    /// \brief Records every field that was not read as unknown.
     void finish();
 
 private:
--- a/include/lanemoor/state/ledger_codec.h
+++ b/include/lanemoor/state/ledger_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The ledger as the bytes kept in the store.
+/// Serialization of the ledger for the store.
 
 #include "lanemoor/decisions/ledger.h"
 
@@ -10,11 +10,11 @@
 
 namespace lanemoor {
 
-/// \returns `ledger` as protobuf bytes; the version is not in them.
+/// \returns `ledger` as protobuf bytes, without its version.
 [[nodiscard]] std::string encodeLedger(const Ledger& ledger);
 
 /// \param version The store's version of `bytes`.
-/// \returns The ledger, or nothing if `bytes` are not one.
+/// \returns The ledger, or nothing if `bytes` are not a valid one.
 [[nodiscard]] std::optional<Ledger> decodeLedger(std::string_view bytes, std::uint64_t version);
 
 } // namespace lanemoor
--- a/include/lanemoor/state/observation_merger.h
+++ b/include/lanemoor/state/observation_merger.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One view of the instances from what the list, the peers and the requests say.
+/// Merges the instance list with the reports of entry instances into one view.
 
 #include "lanemoor/decisions/instance.h"
 #include "lanemoor/decisions/ledger.h"
@@ -12,24 +12,24 @@
 
 namespace lanemoor {
 
-/// \brief Merges signs about instances. Pure: it is told the time.
+/// \brief Merges observations of instances. Pure: the caller passes the time.
 ///
-/// The first sign that an instance leaves or fails counts, whatever its source. An
-/// instance missing from the list counts as leaving at once and as gone only after a
-/// while, so that a flapping list moves nothing.
+/// An instance counts as leaving or failing as soon as any source reports it. An instance
+/// missing from the list counts as leaving immediately but as gone only after 60 seconds,
+/// so that a flapping list causes no moves.
 class ObservationMerger {
 public:
-    /// \brief Takes a new answer of the instance list.
+    /// \brief Replaces the instance list.
     void onList(Instances listed);
 
-    /// \brief Takes what one source (an entry instance) says of failing and leaving instances.
-    /// It replaces what the same source said before and lapses after a few seconds.
+    /// \brief Records the failing and leaving instances that one source (an entry instance)
+    /// reports. A report replaces the previous one of that source and expires after 5 seconds.
     void onSigns(const std::string& source, std::set<std::string> failing, std::set<std::string> leaving, Instant now);
 
-    /// \returns Instances that the list itself shows as leaving.
+    /// \returns Instances that are leaving according to the list itself.
     [[nodiscard]] std::set<std::string> listedLeaving() const;
 
-    /// \param ledger Instances that stand in it and not in the list are missing ones.
+    /// \param ledger Instances in it that are not in the list count as missing.
     /// \returns The merged view, ordered by id.
     [[nodiscard]] Instances merge(const Ledger& ledger, Instant now);
 
@@ -45,7 +45,7 @@
     void noteOutSince(Instance& instance, Instant now);
 
     Instances m_listed;
-    std::map<std::string, Instance> m_lastSeen; ///< As last listed.
+    std::map<std::string, Instance> m_lastSeen; ///< Latest list entry of each instance.
     std::map<std::string, Signs> m_signs;
     std::map<std::string, Instant> m_outSince;
     std::map<std::string, Instant> m_missingSince;
--- a/include/lanemoor/state/settings.h
+++ b/include/lanemoor/state/settings.h
@@ -13,21 +13,21 @@
 
 namespace lanemoor {
 
-/// Where a port listens, and its keys.
+/// Address and TLS files of a listening port.
 struct ListenSettings {
     std::string ip = "127.0.0.1";
-    std::uint16_t port = 0; ///< 0: chosen by the kernel and told in the log.
-    std::string certificateFile; ///< PEM; empty: no TLS.
+    std::uint16_t port = 0; ///< 0: assigned by the kernel and logged.
+    std::string certificateFile; ///< PEM; no TLS if empty.
     std::string keyFile;
 
     [[nodiscard]] bool operator==(const ListenSettings&) const = default;
 };
 
-/// Where the peer link listens, and the key pair that all entry instances share.
+/// Address of the peer link and the key pair shared by all entry instances.
 struct PeerListenSettings {
     std::string ip = "127.0.0.1";
-    std::uint16_t port = 0; ///< 0: chosen by the kernel.
-    std::string keyFile; ///< As `lanemoor keygen` writes it; empty: no encryption.
+    std::uint16_t port = 0; ///< 0: assigned by the kernel.
+    std::string keyFile; ///< Written by `lanemoor keygen`; no encryption if empty.
 
     [[nodiscard]] bool operator==(const PeerListenSettings&) const = default;
 };
@@ -40,33 +40,33 @@
     [[nodiscard]] bool operator==(const PeerAddress&) const = default;
 };
 
-/// Settings of one process. They are read once, at its start.
+/// Settings of one process, read once at startup.
 struct Settings {
-    std::string name; ///< Of this entry instance, unique among its peers.
+    std::string name; ///< Name of this entry instance, unique among its peers.
     std::string dataHall;
     ListenSettings front; ///< For callers.
     ListenSettings operators; ///< For operators, metrics and health.
-    std::string operatorToken; ///< Needed beyond loopback; sent as a bearer token.
+    std::string operatorToken; ///< Bearer token; required unless the port listens on loopback only.
     PeerListenSettings peer; ///< For the other entry instances.
-    std::vector<PeerAddress> peers; ///< Peers to begin with.
+    std::vector<PeerAddress> peers; ///< Initial peers.
     PeerAddress platform;
-    std::uint32_t seats = 6; ///< Entry instances at most; the same on all of them.
-    std::uint32_t mostListeners = 128; ///< Standing answers held at once.
-    std::uint32_t mostThreads = 256; ///< Requests handled at once, listeners included.
-    std::uint32_t mostWaiting = 256; ///< Requests waiting for one pool.
-    std::uint32_t claimsPerSecond = 7; ///< Orders claimed in the store, of this entry instance.
-    Millis defaultDeadline { 10'000 }; ///< For requests without one.
-    Millis unreadyBeforeStop { 2'000 }; ///< Time for the balancer to see that it stops.
-    Millis leaseTime { 6'000 }; ///< Of the control role and of the seat.
+    std::uint32_t seats = 6; ///< Max number of entry instances; must be the same on all of them.
+    std::uint32_t mostListeners = 128; ///< Max number of open listener requests.
+    std::uint32_t mostThreads = 256; ///< Max number of concurrent requests, including listeners.
+    std::uint32_t mostWaiting = 256; ///< Max number of requests waiting for one pool.
+    std::uint32_t claimsPerSecond = 7; ///< Max rate at which this entry instance claims orders in the store.
+    Millis defaultDeadline { 10'000 }; ///< For requests without a deadline.
+    Millis unreadyBeforeStop { 2'000 }; ///< Delay between reporting not ready and stopping, so that load balancers notice.
+    Millis leaseTime { 6'000 }; ///< For the control role and the entry shard.
     bool logAsJson = true;
 
     [[nodiscard]] bool operator==(const Settings&) const = default;
 };
 
-/// \brief Reads settings and checks them whole.
+/// \brief Reads settings and reports all faults, not only the first.
 class SettingsReader {
 public:
-    /// \returns The settings, or nothing if there is any fault at all.
+    /// \returns The settings, or nothing if the document has any fault.
     [[nodiscard]] std::optional<Settings> read(std::string_view text);
 
     /// \returns All faults of the last `read`.
--- a/include/lanemoor/state/snapshot.h
+++ b/include/lanemoor/state/snapshot.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The newest version of the state, read without locks.
+/// The current state, read without locks.
 
 #include "lanemoor/decisions/fleet_view.h"
 
@@ -11,13 +11,13 @@
 
 namespace lanemoor {
 
-/// \brief One version of everything that decisions see. Immutable once published.
+/// \brief One version of the configuration, ledger and instances. Immutable once published.
 struct Snapshot {
     std::shared_ptr<const Configuration> configuration = std::make_shared<const Configuration>();
     std::shared_ptr<const Ledger> ledger = std::make_shared<const Ledger>();
     std::shared_ptr<const Instances> instances = std::make_shared<const Instances>();
 
-    /// \returns A view that must not outlive this snapshot.
+    /// \returns A view of this snapshot, which must not outlive the snapshot.
     [[nodiscard]] FleetView view(Instant now) const noexcept
     {
         return { .configuration = *configuration, .ledger = *ledger, .instances = *instances, .now = now };
@@ -26,18 +26,20 @@
 
 /// \brief Publishes snapshots by read-copy-update.
 ///
-/// Readers take the newest snapshot with one atomic load and keep it as long as they
-/// need it. Writers copy, change and publish under a lock. Configuration and ledger
-/// only ever go forward: an older version is refused.
+/// Readers get the current snapshot with one atomic load and keep it as long as they need
+/// it. Writers copy, change and publish it under a lock. Versions of configuration and
+/// ledger never decrease: an older version is refused.
 class SnapshotHolder {
 public:
-    /// \returns The newest snapshot; never null.
+    /// \returns The current snapshot; never null.
     [[nodiscard]] std::shared_ptr<const Snapshot> load() const noexcept { return m_current.load(std::memory_order_acquire); }
 
-    /// \returns Whether `configuration` is newer than the one in force and now is in force.
+    /// \brief Publishes `configuration` if it is newer than the current one.
+    /// \returns Whether it was published.
     bool offerConfiguration(Configuration configuration);
 
-    /// \returns Whether `ledger` is newer than the one known and now is known.
+    /// \brief Publishes `ledger` if it is newer than the current one.
+    /// \returns Whether it was published.
     bool offerLedger(Ledger ledger);
 
     void setInstances(Instances instances);
--- a/src/decisions/admission.cpp
+++ b/src/decisions/admission.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Of this many starts at least one is a batch request, if any waits.
+/// While a batch request waits, at least one of this many starts is a batch request.
 constexpr std::uint32_t batchTurn = 5;
-/// Weight of a new observation of a run time: one in this many.
+/// A new run time has a weight of 1 / `learningDivisor` in the moving average.
 constexpr std::int64_t learningDivisor = 8;
-/// A caller is told to come back after this long at least.
+/// Lower bound of the retry delay in refusals.
 constexpr Millis leastRetry { 100 };
 constexpr std::array<RequestClass, 2> urgentClasses { RequestClass::Check, RequestClass::Order };
 
@@ -42,7 +42,7 @@
         return Millis(0);
     if (m_limits.slots == 0)
         return leastRetry;
-    // Batch waits behind everything; urgent requests wait behind urgent ones alone.
+    // Batch requests wait behind all others; urgent requests wait behind urgent ones only.
     std::int64_t ahead = 0;
     for (std::size_t other = 0; other < requestClassCount; ++other) {
         const bool isBatch = other == indexOf(RequestClass::Batch);
--- a/src/decisions/controller.cpp
+++ b/src/decisions/controller.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A failing instance is quarantined after this long.
+/// How long an instance fails before it is quarantined.
 constexpr Millis quarantineAfter = std::chrono::seconds(60);
-/// At most one in this many listed instances is in quarantine at once.
+/// At most one in this many listed instances is in quarantine at a time.
 constexpr std::size_t quarantineDivisor = 10;
 
 bool isDrainAsked(const Configuration& configuration, std::string_view id)
@@ -17,8 +17,8 @@
     return std::find(configuration.drains.begin(), configuration.drains.end(), id) != configuration.drains.end();
 }
 
-/// Drops the lines of instances that are gone and adds one for each new instance.
-/// An instance that the list does not show keeps its line: lists lag and flap.
+/// Removes the entries of instances that are gone and adds entries for new ones.
+/// An instance missing from the list keeps its entry, because lists lag and flap.
 void followList(const FleetView& view, Ledger& next)
 {
     std::erase_if(next.entries, [&](const LedgerEntry& entry) {
@@ -38,11 +38,11 @@
 
 bool isBack(const Instance& instance, const Grant& grant) noexcept
 {
-    // Whether it fails its work shows only when it is given some again.
+    // `failing` is ignored: it can't be observed until the instance gets requests again.
     return instance.state == InstanceState::Live && !instance.drained && instance.bootId != grant.bootIdBefore;
 }
 
-/// Advances or ends the grant of one entry by what is observed of its instance.
+/// Advances or ends the grant of `entry` according to the observed state of its instance.
 void advanceGrant(const FleetView& view, const Instance& instance, LedgerEntry& entry)
 {
     Grant& grant = *entry.grant;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Gives grants in the ledger of one step.
+/// Records grants in the ledger of one step.
 class GrantWriter {
 public:
     GrantWriter(const FleetView& view, std::uint64_t epoch, Ledger& next)
@@ -105,9 +105,9 @@
     Ledger& m_next;
 };
 
-/// What new grants are decided on and written to.
+/// Inputs and output of the functions that issue grants.
 struct GrantStep {
-    const FleetView& view; ///< With the ledger as changed so far in this step.
+    const FleetView& view; ///< Its ledger includes the changes made so far in this step.
     const FleetIndex& index;
     DisruptionGuard& guard;
     GrantWriter& writer;
@@ -152,7 +152,7 @@
         step.writer.give(id, GrantReason::Maintenance);
 }
 
-/// \returns What has to be done now to the instance of `entry`.
+/// \returns The action that `instance`, the instance of `entry`, needs now, if any.
 std::optional<ActionKind> actionFor(const FleetView& view, const LedgerEntry& entry, const Instance& instance)
 {
     if (!entry.grant)
@@ -194,7 +194,7 @@
         return plan;
     }
     Ledger& next = plan.next;
-    next.epoch = epoch; // Written before anything else is done, so that a former holder's writes fail.
+    next.epoch = epoch; // Stored with the first write of this holder, so that writes of a previous holder fail.
     followList(view, next);
     advanceGrants(view, next);
 
@@ -206,7 +206,7 @@
     plan.moves = std::move(membership.moves);
     plan.conditions = std::move(membership.conditions);
 
-    // The guard sees the ledger with the moves in it and counts each grant given below.
+    // The guard uses the ledger with the moves applied and counts the grants issued below.
     const Ledger decided = next;
     const FleetView moved { .configuration = view.configuration, .ledger = decided, .instances = view.instances, .now = view.now };
     DisruptionGuard guard(moved, index);
--- a/src/decisions/endpoint_choice.cpp
+++ b/src/decisions/endpoint_choice.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// FNV-1a: the same on every entry instance, whatever its library.
+/// FNV-1a. Unlike `std::hash`, it gives the same result on every entry instance.
 std::uint64_t stableHash(std::string_view text) noexcept
 {
     constexpr std::uint64_t offsetBasis = 14695981039346656037ULL;
--- a/src/decisions/fleet_index.cpp
+++ b/src/decisions/fleet_index.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The distinct label sets of a fleet, in order of first sight.
+/// Numbers the distinct label sets of a fleet in order of first occurrence.
 class DistinctLabels {
 public:
     std::size_t numberOf(const LabelSet& labels)
--- a/src/decisions/invariants.cpp
+++ b/src/decisions/invariants.cpp
@@ -16,13 +16,13 @@
     std::set<std::string_view> failedDomains;
 };
 
-/// \returns Whether a member that is out of service is lost to failure, grant or not.
+/// \returns Whether a member that is out of service has failed, with or without a grant.
 bool isFailed(const LedgerEntry& entry, const Instance& instance, Instant now) noexcept
 {
     if (!entry.grant)
         return !isHealthy(instance);
     const bool lost = entry.grant->reason == GrantReason::Maintenance && now >= entry.grant->deadline;
-    // Only a reboot takes an instance from the list as planned.
+    // A reboot is the only planned reason for an instance to leave the list.
     const bool unplanned = instance.state != InstanceState::Live && entry.grant->phase != GrantPhase::Rebooting;
     return lost || unplanned || instance.failing || entry.grant->reason == GrantReason::Quarantine;
 }
@@ -107,7 +107,7 @@
         }
         history.failedSince.insert(standing.failedDomains.begin(), standing.failedDomains.end());
         if (history.failedSince.size() > 1)
-            history.stoodWell = false; // More failed than the budget names.
+            history.stoodWell = false; // The budget covers the failure of one domain only.
         if (standing.inService >= standing.minimum || !history.stoodWell)
             continue;
         const InvariantCode code = standing.granted > 0 ? InvariantCode::BudgetBrokenByGrant : InvariantCode::BudgetBrokenByLoss;
--- a/src/decisions/labels.cpp
+++ b/src/decisions/labels.cpp
@@ -9,7 +9,7 @@
 {
     std::stable_sort(m_labels.begin(), m_labels.end(), [](const Label& a, const Label& b) { return a.key < b.key; });
     const auto sameKey = [](const Label& a, const Label& b) { return a.key == b.key; };
-    // unique() keeps the first of a run; the ranges are reversed so that the last one given stays.
+    // unique() keeps the first of equal elements; reverse iterators make it keep the last label of a key.
     const auto kept = std::unique(m_labels.rbegin(), m_labels.rend(), sameKey);
     m_labels.erase(m_labels.begin(), kept.base());
 }
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -15,27 +15,28 @@
 namespace {
 
 constexpr int spare = -1;
-/// Cost of one move; large against all tie-breaks of one chain together.
+/// Cost of one move; larger than all tie-breaks of a chain together.
 constexpr std::int64_t moveCost = 1'000'000;
-/// Cost added for each long session that a move risks.
+/// Additional cost per long session of the moved instance.
 constexpr std::int64_t sessionCost = 100;
 constexpr std::uint32_t countedSessions = 1'000;
-/// Cost of taking an instance that a pool of lower priority wanted: a last resort.
+/// Cost of taking an instance that a pool of lower priority needs for its target. Used as a last resort.
 constexpr std::int64_t takeFromLowerPriorityCost = 1'000'000'000;
 constexpr std::int64_t unreachable = std::numeric_limits<std::int64_t>::max();
-/// How long a lost member is waited for before it is replaced.
+/// How long a failed member may take to return before it is replaced.
 constexpr Millis replaceAfter = std::chrono::seconds(60);
-/// Plans are made again without the moves that a budget refused, this often at most.
+/// Max number of plans, each without the pools whose budgets refused moves of the previous
+/// ones, before instances are taken from the spare set only.
 constexpr int maximumAttempts = 8;
 
-/// A pool while a plan is made.
+/// State of a pool during planning.
 struct PoolState {
     PoolSize size;
     const DomainIndex* domains = nullptr;
-    std::vector<std::uint32_t> members; ///< By domain; those that match and serve, or are expected back.
-    std::vector<std::uint32_t> absent; ///< By domain; members that match and are lost, but may come back.
+    std::vector<std::uint32_t> members; ///< By domain: members that match and are in service or expected back.
+    std::vector<std::uint32_t> absent; ///< By domain: failed members that match and may come back.
     std::uint32_t effective = 0; ///< Members that count towards the target.
-    std::int64_t slack = 0; ///< Members in service that its budget can still miss.
+    std::int64_t slack = 0; ///< Members in service that the budget does not need.
 
     void add(std::size_t domain)
     {
@@ -58,46 +59,46 @@
     }
 };
 
-/// An instance while a plan is made.
+/// Placement of an instance during planning.
 struct InstancePlacement {
     int home = spare; ///< Pool in the ledger.
     int at = spare; ///< Pool in the plan so far.
-    bool named = false; ///< Stands in a pool in the ledger, which may not be configured any more.
-    bool movable = false; ///< In service and not asked to leave.
-    bool counted = false; ///< Counts in its pool: matches and serves or is expected back.
-    std::int64_t cost = moveCost; ///< Of moving it away from home.
+    bool named = false; ///< The ledger assigns it to a pool, even if that pool is no longer configured.
+    bool movable = false; ///< In service and not to be drained.
+    bool counted = false; ///< Counts as a member of its pool: matches and is in service or expected back.
+    std::int64_t cost = moveCost; ///< Cost of moving it out of its pool in the ledger.
 };
 
-/// How the search reached a pool that needs a member.
+/// Label of a pool in the shortest-path search.
 struct SearchLabel {
     std::int64_t cost = unreachable;
-    int previous = spare; ///< The pool that takes `instance` from this one.
+    int previous = spare; ///< Pool that takes `instance` from this one.
     std::size_t instance = 0; ///< Instance taken from this pool.
     bool hasInstance = false;
 };
 
-/// Where a chain ends: an instance that nobody has to replace.
+/// End of a chain: an instance that needs no replacement.
 struct ChainEnd {
     std::int64_t cost = unreachable;
     int taker = spare;
     std::size_t instance = 0;
 };
 
-/// Makes one plan; pools in `frozen` give no instance away.
+/// Builds one plan. No instance is taken from the pools in `frozen`.
 class PlanBuilder {
 public:
     PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& frozen);
 
-    /// Fills all pools to their targets, by descending priority.
+    /// Fills all pools up to their targets, in order of descending priority.
     void fillPools();
 
-    /// Fills pools beyond their targets.
+    /// Adds the requested extra members to pools.
     void fillBoosts(const std::vector<PoolBoost>& boosts);
 
     [[nodiscard]] std::vector<Move> moves() const;
     [[nodiscard]] const std::vector<PoolCondition>& conditions() const noexcept { return m_conditions; }
 
-    /// \returns Ids of movable members that no longer match their pool and found no other.
+    /// \returns Ids of movable members that no longer match their pool and were not moved to another one.
     [[nodiscard]] std::vector<std::string> strays() const;
 
 private:
@@ -214,7 +215,8 @@
 {
     const PoolState& state = m_pools[static_cast<std::size_t>(pool)];
     const std::size_t domain = state.domains->of(instance);
-    // A lost member keeps its place: back beside a new one it would enlarge its domain.
+    // An absent member keeps its place: if it returned after a replacement in the same
+    // domain, that domain would be too large.
     std::uint32_t members = state.members[domain] + state.absent[domain];
     if (label.hasInstance && state.domains->of(label.instance) == domain)
         --members;
@@ -239,7 +241,7 @@
         return true;
     const PoolState& owner = m_pools[static_cast<std::size_t>(state.at)];
     if (owner.members[owner.domains->of(instance)] > owner.size.perDomain)
-        return true; // It adds to the largest domain as much as to the pool.
+        return true; // Beyond perDomain, a member enlarges the largest domain and adds no slack.
     if (owner.slack <= 0)
         return false;
     if (owner.effective > owner.size.target)
@@ -340,7 +342,7 @@
 
 void PlanBuilder::fillBoosts(const std::vector<PoolBoost>& boosts)
 {
-    // All targets are raised before the first is filled, so that no boosted pool gives to another.
+    // Raise all targets before filling any pool, so that no boosted pool gives instances to another.
     for (const PoolBoost& boost : boosts) {
         const int pool = poolIndex(boost.pool);
         if (pool == spare)
@@ -406,7 +408,7 @@
     return ledger;
 }
 
-/// \returns Pools that would give instances which their budgets can't miss.
+/// \returns Pools whose budgets do not permit the moves out of them.
 std::vector<std::string> refusingPools(const FleetView& view, const FleetIndex& index, const std::vector<Move>& moves)
 {
     const Ledger next = withMoves(view.ledger, moves);
@@ -416,15 +418,15 @@
     for (const Move& move : moves) {
         const PoolAvailability was = before.availability(move.from);
         const PoolAvailability is = after.availability(move.from);
-        // Without slack a pool gives nobody, not even one of its largest domain: it may need
-        // every member for its minimum.
+        // A pool without slack gives no instance away, not even one of its largest domain,
+        // because it may need every member for its minimum.
         if (is.slack() < 0 && (is.slack() < was.slack() || is.inService < was.inService))
             refusing.push_back(move.from);
     }
     return refusing;
 }
 
-/// Lets members that no longer match go to the spare set, as far as budgets permit.
+/// Moves members that no longer match to the spare set, as far as budgets permit.
 void releaseStrays(const FleetView& view, const FleetIndex& index, const std::vector<std::string>& strays, MembershipPlan& plan)
 {
     const Ledger next = withMoves(view.ledger, plan.moves);
@@ -466,7 +468,7 @@
     std::unordered_set<std::string> frozen;
     for (int attempt = 0;; ++attempt) {
         if (attempt == maximumAttempts) {
-            // Only the spare set gives now, which no budget can refuse.
+            // Take instances from the spare set only; no budget refuses such moves.
             for (const Pool& pool : view.configuration.pools)
                 frozen.insert(pool.name);
         }
--- a/src/decisions/selector.cpp
+++ b/src/decisions/selector.cpp
@@ -12,7 +12,7 @@
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' || c == '/';
 }
 
-/// Reads tokens from a selector's text, one at a time.
+/// Reads tokens from a selector's text.
 class Cursor {
 public:
     explicit Cursor(std::string_view text) noexcept
--- a/src/decisions/wave.cpp
+++ b/src/decisions/wave.cpp
@@ -12,14 +12,14 @@
 
 using Days = std::chrono::duration<std::int64_t, std::ratio<86400>>;
 
-/// An instance is taken this share of its period before the period ends.
+/// An instance becomes due when this fraction (1/7) of its period is left.
 constexpr std::int64_t leadDivisor = 7;
 
-/// Of the spare instances in service, one in this many stays for replacements and lending.
+/// One in this many spare instances stays available for replacements and loans.
 constexpr std::uint32_t spareKeptDivisor = 2;
 
-/// Rounds of maintenance that a second loan to a pool must save, where moves weigh more
-/// than roll-out time and where they don't.
+/// Rounds of maintenance that each further loan to a pool must save: the first value
+/// applies if moves have a higher weight than roll-out time, the second otherwise.
 constexpr std::uint32_t leastSavedSparing = 2;
 constexpr std::uint32_t leastSavedQuick = 1;
 
@@ -29,19 +29,19 @@
     std::string_view domain;
 };
 
-/// What a wave has to do in one pool.
+/// Maintenance work in one pool.
 struct PoolWork {
-    std::uint32_t due = 0; ///< Not yet taken.
+    std::uint32_t due = 0; ///< Not yet under maintenance.
     std::uint32_t underWay = 0;
     std::uint32_t serving = 0;
-    std::vector<DueMember> takeable; ///< Due, in service, window open.
+    std::vector<DueMember> takeable; ///< Due, in service, and a maintenance window is open.
     std::unordered_map<std::string_view, std::uint32_t> inService; ///< By failure domain.
 
-    /// \returns Instances that still hold this pool's wave up.
+    /// \returns Instances that this pool's wave still has to complete.
     [[nodiscard]] std::uint32_t left() const noexcept { return due + underWay; }
 };
 
-/// The work in all pools.
+/// Maintenance work in the whole fleet.
 struct FleetWork {
     std::vector<PoolWork> pools; ///< By the pool's number.
     PoolWork spares;
@@ -78,7 +78,7 @@
     return work;
 }
 
-/// Takes members from the largest domain in service first, until the guard refuses.
+/// Takes members until the guard refuses, those of the largest domain in service first.
 void takeFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& taken)
 {
     while (!work.takeable.empty()) {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Shares free instances out as loans among the pools that have work.
+/// Distributes free instances as loans to the pools that have work.
 class LoanPlan {
 public:
     LoanPlan(const FleetView& view, const FleetIndex& index, const FleetWork& work)
@@ -109,7 +109,7 @@
             if (!mine.takeable.empty())
                 m_loans.push_back({ .pool = pool, .left = mine.left(), .surplus = surplus });
         }
-        // A pool that holds a loan keeps it, so that loans don't wander; then the longest work first.
+        // Pools that have a loan keep it, to avoid needless moves. The others follow by remaining work.
         std::stable_sort(m_loans.begin(), m_loans.end(), [](const Loan& a, const Loan& b) { return std::pair(a.surplus > 0, a.left) > std::pair(b.surplus > 0, b.left); });
     }
 
@@ -117,7 +117,7 @@
     {
         for (Loan& loan : m_loans)
             give(loan);
-        // What the pools hold already is shared out before more is lent.
+        // Members beyond a pool's target are used up before more are lent.
         while (Loan* loan = mostSaving(true))
             give(*loan);
         while (Loan* loan = mostSaving(false))
@@ -134,10 +134,10 @@
     struct Loan {
         std::size_t pool = 0;
         std::uint32_t left = 0; ///< Instances still to be maintained.
-        std::uint32_t surplus = 0; ///< Members beyond the target now.
+        std::uint32_t surplus = 0; ///< Current members beyond the target.
         std::uint32_t instances = 0; ///< Lent by this plan.
 
-        /// \returns Rounds that one more loan saves.
+        /// \returns Rounds of maintenance that one more instance saves.
         [[nodiscard]] std::uint32_t saved() const noexcept { return instances == 0 ? left : left / instances - left / (instances + 1); }
     };
 
@@ -165,7 +165,7 @@
     std::vector<Loan> m_loans;
 };
 
-/// Keeps some of the due spare instances out of this step.
+/// Limits the spare instances that are taken in this step.
 void keepSomeSpares(PoolWork& spares)
 {
     const std::uint32_t kept = (spares.serving + spares.underWay) / spareKeptDivisor;
--- a/src/state/json_document.cpp
+++ b/src/state/json_document.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Documents nested deeper than this are refused.
+/// Max nesting depth of documents.
 constexpr std::size_t maximumDepth = 32;
 
-/// Lets the parser's progress through the text be seen.
+/// Iterator that counts the bytes read, so that a SAX handler can derive positions.
 class CountingIterator {
 public:
     using iterator_category = std::input_iterator_tag;
@@ -72,7 +72,7 @@
     return escaped;
 }
 
-/// Notes the position of each value while the parser goes through the text.
+/// SAX handler that records the position of each value.
 class PositionHandler : public nlohmann::json_sax<nlohmann::json> {
 public:
     PositionHandler(std::string_view text, const std::size_t& offset, std::map<std::string, std::size_t, std::less<>>& offsets, std::vector<DocumentFault>& faults)
@@ -121,7 +121,7 @@
 
     [[nodiscard]] SourcePosition here() const { return positionAt(m_text, m_offset == 0 ? 0 : m_offset - 1); }
 
-    /// The parser reads up to one byte past a token, which is never a part of the next one.
+    /// The parser reads at most one byte past a token, which never belongs to the next token.
     [[nodiscard]] std::size_t tokenStart() const
     {
         const std::size_t start = m_text.find_first_not_of(" \t\r\n,:]}", m_tokenEnd);
--- a/src/state/ledger_codec.cpp
+++ b/src/state/ledger_codec.cpp
@@ -118,7 +118,7 @@
     }
     const auto notAscending = [](const LedgerEntry& a, const LedgerEntry& b) { return a.instance >= b.instance; };
     if (std::adjacent_find(ledger.entries.begin(), ledger.entries.end(), notAscending) != ledger.entries.end())
-        return std::nullopt; // An instance would stand twice.
+        return std::nullopt; // Entries must be ordered, and an instance has only one.
     return ledger;
 }
 
--- a/src/state/observation_merger.cpp
+++ b/src/state/observation_merger.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// What a source says lapses unless it says so again.
+/// A report of a source expires unless it is renewed within this time.
 constexpr Millis signsLapseAfter = std::chrono::seconds(5);
-/// An instance that the list has not shown for this long is gone.
+/// An instance missing from the list for this long is gone.
 constexpr Millis goneAfter = std::chrono::seconds(60);
 
 } // namespace
--- a/src/state/time_text.cpp
+++ b/src/state/time_text.cpp
@@ -36,7 +36,7 @@
     return true;
 }
 
-/// Reads `.123` as milliseconds; further digits are read and dropped.
+/// Parses an optional fraction such as `.123` as milliseconds and ignores further digits.
 std::optional<int> takeFraction(std::string_view& text)
 {
     if (!takeByte(text, '.'))
--- a/tests/support/control_loop.h
+++ b/tests/support/control_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The control role over fakes: a ledger store with compare-and-swap, and holders
-/// that may race each other, freeze, or lose answers.
+/// The control loop over fakes: a ledger store with compare-and-swap, and holders of the
+/// control role that may race each other, freeze or lose responses.
 
 #include "lanemoor/decisions/controller.h"
 #include "lanemoor/decisions/invariants.h"
@@ -14,20 +14,20 @@
 
 namespace lanemoor::test {
 
-/// \brief A fake of the platform's store, holding the ledger alone.
+/// \brief Fake of the platform's store that holds only the ledger.
 class FakeLedgerStore {
 public:
-    /// \returns The newest ledger, or nothing while the store is away.
+    /// \returns The stored ledger, or nothing while the store is unavailable.
     [[nodiscard]] std::optional<Ledger> read() const;
 
-    /// \returns Whether the write was answered as done. A lost answer is false though the
-    /// write took effect.
+    /// \returns Whether the write was acknowledged. If the response is lost, false although
+    /// the write took effect.
     bool write(const Ledger& next);
 
     void setAway(bool away) noexcept { m_away = away; }
     void loseNextAnswers(int count) noexcept { m_answersToLose = count; }
 
-    /// \returns The newest ledger, whether or not the store is away.
+    /// \returns The stored ledger, even while the store is unavailable.
     [[nodiscard]] const Ledger& truth() const noexcept { return m_ledger; }
 
     /// \returns Writes that took effect.
@@ -40,31 +40,31 @@
     bool m_away = false;
 };
 
-/// \brief One holder of the control role, as the daemon runs it.
+/// \brief One holder of the control role. Runs the same steps as the daemon.
 class FakeHolder {
 public:
     FakeHolder(std::uint64_t epoch, std::unique_ptr<const MembershipPlanner> planner);
 
-    /// \brief Reads and decides; the result waits for `commit`. A holder frozen
-    /// between the two wakes up with an old decision.
+    /// \brief Reads the ledger and plans a step, for `write` or `commit` to store. A holder that
+    /// freezes in between continues with an outdated plan.
     void decide(const FakeLedgerStore& store, const Configuration& configuration, const FakeFleet& fleet);
 
-    /// \brief Writes what was decided.
+    /// \brief Writes the planned ledger.
     /// \returns Whether the store is known to hold it.
     bool write(FakeLedgerStore& store);
 
-    /// \returns What the ledger last written asks for.
+    /// \returns The actions that the ledger of the last plan requires.
     [[nodiscard]] std::vector<Action> actions(const Configuration& configuration, const FakeFleet& fleet) const;
 
-    /// \brief Writes what was decided and acts on it if the store holds it.
+    /// \brief Writes the planned ledger and, if the store accepts it, performs its actions.
     void commit(FakeLedgerStore& store, const Configuration& configuration, FakeFleet& fleet);
 
     [[nodiscard]] std::uint64_t epoch() const noexcept { return m_epoch; }
 
-    /// \returns The last plan made.
+    /// \returns The last plan.
     [[nodiscard]] const ControlPlan& lastPlan() const noexcept { return m_plan; }
 
-    /// \returns All moves that were accepted by the store.
+    /// \returns The number of moves accepted by the store.
     [[nodiscard]] std::uint64_t acceptedMoves() const noexcept { return m_acceptedMoves; }
 
 private:
--- a/tests/support/fake_fleet.cpp
+++ b/tests/support/fake_fleet.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A Wednesday noon, so that windows can be tested around it.
+/// A Wednesday at 12:00 UTC, so that maintenance windows can be tested around it.
 constexpr Instant startOfTime { std::chrono::seconds(1'764'763'200) };
 
 } // namespace
--- a/tests/support/fake_fleet.h
+++ b/tests/support/fake_fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// A small fake of the platform's fleet under a fake clock, for tests and benchmarks
-/// of the decisions. It is a step loop, not a simulator: no network, no threads.
+/// A fake of the platform's fleet with a fake clock, for tests and benchmarks of the
+/// decisions. It advances in steps, without network or threads.
 
 #include "lanemoor/decisions/controller.h"
 
@@ -14,51 +14,51 @@
 
 namespace lanemoor::test {
 
-/// How the fake platform behaves.
+/// Behaviour of the fake platform.
 struct FakeFleetOptions {
     Millis step = std::chrono::seconds(10);
     Millis drainTime = std::chrono::seconds(60);
     Millis rebootTime = std::chrono::seconds(240);
-    std::uint32_t listLagSteps = 0; ///< The list shows the fleet as it was this many steps ago.
-    bool checksEpochs = true; ///< Refuses acts with an older epoch than the instance has seen.
+    std::uint32_t listLagSteps = 0; ///< The list shows the fleet's state of this many steps ago.
+    bool checksEpochs = true; ///< Refuses actions with an epoch older than the newest one that the instance received.
 };
 
-/// \brief Instances that fail, drain and reboot under a fake clock.
+/// \brief Instances that fail, drain and reboot according to a fake clock.
 class FakeFleet {
 public:
     FakeFleet(Instances instances, FakeFleetOptions options);
 
     [[nodiscard]] Instant now() const noexcept { return m_now; }
 
-    /// \returns What is true now.
+    /// \returns The actual current state.
     [[nodiscard]] const Instances& truth() const noexcept { return m_truth; }
 
-    /// \returns What the lagging list shows now.
+    /// \returns The state that the lagging list currently shows.
     [[nodiscard]] const Instances& listed() const noexcept { return m_history.front(); }
 
-    /// \brief Lets one step of time pass.
+    /// \brief Advances the clock by one step.
     void advance();
 
-    /// \brief Carries out `action`; a repeat under the same grant changes nothing.
-    /// \returns Whether it was not refused for its epoch.
+    /// \brief Performs `action`. A repeat under the same grant has no effect.
+    /// \returns False if the action was refused because of its epoch.
     bool perform(const Action& action);
 
-    /// \brief Loses every instance whose id, rack or data hall is `name`.
+    /// \brief Fails every instance whose id, rack or data hall is `name`.
     void fail(std::string_view name);
 
-    /// \brief Brings back what `fail` lost.
+    /// \brief Reverts `fail`.
     void recover(std::string_view name);
 
-    /// \brief Makes `id` fail all its work, or work well again.
+    /// \brief Sets whether `id` fails all its requests.
     void setFailing(std::string_view id, bool failing);
 
-    /// \brief An instance under this reboot never comes back.
+    /// \brief Makes `id` not return from its reboot.
     void loseAtReboot(std::string_view id);
 
-    /// \brief Changes labels of one instance.
+    /// \brief Replaces the labels of one instance.
     void relabel(std::string_view id, const LabelSet& labels);
 
-    /// \brief Takes an instance away for good.
+    /// \brief Removes an instance permanently.
     void remove(std::string_view id);
 
 private:
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A store in memory that can be away or lose its answers.
+/// An in-memory store that can be unavailable or lose responses.
 
 #include "lanemoor/adapters/store.h"
 
@@ -10,12 +10,12 @@
 
 namespace lanemoor::test {
 
-/// What all clients of one fake store share.
+/// State shared by all clients of one fake store.
 struct FakeStoreData {
     std::map<std::string, StoredValue> values;
     bool away = false;
-    int answersToLose = 0; ///< So many writes take effect and are not answered.
-    int writes = 0; ///< That took effect.
+    int answersToLose = 0; ///< Number of writes that will take effect without a response.
+    int writes = 0; ///< Number of writes that took effect.
 };
 
 /// \brief One client of a fake store.
--- a/tests/support/fleets.h
+++ b/tests/support/fleets.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The fleets that tests and benchmarks run on: the two users' of today and the planned size.
+/// Fleets for tests and benchmarks: those of the two current users and one of the planned size.
 
 #include "lanemoor/decisions/configuration.h"
 #include "lanemoor/decisions/instance.h"
@@ -10,23 +10,23 @@
 
 namespace lanemoor::test {
 
-/// A fleet and its operators' configuration.
+/// A fleet and its configuration.
 struct FleetCase {
     std::string name;
     Instances instances;
     Configuration configuration;
 };
 
-/// \returns Montevideo of today: 50 workers, 4 data halls, 5 pools; moves weigh most.
+/// \returns The current Montevideo fleet: 50 workers, 4 data halls, 5 pools; moves have the highest weight.
 [[nodiscard]] FleetCase montevideoFleet();
 
-/// \returns Vestland of today: 50 workers, 3 data halls, 5 pools; roll-out time weighs most.
+/// \returns The current Vestland fleet: 50 workers, 3 data halls, 5 pools; roll-out time has the highest weight.
 [[nodiscard]] FleetCase vestlandFleet();
 
-/// \returns The planned size times `scale`: 710 workers, 120 pools, 180 teams, 5 data halls.
+/// \returns A fleet of the planned size times `scale`: 710 workers, 120 pools and 180 teams, in 5 data halls.
 [[nodiscard]] FleetCase plannedFleet(double scale = 1.0);
 
-/// \returns A selector from text known to be good.
+/// \returns The selector parsed from `text`, which must be valid.
 [[nodiscard]] Selector selectorOf(const std::string& text);
 
 } // namespace lanemoor::test
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// On average one event in this many steps.
+/// Average number of steps between events.
 constexpr std::uint64_t stepsPerEvent = 12;
 constexpr std::uint32_t longestLoss = 200; ///< Steps.
 constexpr std::uint32_t longestOutage = 60;
@@ -47,10 +47,10 @@
     }
 
 private:
-    /// Something that ends by itself at a step.
+    /// A failure or outage that ends at a given step.
     struct Pending {
         std::uint32_t endsAt = 0;
-        std::string lost; ///< What recovers; empty: the store comes back.
+        std::string lost; ///< Name passed to `FakeFleet::recover`; empty for an outage of the store.
     };
 
     [[nodiscard]] std::uint64_t pick(std::uint64_t count) { return m_random() % count; }
@@ -109,11 +109,11 @@
         }
     }
 
-    /// The holder dies, or freezes with a decision in hand and wakes up later.
+    /// Adds a second holder, kills the holder, or freezes it with a plan that it writes later.
     void replaceHolder()
     {
         if (pick(3) == 0 && m_holders.size() < 3) {
-            startHolder(); // Two believe that they hold the role.
+            startHolder(); // Two holders consider themselves in control.
             return;
         }
         std::unique_ptr<FakeHolder> old = std::move(m_holders.front());
--- a/tests/support/random_run.h
+++ b/tests/support/random_run.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A long run of random failures, operators' changes and races of holders.
+/// Long runs with random failures, configuration changes and races between holders.
 
 #include "support/fleets.h"
 
@@ -9,17 +9,17 @@
 
 namespace lanemoor::test {
 
-/// What a random run came to.
+/// Result of a random run.
 struct RandomRunResult {
     std::string name;
     std::uint64_t events = 0;
     std::uint64_t moves = 0;
     std::uint64_t writes = 0;
     std::uint64_t breaches = 0;
-    std::string firstBreach; ///< With its step; empty: none.
+    std::string firstBreach; ///< With its step; empty if there was none.
 };
 
-/// \brief Runs `steps` steps on `fleetCase`; the same seed gives the same run.
+/// \brief Runs `steps` steps on `fleetCase`. Runs with the same seed are identical.
 [[nodiscard]] RandomRunResult randomRun(FleetCase fleetCase, std::uint32_t steps, std::uint64_t seed);
 
 } // namespace lanemoor::test
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::uint32_t defaultSteps = 400;
-/// Steps from the loss of a holder to its successor.
+/// Steps from the loss of a holder to the start of its successor.
 constexpr std::uint32_t leaseSteps = 3;
 
 using Words = std::vector<std::string>;
@@ -25,7 +25,7 @@
     Words words;
 };
 
-/// An act of the script at one step.
+/// An event of the scenario at one step.
 struct Event {
     std::uint32_t step = 0;
     Line line;
@@ -56,11 +56,11 @@
     return found->second;
 }
 
-/// The control role as processes: holders that are killed, frozen, woken, doubled.
+/// The holders of the control role, which can be killed, frozen, resumed and duplicated.
 struct ControlProcesses {
     std::vector<std::unique_ptr<FakeHolder>> running;
-    std::vector<std::unique_ptr<FakeHolder>> frozen; ///< With a decision not yet written.
-    std::vector<std::vector<Action>> lateActions; ///< Of holders frozen between write and act.
+    std::vector<std::unique_ptr<FakeHolder>> frozen; ///< With a plan that is not written yet.
+    std::vector<std::vector<Action>> lateActions; ///< Of holders frozen after the write but before the actions.
     std::uint64_t epoch = 0;
     std::optional<std::uint32_t> successorAt;
 };
@@ -322,7 +322,7 @@
         m_control.successorAt.reset();
         startHolder();
     }
-    // All decide on the same state before any of them writes: the closest race there is.
+    // All holders plan on the same state before any of them writes, which is the tightest race.
     for (const std::unique_ptr<FakeHolder>& holder : m_control.running)
         holder->decide(m_store, m_configuration, *m_fleet);
     for (const std::unique_ptr<FakeHolder>& holder : m_control.running) {
@@ -404,7 +404,7 @@
         const Line line = m_events.front().line;
         guarded(line, [&] { play(line); });
     }
-    check(); // What an act of the script did, before the holders mend it.
+    check(); // Checks the effect of the events before the holders react.
     stepControl();
     check();
     m_fleet->advance();
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Scripted scenarios in a small text language; see tests/scenarios/README.md.
+/// Runs scenarios written in a small text language; see tests/scenarios/README.md.
 
 #include <string>
 #include <string_view>
@@ -8,16 +8,16 @@
 
 namespace lanemoor::test {
 
-/// What a scenario came to.
+/// Result of a scenario.
 struct ScenarioResult {
-    std::vector<std::string> failures; ///< Each with the line of the scenario or the step.
-    std::string summary; ///< Steps, moves, writes, and how each pool stood at the end.
+    std::vector<std::string> failures; ///< Each starts with the line of the scenario or the step.
+    std::string summary; ///< Steps, moves, writes, and the final status of each pool.
 
     [[nodiscard]] bool passed() const noexcept { return failures.empty(); }
 };
 
-/// \brief Runs a scenario against the decisions, under a fake clock.
-/// \param text The scenario. A line that can't be read is a failure of its own.
+/// \brief Runs a scenario against the controller with a fake clock.
+/// \param text The scenario. Each line that can't be parsed counts as a failure.
 [[nodiscard]] ScenarioResult runScenario(std::string_view text);
 
 } // namespace lanemoor::test
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -1,4 +1,4 @@
-// Claims on orders and operators' changes, over a store that loses answers.
+// Order claims and configuration changes with a store that loses responses.
 
 #include "lanemoor/serve/process/configuration_writer.h"
 #include "lanemoor/serve/process/order_claims.h"
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -1,4 +1,4 @@
-// Membership, sizing, the guard and long random runs.
+// Membership planning, pool sizing, the disruption guard and long random runs.
 
 #include "lanemoor/decisions/controller.h"
 #include "support/fleets.h"
@@ -13,7 +13,7 @@
 
 constexpr Instant noon { std::chrono::seconds(1'764'763'200) };
 
-/// A fleet of `count` workers, each in a rack of its own, all in pool `pool`.
+/// A fleet of `count` workers in pool `pool`, each in its own rack.
 struct SmallFleet {
     explicit SmallFleet(std::size_t count, const std::string& pool = {})
     {
@@ -84,7 +84,7 @@
     CHECK(members("b") == 4);
     CHECK(members("a") == 1);
     fleet.configuration.pools[0].priority = 2;
-    CHECK(fleet.plan().moves.empty()); // b has nothing that its budget can miss.
+    CHECK(fleet.plan().moves.empty()); // The budget of b needs all its members.
 }
 
 TEST_CASE("members that no longer match leave only as far as the budget permits")
@@ -111,7 +111,7 @@
     fleet.ledger.entries[0].pool = "a";
     fleet.ledger.entries[1].pool = "a";
     fleet.ledger.entries[2].pool = "b";
-    fleet.instances[3].rack = fleet.instances[0].rack; // The only spare one adds nothing to a.
+    fleet.instances[3].rack = fleet.instances[0].rack; // The only spare instance shares a rack with a member of a.
     CHECK(fleet.plan().moves == std::vector<Move> { { .instance = "w12", .from = "b", .to = "a" }, { .instance = "w13", .from = "", .to = "b" } });
 }
 
--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -1,4 +1,4 @@
-// Settings and configuration: read whole, every fault with its place.
+// Parsing of settings and configurations; all faults are reported with their positions.
 
 #include "lanemoor/jobs/service/job_service_settings.h"
 #include "lanemoor/state/configuration_document.h"
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots, codec, observations, readiness.
+// Snapshots, ledger codec, observations, routing and readiness.
 
 #include "lanemoor/serve/process/readiness.h"
 #include "lanemoor/serve/version/routing_table.h"
--- a/tests/unit/traffic_test.cpp
+++ b/tests/unit/traffic_test.cpp
@@ -1,4 +1,4 @@
-// Admission, choice of endpoints, retries, ejection, framing of answers.
+// Admission, endpoint selection, retries, ejection and response framing.
 
 #include "lanemoor/decisions/admission.h"
 #include "lanemoor/decisions/ejection.h"
@@ -21,7 +21,7 @@
     return { .id = id, .requestClass = requestClass, .team = team, .deadline = noon + left };
 }
 
-/// Reads an answer in pieces of `step` bytes.
+/// Parses a response in chunks of `step` bytes.
 struct ReadAnswer {
     ReadAnswer(std::string_view bytes, std::size_t step)
         : sink(1'000'000)
