--- a/include/lanemoor/decisions/admission.h
+++ b/include/lanemoor/decisions/admission.h
@@ -121,11 +121,11 @@
         Instant at;
     };
 
-    [[nodiscard]] std::optional<std::uint64_t> nextOf(RequestClass requestClass) const;
+    [[nodiscard]] std::optional<std::uint64_t> nextWaiting(RequestClass requestClass) const;
     [[nodiscard]] bool anyWaiting(RequestClass requestClass) const noexcept;
     [[nodiscard]] Millis expectedWait(RequestClass requestClass) const noexcept;
     void removeWaiting(const Ticket& ticket);
-    void learn(RequestClass requestClass, Millis ran) noexcept;
+    void updateExpectedRunTime(RequestClass requestClass, Millis ran) noexcept;
 
     AdmissionLimits m_limits;
     std::map<std::string, TeamQueue, std::less<>> m_teams;
--- a/include/lanemoor/decisions/controller.h
+++ b/include/lanemoor/decisions/controller.h
@@ -38,7 +38,7 @@
 /// A drain requested by an operator that can't be granted yet.
 struct DrainRefusal {
     std::string instance;
-    DisruptionRefusal reason = DisruptionRefusal::BudgetSpent;
+    DisruptionRefusal reason = DisruptionRefusal::BudgetExhausted;
 
     [[nodiscard]] bool operator==(const DrainRefusal&) const = default;
 };
--- a/include/lanemoor/decisions/disruption_guard.h
+++ b/include/lanemoor/decisions/disruption_guard.h
@@ -15,8 +15,8 @@
 /// Why an instance may not be taken out of service.
 enum class DisruptionRefusal {
     UnknownInstance, ///< Neither in the ledger nor listed.
-    GrantStands, ///< Already out of service under a grant.
-    BudgetSpent, ///< The pool would not survive the failure of its largest failure domain.
+    AlreadyGranted, ///< Already out of service under a grant.
+    BudgetExhausted, ///< The pool would not survive the failure of its largest failure domain.
 };
 
 /// \returns A short English text for `refusal`.
@@ -61,7 +61,7 @@
     [[nodiscard]] std::optional<DisruptionRefusal> refusalFor(std::string_view instance) const;
 
     /// \brief Counts `instance` as out of service in later calls.
-    void take(std::string_view instance);
+    void markOutOfService(std::string_view instance);
 
     /// \returns The availability of pool `name`; all zero for an unknown pool.
     [[nodiscard]] PoolAvailability availability(std::string_view name) const;
--- a/include/lanemoor/decisions/ejection_backoff.h
+++ b/include/lanemoor/decisions/ejection_backoff.h
@@ -21,10 +21,10 @@
 public:
     /// \brief Begins the next pause.
     /// \param first Length of the first pause.
-    /// \param mostDoublings Number of doublings after which the pause stays constant.
-    void begin(TimePoint now, Millis first, std::uint32_t mostDoublings)
+    /// \param maxDoublings Number of doublings after which the pause stays constant.
+    void begin(TimePoint now, Millis first, std::uint32_t maxDoublings)
     {
-        m_until = now + first * (1U << std::min(m_ejections, mostDoublings));
+        m_until = now + first * (1U << std::min(m_ejections, maxDoublings));
         ++m_ejections;
     }
 
--- a/include/lanemoor/decisions/endpoint_choice.h
+++ b/include/lanemoor/decisions/endpoint_choice.h
@@ -30,7 +30,7 @@
 /// are selected last. `turn` breaks ties, so that requests of all entry instances spread
 /// over equal endpoints.
 /// \returns The index of the selected candidate, or nothing if none has capacity.
-[[nodiscard]] std::optional<std::size_t> chooseEndpoint(const std::vector<EndpointCandidate>& candidates, std::uint64_t turn) noexcept;
+[[nodiscard]] std::optional<std::size_t> chooseEndpoint(const std::vector<EndpointCandidate>& candidates, std::uint64_t rotation) noexcept;
 
 /// \brief Divides the slots of an instance among the shards of the entry instances.
 ///
@@ -39,6 +39,6 @@
 /// the hash of the instance's id.
 /// \param seat Shard number, from 0 to `seats` - 1.
 /// \returns Max concurrent requests that the entry instance on `seat` may send to the instance.
-[[nodiscard]] std::uint32_t shareOfSeat(const std::string& instance, std::uint32_t slots, std::uint32_t seat, std::uint32_t seats) noexcept;
+[[nodiscard]] std::uint32_t shareOfShard(const std::string& key, std::uint32_t slots, std::uint32_t shard, std::uint32_t shardCount) noexcept;
 
 } // namespace lanemoor
--- a/include/lanemoor/decisions/fleet_index.h
+++ b/include/lanemoor/decisions/fleet_index.h
@@ -49,7 +49,7 @@
     [[nodiscard]] const PoolSize& size(std::size_t pool) const { return m_sizes[pool]; }
 
     /// \returns The size that `pool` needs to meet its budget with `instances` more out of service.
-    [[nodiscard]] PoolSize sizeMissing(std::size_t pool, std::uint32_t instances) const;
+    [[nodiscard]] PoolSize sizeWithMissing(std::size_t pool, std::uint32_t instances) const;
 
     /// \returns The number of the pool called `name`, or nothing.
     [[nodiscard]] std::optional<std::size_t> poolNumber(std::string_view name) const noexcept;
--- a/include/lanemoor/decisions/instance.h
+++ b/include/lanemoor/decisions/instance.h
@@ -39,7 +39,7 @@
     InstanceState state = InstanceState::Live;
     std::uint64_t bootId = 0; ///< Changes with each reboot.
     bool failing = false; ///< Ejected by entry instances or quarantined, because it fails its requests.
-    std::optional<Instant> outSince; ///< Since when it has been observed unhealthy; nothing while healthy.
+    std::optional<Instant> unhealthySince; ///< Since when it has been observed unhealthy; nothing while healthy.
     bool drained = false; ///< The platform reports it drained and idle.
     std::uint32_t slots = 8; ///< Max concurrent requests of all entry instances together.
     std::uint32_t connections = 64; ///< Max concurrent connections of all entry instances together.
--- a/include/lanemoor/decisions/invariants.h
+++ b/include/lanemoor/decisions/invariants.h
@@ -16,7 +16,7 @@
 /// The invariant that was violated.
 enum class InvariantCode {
     BudgetBrokenByGrant, ///< A pool with active grants is below its minimum although at most one domain failed.
-    BudgetBrokenByLoss, ///< The failure of one domain brought a pool that met its budget below its minimum.
+    BudgetBrokenByFailure, ///< The failure of one domain brought a pool that met its budget below its minimum.
     GrantMissing, ///< An instance was acted on without an active grant.
 };
 
@@ -32,7 +32,7 @@
 };
 
 /// State of a pool's members at one moment.
-struct PoolStanding {
+struct PoolStatus {
     std::string pool;
     std::uint32_t minimum = 0;
     std::uint32_t inService = 0;
@@ -40,11 +40,11 @@
     std::set<std::string> failedDomains; ///< Domains of the budget's kind with failed members, whether or not under a grant.
     std::int64_t slack = 0; ///< See PoolAvailability.
 
-    [[nodiscard]] bool operator==(const PoolStanding&) const = default;
+    [[nodiscard]] bool operator==(const PoolStatus&) const = default;
 };
 
 /// \returns The status of each configured pool, in the configuration's order.
-[[nodiscard]] std::vector<PoolStanding> standings(const FleetView& view);
+[[nodiscard]] std::vector<PoolStatus> poolStatuses(const FleetView& view);
 
 /// \brief Checks availability budgets over a sequence of moments.
 ///
@@ -57,13 +57,13 @@
     [[nodiscard]] std::vector<InvariantBreach> check(const FleetView& view);
 
     /// \param now The result of `standings` for this moment, for callers that already have it.
-    [[nodiscard]] std::vector<InvariantBreach> check(const Configuration& configuration, const std::vector<PoolStanding>& now);
+    [[nodiscard]] std::vector<InvariantBreach> check(const Configuration& configuration, const std::vector<PoolStatus>& now);
 
 private:
     struct History {
         std::string pool;
         AvailabilityBudget budget;
-        bool stoodWell = false;
+        bool wasWithinBudget = false;
         std::set<std::string> failedSince; ///< Domains that failed since the pool last met its budget.
     };
 
--- a/include/lanemoor/decisions/request.h
+++ b/include/lanemoor/decisions/request.h
@@ -43,7 +43,7 @@
     NoEndpoint, ///< No instance of the pool is in service.
     EntryStopping, ///< This entry instance is shutting down.
     EntryNotReady, ///< No configuration, no shard, or partitioned from the other entry instances.
-    StoreAway, ///< An order can't be claimed while the store is unavailable.
+    StoreUnavailable, ///< An order can't be claimed while the store is unavailable.
     AlreadyAccepted, ///< The idempotency key was used before.
     EndpointFailed, ///< Every attempt failed.
     AnswerCut,
--- a/include/lanemoor/decisions/retry_budget.h
+++ b/include/lanemoor/decisions/retry_budget.h
@@ -21,13 +21,13 @@
     void onFirstAttempt() noexcept;
 
     /// \returns Whether a retry is permitted. A permitted retry is deducted from the budget.
-    [[nodiscard]] bool take() noexcept;
+    [[nodiscard]] bool tryAcquire() noexcept;
 
 private:
-    static constexpr std::int64_t retryPrice = 10; ///< First attempts that earn one retry.
-    static constexpr std::int64_t mostSaved = 100 * retryPrice;
+    static constexpr std::int64_t retryCost = 10; ///< First attempts that earn one retry.
+    static constexpr std::int64_t maxCredit = 100 * retryCost;
 
-    std::atomic<std::int64_t> m_saved { 10 * retryPrice };
+    std::atomic<std::int64_t> m_credit { 10 * retryCost };
 };
 
 } // namespace lanemoor
--- a/include/lanemoor/state/json_document.h
+++ b/include/lanemoor/state/json_document.h
@@ -94,8 +94,8 @@
     /// An absent field is a fault only if it is required.
     ///@{
     [[nodiscard]] std::optional<std::string> string(const char* name, bool required = false);
-    [[nodiscard]] std::optional<std::int64_t> integer(const char* name, std::int64_t least, std::int64_t most, bool required = false);
-    [[nodiscard]] std::optional<double> number(const char* name, double least, double most);
+    [[nodiscard]] std::optional<std::int64_t> integer(const char* name, std::int64_t minValue, std::int64_t maxValue, bool required = false);
+    [[nodiscard]] std::optional<double> number(const char* name, double minValue, double maxValue);
     [[nodiscard]] std::optional<bool> boolean(const char* name);
     [[nodiscard]] std::vector<std::string> strings(const char* name);
     void object(const char* name, const std::function<void(ObjectReader&)>& read, bool required = false);
@@ -109,13 +109,13 @@
     void finish();
 
 private:
-    [[nodiscard]] const nlohmann::json* take(const char* name, bool required);
+    [[nodiscard]] const nlohmann::json* findField(const char* name, bool required);
     [[nodiscard]] std::string pointerTo(const std::string& name) const;
 
     JsonDocument& m_document;
     const nlohmann::json& m_value;
     std::string m_field;
-    std::vector<std::string> m_asked;
+    std::vector<std::string> m_requestedFields;
 };
 
 } // namespace lanemoor
--- a/include/lanemoor/state/observation_merger.h
+++ b/include/lanemoor/state/observation_merger.h
@@ -24,7 +24,7 @@
 
     /// \brief Records the failing and leaving instances that one source (an entry instance)
     /// reports. A report replaces the previous one of that source and expires after 5 seconds.
-    void onSigns(const std::string& source, std::set<std::string> failing, std::set<std::string> leaving, Instant now);
+    void onReport(const std::string& source, std::set<std::string> failing, std::set<std::string> leaving, Instant now);
 
     /// \returns Instances that are leaving according to the list itself.
     [[nodiscard]] std::set<std::string> listedLeaving() const;
@@ -34,22 +34,22 @@
     [[nodiscard]] Instances merge(const Ledger& ledger, Instant now);
 
 private:
-    struct Signs {
+    struct InstanceReport {
         std::set<std::string> failing;
         std::set<std::string> leaving;
-        Instant lapsesAt;
+        Instant expiresAt;
     };
 
-    void applySigns(Instance& instance, Instant now) const;
+    void applyReports(Instance& instance, Instant now) const;
     void addMissing(const Ledger& ledger, Instant now, Instances& merged);
-    void noteOutSince(Instance& instance, Instant now);
+    void updateUnhealthySince(Instance& instance, Instant now);
 
     Instances m_listed;
     std::map<std::string, Instance> m_lastSeen; ///< Latest list entry of each instance.
-    std::map<std::string, Signs> m_signs;
-    std::map<std::string, Instant> m_outSince;
+    std::map<std::string, InstanceReport> m_reports;
+    std::map<std::string, Instant> m_unhealthySince;
     std::map<std::string, Instant> m_missingSince;
-    bool m_haveList = false;
+    bool m_hasList = false;
 };
 
 } // namespace lanemoor
--- a/include/lanemoor/state/snapshot.h
+++ b/include/lanemoor/state/snapshot.h
@@ -45,7 +45,7 @@
     void setInstances(Instances instances);
 
 private:
-    std::mutex m_writers;
+    std::mutex m_writeMutex;
     std::atomic<std::shared_ptr<const Snapshot>> m_current { std::make_shared<const Snapshot>() };
 };
 
--- a/src/decisions/admission.cpp
+++ b/src/decisions/admission.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// While a batch request waits, at least one of this many starts is a batch request.
-constexpr std::uint32_t batchTurn = 5;
-/// A new run time has a weight of 1 / `learningDivisor` in the moving average.
-constexpr std::int64_t learningDivisor = 8;
+constexpr std::uint32_t maxStartsPerBatch = 5;
+/// A new run time has a weight of 1 / `smoothingDivisor` in the moving average.
+constexpr std::int64_t smoothingDivisor = 8;
 /// Lower bound of the retry delay in refusals.
-constexpr Millis leastRetry { 100 };
+constexpr Millis minRetryDelay { 100 };
 constexpr std::array<RequestClass, 2> urgentClasses { RequestClass::Check, RequestClass::Order };
 
 std::size_t indexOf(RequestClass requestClass) noexcept
@@ -41,7 +41,7 @@
     if (m_started.size() < m_limits.slots)
         return Millis(0);
     if (m_limits.slots == 0)
-        return leastRetry;
+        return minRetryDelay;
     // Batch requests wait behind all others; urgent requests wait behind urgent ones only.
     std::int64_t ahead = 0;
     for (std::size_t other = 0; other < requestClassCount; ++other) {
@@ -55,7 +55,7 @@
 std::optional<AdmissionRefusal> AdmissionQueue::offer(const Ticket& ticket, Instant now)
 {
     const Millis wait = expectedWait(ticket.requestClass);
-    const Instant retryAt = now + std::max(wait, leastRetry);
+    const Instant retryAt = now + std::max(wait, minRetryDelay);
     if (now + wait + expectedRunTime(ticket.requestClass) > ticket.deadline)
         return AdmissionRefusal { .reason = RequestRefusal::DeadlinePassed, .retryAt = retryAt };
     TeamQueue& team = m_teams[ticket.team];
@@ -74,7 +74,7 @@
     return m_waitingByClass[indexOf(requestClass)] > 0;
 }
 
-std::optional<std::uint64_t> AdmissionQueue::nextOf(RequestClass requestClass) const
+std::optional<std::uint64_t> AdmissionQueue::nextWaiting(RequestClass requestClass) const
 {
     const TeamQueue* best = nullptr;
     double bestShare = 0;
@@ -83,8 +83,8 @@
         if (waiting.empty() || (team.quota > 0 && team.inFlight >= team.quota))
             continue;
         const double share = static_cast<double>(team.inFlight) / std::max<std::uint32_t>(team.quota, 1);
-        const bool sooner = best && share == bestShare && waiting.begin()->deadline < best->waiting[indexOf(requestClass)].begin()->deadline;
-        if (!best || share < bestShare || sooner) {
+        const bool hasEarlierDeadline = best && share == bestShare && waiting.begin()->deadline < best->waiting[indexOf(requestClass)].begin()->deadline;
+        if (!best || share < bestShare || hasEarlierDeadline) {
             best = &team;
             bestShare = share;
         }
@@ -99,15 +99,15 @@
     if (m_started.size() >= m_limits.slots)
         return std::nullopt;
     std::optional<std::uint64_t> next;
-    const bool batchDue = anyWaiting(RequestClass::Batch) && m_startsSinceBatch + 1 >= batchTurn;
-    if (batchDue)
-        next = nextOf(RequestClass::Batch);
+    const bool isBatchDue = anyWaiting(RequestClass::Batch) && m_startsSinceBatch + 1 >= maxStartsPerBatch;
+    if (isBatchDue)
+        next = nextWaiting(RequestClass::Batch);
     for (const RequestClass urgent : urgentClasses) {
         if (!next)
-            next = nextOf(urgent);
+            next = nextWaiting(urgent);
     }
     if (!next)
-        next = nextOf(RequestClass::Batch);
+        next = nextWaiting(RequestClass::Batch);
     if (!next)
         return std::nullopt;
     const Ticket ticket = m_waiting.at(*next);
@@ -124,7 +124,7 @@
     for (const auto& [id, ticket] : m_waiting) {
         if (now + expectedRunTime(ticket.requestClass) <= ticket.deadline)
             continue;
-        const Instant retryAt = now + std::max(expectedWait(ticket.requestClass), leastRetry);
+        const Instant retryAt = now + std::max(expectedWait(ticket.requestClass), minRetryDelay);
         expired.push_back({ .id = id, .refusal = { .reason = RequestRefusal::DeadlinePassed, .retryAt = retryAt } });
     }
     for (const ExpiredTicket& ticket : expired)
@@ -137,7 +137,7 @@
     const auto started = m_started.find(id);
     if (started == m_started.end())
         return;
-    learn(started->second.ticket.requestClass, now - started->second.at);
+    updateExpectedRunTime(started->second.ticket.requestClass, now - started->second.at);
     cancel(id);
 }
 
@@ -163,10 +163,10 @@
     m_waiting.erase(ticket.id);
 }
 
-void AdmissionQueue::learn(RequestClass requestClass, Millis ran) noexcept
+void AdmissionQueue::updateExpectedRunTime(RequestClass requestClass, Millis ran) noexcept
 {
     Millis& known = m_runTime[indexOf(requestClass)];
-    known += (ran - known) / learningDivisor;
+    known += (ran - known) / smoothingDivisor;
 }
 
 } // namespace lanemoor
--- a/src/decisions/controller.cpp
+++ b/src/decisions/controller.cpp
@@ -12,14 +12,14 @@
 /// At most one in this many listed instances is in quarantine at a time.
 constexpr std::size_t quarantineDivisor = 10;
 
-bool isDrainAsked(const Configuration& configuration, std::string_view id)
+bool isDrainRequested(const Configuration& configuration, std::string_view id)
 {
     return std::find(configuration.drains.begin(), configuration.drains.end(), id) != configuration.drains.end();
 }
 
 /// Removes the entries of instances that are gone and adds entries for new ones.
 /// An instance missing from the list keeps its entry, because lists lag and flap.
-void followList(const FleetView& view, Ledger& next)
+void syncEntries(const FleetView& view, Ledger& next)
 {
     std::erase_if(next.entries, [&](const LedgerEntry& entry) {
         const Instance* instance = findInstance(view.instances, entry.instance);
@@ -36,7 +36,7 @@
     std::sort(next.entries.begin(), next.entries.end(), [](const LedgerEntry& a, const LedgerEntry& b) { return a.instance < b.instance; });
 }
 
-bool isBack(const Instance& instance, const Grant& grant) noexcept
+bool hasReturned(const Instance& instance, const Grant& grant) noexcept
 {
     // `failing` is ignored: it can't be observed until the instance gets requests again.
     return instance.state == InstanceState::Live && !instance.drained && instance.bootId != grant.bootIdBefore;
@@ -52,13 +52,13 @@
             grant.phase = grant.reason == GrantReason::OperatorDrain ? GrantPhase::Held : GrantPhase::Rebooting;
         return;
     case GrantPhase::Rebooting:
-        if (!isBack(instance, grant))
+        if (!hasReturned(instance, grant))
             return;
         entry.grant.reset();
         entry.maintainedAt = view.now;
         return;
     case GrantPhase::Held:
-        if (!isDrainAsked(view.configuration, entry.instance) && isHealthy(instance) && !instance.drained)
+        if (!isDrainRequested(view.configuration, entry.instance) && isHealthy(instance) && !instance.drained)
             entry.grant.reset();
         return;
     }
@@ -83,7 +83,7 @@
     {
     }
 
-    void give(std::string_view id, GrantReason reason)
+    void addGrant(std::string_view id, GrantReason reason)
     {
         LedgerEntry* entry = m_next.find(id);
         const Instance* instance = findInstance(m_view.instances, id);
@@ -123,8 +123,8 @@
             plan.refusedDrains.push_back({ .instance = id, .reason = *refusal });
             continue;
         }
-        step.guard.take(id);
-        step.writer.give(id, GrantReason::OperatorDrain);
+        step.guard.markOutOfService(id);
+        step.writer.addGrant(id, GrantReason::OperatorDrain);
     }
 }
 
@@ -132,24 +132,24 @@
 {
     const FleetView& view = step.view;
     const auto inQuarantine = [](const LedgerEntry& entry) { return entry.grant && entry.grant->reason == GrantReason::Quarantine; };
-    auto standing = static_cast<std::size_t>(std::count_if(view.ledger.entries.begin(), view.ledger.entries.end(), inQuarantine));
-    const std::size_t most = std::max<std::size_t>(1, view.instances.size() / quarantineDivisor);
+    auto quarantined = static_cast<std::size_t>(std::count_if(view.ledger.entries.begin(), view.ledger.entries.end(), inQuarantine));
+    const std::size_t maxQuarantined = std::max<std::size_t>(1, view.instances.size() / quarantineDivisor);
     for (const Instance& instance : view.instances) {
-        const bool lasting = instance.outSince && view.now >= *instance.outSince + quarantineAfter;
-        if (!instance.failing || instance.state != InstanceState::Live || !lasting || standing >= most)
+        const bool isLasting = instance.unhealthySince && view.now >= *instance.unhealthySince + quarantineAfter;
+        if (!instance.failing || instance.state != InstanceState::Live || !isLasting || quarantined >= maxQuarantined)
             continue;
         if (step.guard.refusalFor(instance.id))
             continue;
-        step.guard.take(instance.id);
-        step.writer.give(instance.id, GrantReason::Quarantine);
-        ++standing;
+        step.guard.markOutOfService(instance.id);
+        step.writer.addGrant(instance.id, GrantReason::Quarantine);
+        ++quarantined;
     }
 }
 
 void grantMaintenance(const GrantStep& step, const WavePlanner& waves)
 {
     for (const std::string& id : waves.next(step.view, step.index, step.guard))
-        step.writer.give(id, GrantReason::Maintenance);
+        step.writer.addGrant(id, GrantReason::Maintenance);
 }
 
 /// \returns The action that `instance`, the instance of `entry`, needs now, if any.
@@ -162,8 +162,8 @@
         return ActionKind::Drain;
     if (grant.phase == GrantPhase::Rebooting && instance.bootId == grant.bootIdBefore)
         return ActionKind::Reboot;
-    const bool lifted = grant.phase == GrantPhase::Held && instance.drained && !isDrainAsked(view.configuration, entry.instance);
-    return lifted ? std::optional(ActionKind::Undrain) : std::nullopt;
+    const bool isLifted = grant.phase == GrantPhase::Held && instance.drained && !isDrainRequested(view.configuration, entry.instance);
+    return isLifted ? std::optional(ActionKind::Undrain) : std::nullopt;
 }
 
 } // namespace
@@ -195,7 +195,7 @@
     }
     Ledger& next = plan.next;
     next.epoch = epoch; // Stored with the first write of this holder, so that writes of a previous holder fail.
-    followList(view, next);
+    syncEntries(view, next);
     advanceGrants(view, next);
 
     const FleetView current { .configuration = view.configuration, .ledger = next, .instances = view.instances, .now = view.now };
@@ -207,11 +207,11 @@
     plan.conditions = std::move(membership.conditions);
 
     // The guard uses the ledger with the moves applied and counts the grants issued below.
-    const Ledger decided = next;
-    const FleetView moved { .configuration = view.configuration, .ledger = decided, .instances = view.instances, .now = view.now };
-    DisruptionGuard guard(moved, index);
+    const Ledger ledgerAfterMoves = next;
+    const FleetView viewAfterMoves { .configuration = view.configuration, .ledger = ledgerAfterMoves, .instances = view.instances, .now = view.now };
+    DisruptionGuard guard(viewAfterMoves, index);
     GrantWriter writer(view, epoch, next);
-    const GrantStep grants { .view = moved, .index = index, .guard = guard, .writer = writer };
+    const GrantStep grants { .view = viewAfterMoves, .index = index, .guard = guard, .writer = writer };
     grantQuarantine(grants);
     grantDrains(grants, plan);
     grantMaintenance(grants, m_waves);
--- a/src/decisions/disruption_guard.cpp
+++ b/src/decisions/disruption_guard.cpp
@@ -57,9 +57,9 @@
     switch (refusal) {
     case DisruptionRefusal::UnknownInstance:
         return "the instance is not known";
-    case DisruptionRefusal::GrantStands:
+    case DisruptionRefusal::AlreadyGranted:
         return "the instance is already out of service under a grant";
-    case DisruptionRefusal::BudgetSpent:
+    case DisruptionRefusal::BudgetExhausted:
         return "the pool's availability budget has nothing left";
     }
     return "unknown refusal";
@@ -90,18 +90,18 @@
             return DisruptionRefusal::UnknownInstance;
         const std::size_t number = numberOf(*instance);
         if (entry->grant || m_taken[number])
-            return DisruptionRefusal::GrantStands;
+            return DisruptionRefusal::AlreadyGranted;
         const std::optional<std::size_t> pool = m_index.poolNumber(entry->pool);
         if (!pool || !isInService(*entry, instance))
             return std::nullopt;
         ServingMembers without = m_pools[*pool];
         without.remove(number);
         if (without.availability().slack() < 0)
-            return DisruptionRefusal::BudgetSpent;
+            return DisruptionRefusal::BudgetExhausted;
         return std::nullopt;
     }
 
-    void take(std::string_view id)
+    void markOutOfService(std::string_view id)
     {
         const LedgerEntry* entry = m_ledger.find(id);
         const Instance* instance = findInstance(m_instances, id);
@@ -146,9 +146,9 @@
     return m_impl->refusalFor(instance);
 }
 
-void DisruptionGuard::take(std::string_view instance)
+void DisruptionGuard::markOutOfService(std::string_view instance)
 {
-    m_impl->take(instance);
+    m_impl->markOutOfService(instance);
 }
 
 PoolAvailability DisruptionGuard::availability(std::string_view name) const
--- a/src/decisions/ejection.cpp
+++ b/src/decisions/ejection.cpp
@@ -6,7 +6,7 @@
 
 constexpr std::uint32_t failuresToEject = 3;
 constexpr Millis firstEjection = std::chrono::seconds(2);
-constexpr std::uint32_t mostDoublings = 5;
+constexpr std::uint32_t maxDoublings = 5;
 
 } // namespace
 
@@ -21,16 +21,16 @@
     ++record.failures;
     if (record.failures < failuresToEject || now < record.backoff.until())
         return;
-    record.backoff.begin(now, firstEjection, mostDoublings);
+    record.backoff.begin(now, firstEjection, maxDoublings);
 }
 
 std::vector<std::string> EjectionTracker::ejected(const std::vector<std::string>& members, Instant now) const
 {
     std::vector<std::string> result;
-    const std::size_t most = members.size() / 2;
+    const std::size_t maxEjected = members.size() / 2;
     for (const std::string& member : members) {
         const auto record = m_records.find(member);
-        if (result.size() < most && record != m_records.end() && now < record->second.backoff.until())
+        if (result.size() < maxEjected && record != m_records.end() && now < record->second.backoff.until())
             result.push_back(member);
     }
     return result;
--- a/src/decisions/endpoint_choice.cpp
+++ b/src/decisions/endpoint_choice.cpp
@@ -22,12 +22,12 @@
 
 } // namespace
 
-std::optional<std::size_t> chooseEndpoint(const std::vector<EndpointCandidate>& candidates, std::uint64_t turn) noexcept
+std::optional<std::size_t> chooseEndpoint(const std::vector<EndpointCandidate>& candidates, std::uint64_t rotation) noexcept
 {
     const EndpointCandidate* best = nullptr;
     std::tuple<bool, double> bestRank;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const EndpointCandidate& candidate = candidates[(i + turn) % candidates.size()];
+        const EndpointCandidate& candidate = candidates[(i + rotation) % candidates.size()];
         if (candidate.tried || candidate.ejected || candidate.inFlight >= candidate.share)
             continue;
         const double load = static_cast<double>(candidate.inFlight) / candidate.share;
@@ -42,15 +42,15 @@
     return best->index;
 }
 
-std::uint32_t shareOfSeat(const std::string& instance, std::uint32_t slots, std::uint32_t seat, std::uint32_t seats) noexcept
+std::uint32_t shareOfShard(const std::string& key, std::uint32_t slots, std::uint32_t shard, std::uint32_t shardCount) noexcept
 {
-    if (seats == 0 || seat >= seats)
+    if (shardCount == 0 || shard >= shardCount)
         return 0;
-    const std::uint32_t even = slots / seats;
-    const std::uint32_t rest = slots % seats;
-    const auto first = static_cast<std::uint32_t>(stableHash(instance) % seats);
-    const std::uint32_t place = (seat + seats - first) % seats;
-    return even + (place < rest ? 1 : 0);
+    const std::uint32_t base = slots / shardCount;
+    const std::uint32_t remainder = slots % shardCount;
+    const auto first = static_cast<std::uint32_t>(stableHash(key) % shardCount);
+    const std::uint32_t position = (shard + shardCount - first) % shardCount;
+    return base + (position < remainder ? 1 : 0);
 }
 
 } // namespace lanemoor
--- a/src/decisions/fleet_index.cpp
+++ b/src/decisions/fleet_index.cpp
@@ -82,7 +82,7 @@
     return m_instanceDomains;
 }
 
-PoolSize FleetIndex::sizeMissing(std::size_t pool, std::uint32_t instances) const
+PoolSize FleetIndex::sizeWithMissing(std::size_t pool, std::uint32_t instances) const
 {
     Pool larger = m_configuration.pools[pool];
     larger.budget.minimum += instances;
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -19,15 +19,15 @@
 constexpr std::int64_t moveCost = 1'000'000;
 /// Additional cost per long session of the moved instance.
 constexpr std::int64_t sessionCost = 100;
-constexpr std::uint32_t countedSessions = 1'000;
+constexpr std::uint32_t maxCountedSessions = 1'000;
 /// Cost of taking an instance that a pool of lower priority needs for its target. Used as a last resort.
 constexpr std::int64_t takeFromLowerPriorityCost = 1'000'000'000;
-constexpr std::int64_t unreachable = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t infiniteCost = std::numeric_limits<std::int64_t>::max();
 /// How long a failed member may take to return before it is replaced.
-constexpr Millis replaceAfter = std::chrono::seconds(60);
+constexpr Millis replacementDelay = std::chrono::seconds(60);
 /// Max number of plans, each without the pools whose budgets refused moves of the previous
 /// ones, before instances are taken from the spare set only.
-constexpr int maximumAttempts = 8;
+constexpr int maxPlanAttempts = 8;
 
 /// State of a pool during planning.
 struct PoolState {
@@ -61,17 +61,17 @@
 
 /// Placement of an instance during planning.
 struct InstancePlacement {
-    int home = spare; ///< Pool in the ledger.
-    int at = spare; ///< Pool in the plan so far.
-    bool named = false; ///< The ledger assigns it to a pool, even if that pool is no longer configured.
-    bool movable = false; ///< In service and not to be drained.
-    bool counted = false; ///< Counts as a member of its pool: matches and is in service or expected back.
+    int ledgerPool = spare; ///< Pool in the ledger.
+    int currentPool = spare; ///< Pool in the plan so far.
+    bool hasLedgerPool = false; ///< The ledger assigns it to a pool, even if that pool is no longer configured.
+    bool isMovable = false; ///< In service and not to be drained.
+    bool isCounted = false; ///< Counts as a member of its pool: matches and is in service or expected back.
     std::int64_t cost = moveCost; ///< Cost of moving it out of its pool in the ledger.
 };
 
 /// Label of a pool in the shortest-path search.
 struct SearchLabel {
-    std::int64_t cost = unreachable;
+    std::int64_t cost = infiniteCost;
     int previous = spare; ///< Pool that takes `instance` from this one.
     std::size_t instance = 0; ///< Instance taken from this pool.
     bool hasInstance = false;
@@ -79,15 +79,15 @@
 
 /// End of a chain: an instance that needs no replacement.
 struct ChainEnd {
-    std::int64_t cost = unreachable;
-    int taker = spare;
+    std::int64_t cost = infiniteCost;
+    int recipient = spare;
     std::size_t instance = 0;
 };
 
 /// Builds one plan. No instance is taken from the pools in `frozen`.
 class PlanBuilder {
 public:
-    PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& frozen);
+    PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& excludedDonors);
 
     /// Fills all pools up to their targets, in order of descending priority.
     void fillPools();
@@ -99,20 +99,20 @@
     [[nodiscard]] const std::vector<PoolCondition>& conditions() const noexcept { return m_conditions; }
 
     /// \returns Ids of movable members that no longer match their pool and were not moved to another one.
-    [[nodiscard]] std::vector<std::string> strays() const;
+    [[nodiscard]] std::vector<std::string> mismatchedMembers() const;
 
 private:
     void readPools();
     void readInstances();
     void readInstance(const LedgerEntry& entry, const Instance& instance, std::size_t number);
     [[nodiscard]] int poolIndex(std::string_view name) const;
-    [[nodiscard]] bool expectedBack(const LedgerEntry& entry, const Instance& instance) const;
-    [[nodiscard]] const std::vector<std::size_t>& candidatesOf(int pool) const { return m_fits[static_cast<std::size_t>(pool)]; }
+    [[nodiscard]] bool isExpectedBack(const LedgerEntry& entry, const Instance& instance) const;
+    [[nodiscard]] const std::vector<std::size_t>& candidatesOf(int pool) const { return m_candidates[static_cast<std::size_t>(pool)]; }
 
     [[nodiscard]] std::int64_t costAt(std::size_t instance, int pool) const;
     [[nodiscard]] bool hasRoom(int pool, std::size_t instance, const SearchLabel& label) const;
-    [[nodiscard]] bool mayGive(int pool) const;
-    [[nodiscard]] bool isStray(std::size_t instance) const;
+    [[nodiscard]] bool canGiveInstances(int pool) const;
+    [[nodiscard]] bool isMismatched(std::size_t instance) const;
     [[nodiscard]] bool endsChain(std::size_t instance, int requester, std::int64_t& cost) const;
     [[nodiscard]] ChainEnd searchChain(int start);
     void relax(int pool, int start, std::deque<int>& queue, std::vector<bool>& queued, ChainEnd& best);
@@ -123,18 +123,18 @@
 
     const FleetView& m_view;
     const FleetIndex& m_index;
-    const std::unordered_set<std::string>& m_frozen;
+    const std::unordered_set<std::string>& m_excludedDonors;
     std::vector<PoolState> m_pools;
     std::vector<InstancePlacement> m_instances;
-    std::vector<std::vector<std::size_t>> m_fits; ///< By pool: movable instances that match.
+    std::vector<std::vector<std::size_t>> m_candidates; ///< By pool: movable instances that match.
     std::vector<SearchLabel> m_labels;
     std::vector<PoolCondition> m_conditions;
 };
 
-PlanBuilder::PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& frozen)
+PlanBuilder::PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& excludedDonors)
     : m_view(view)
     , m_index(index)
-    , m_frozen(frozen)
+    , m_excludedDonors(excludedDonors)
 {
     readPools();
     readInstances();
@@ -160,17 +160,17 @@
     }
 }
 
-bool PlanBuilder::expectedBack(const LedgerEntry& entry, const Instance& instance) const
+bool PlanBuilder::isExpectedBack(const LedgerEntry& entry, const Instance& instance) const
 {
     if (entry.grant)
         return entry.grant->reason == GrantReason::Maintenance && m_view.now < entry.grant->deadline;
-    return isHealthy(instance) || !instance.outSince || m_view.now < *instance.outSince + replaceAfter;
+    return isHealthy(instance) || !instance.unhealthySince || m_view.now < *instance.unhealthySince + replacementDelay;
 }
 
 void PlanBuilder::readInstances()
 {
     m_instances.resize(m_view.instances.size());
-    m_fits.resize(m_view.configuration.pools.size());
+    m_candidates.resize(m_view.configuration.pools.size());
     forEachEntry(m_view.ledger, m_view.instances, [&](const LedgerEntry& entry, const Instance* instance, std::size_t number) {
         if (instance)
             readInstance(entry, *instance, number);
@@ -182,31 +182,31 @@
     const std::vector<std::string>& drains = m_view.configuration.drains;
     const bool drained = std::find(drains.begin(), drains.end(), instance.id) != drains.end();
     InstancePlacement& state = m_instances[number];
-    state.home = poolIndex(entry.pool);
-    state.at = state.home;
-    state.named = !entry.pool.empty();
-    state.movable = isInService(entry, &instance) && !drained;
-    state.cost = moveCost + sessionCost * std::min(instance.longSessions, countedSessions);
-    for (std::size_t pool = 0; state.movable && pool < m_fits.size(); ++pool) {
+    state.ledgerPool = poolIndex(entry.pool);
+    state.currentPool = state.ledgerPool;
+    state.hasLedgerPool = !entry.pool.empty();
+    state.isMovable = isInService(entry, &instance) && !drained;
+    state.cost = moveCost + sessionCost * std::min(instance.longSessions, maxCountedSessions);
+    for (std::size_t pool = 0; state.isMovable && pool < m_candidates.size(); ++pool) {
         if (m_index.matches(pool, number))
-            m_fits[pool].push_back(number);
+            m_candidates[pool].push_back(number);
     }
-    if (state.home == spare)
+    if (state.ledgerPool == spare)
         return;
-    const auto home = static_cast<std::size_t>(state.home);
-    state.counted = m_index.matches(home, number) && !drained && expectedBack(entry, instance);
-    const std::size_t domain = m_pools[home].domains->of(number);
-    if (state.counted)
-        m_pools[home].add(domain);
-    else if (!state.movable && m_index.matches(home, number))
-        ++m_pools[home].absent[domain];
+    const auto ledgerPool = static_cast<std::size_t>(state.ledgerPool);
+    state.isCounted = m_index.matches(ledgerPool, number) && !drained && isExpectedBack(entry, instance);
+    const std::size_t domain = m_pools[ledgerPool].domains->of(number);
+    if (state.isCounted)
+        m_pools[ledgerPool].add(domain);
+    else if (!state.isMovable && m_index.matches(ledgerPool, number))
+        ++m_pools[ledgerPool].absent[domain];
 }
 
 std::int64_t PlanBuilder::costAt(std::size_t instance, int pool) const
 {
     const InstancePlacement& state = m_instances[instance];
-    const bool strayAtHome = pool == state.home && !state.counted && pool != spare;
-    if (pool == state.home && !strayAtHome)
+    const bool isMismatchedMember = pool == state.ledgerPool && !state.isCounted && pool != spare;
+    if (pool == state.ledgerPool && !isMismatchedMember)
         return 0;
     return state.cost;
 }
@@ -223,32 +223,32 @@
     return members < state.size.perDomain;
 }
 
-bool PlanBuilder::mayGive(int pool) const
+bool PlanBuilder::canGiveInstances(int pool) const
 {
-    return pool == spare || !m_frozen.contains(m_view.configuration.pools[static_cast<std::size_t>(pool)].name);
+    return pool == spare || !m_excludedDonors.contains(m_view.configuration.pools[static_cast<std::size_t>(pool)].name);
 }
 
-bool PlanBuilder::isStray(std::size_t instance) const
+bool PlanBuilder::isMismatched(std::size_t instance) const
 {
     const InstancePlacement& state = m_instances[instance];
-    return state.at != spare && state.at == state.home && !state.counted;
+    return state.currentPool != spare && state.currentPool == state.ledgerPool && !state.isCounted;
 }
 
 bool PlanBuilder::endsChain(std::size_t instance, int requester, std::int64_t& cost) const
 {
     const InstancePlacement& state = m_instances[instance];
-    if (state.at == spare || isStray(instance))
+    if (state.currentPool == spare || isMismatched(instance))
         return true;
-    const PoolState& owner = m_pools[static_cast<std::size_t>(state.at)];
-    if (owner.members[owner.domains->of(instance)] > owner.size.perDomain)
+    const PoolState& donor = m_pools[static_cast<std::size_t>(state.currentPool)];
+    if (donor.members[donor.domains->of(instance)] > donor.size.perDomain)
         return true; // Beyond perDomain, a member enlarges the largest domain and adds no slack.
-    if (owner.slack <= 0)
+    if (donor.slack <= 0)
         return false;
-    if (owner.effective > owner.size.target)
+    if (donor.effective > donor.size.target)
         return true;
     const std::vector<Pool>& pools = m_view.configuration.pools;
-    const bool lowerPriority = pools[static_cast<std::size_t>(state.at)].priority < pools[static_cast<std::size_t>(requester)].priority;
-    if (!lowerPriority || owner.effective <= owner.size.budgetTarget)
+    const bool lowerPriority = pools[static_cast<std::size_t>(state.currentPool)].priority < pools[static_cast<std::size_t>(requester)].priority;
+    if (!lowerPriority || donor.effective <= donor.size.budgetTarget)
         return false;
     cost += takeFromLowerPriorityCost;
     return true;
@@ -256,8 +256,8 @@
 
 bool PlanBuilder::onPath(int pool, int from) const
 {
-    for (int at = from; at != spare; at = m_labels[static_cast<std::size_t>(at)].previous) {
-        if (at == pool)
+    for (int currentPool = from; currentPool != spare; currentPool = m_labels[static_cast<std::size_t>(currentPool)].previous) {
+        if (currentPool == pool)
             return true;
     }
     return false;
@@ -266,26 +266,26 @@
 void PlanBuilder::relax(int pool, int start, std::deque<int>& queue, std::vector<bool>& queued, ChainEnd& best)
 {
     const SearchLabel label = m_labels[static_cast<std::size_t>(pool)];
-    const PoolState& taker = m_pools[static_cast<std::size_t>(pool)];
+    const PoolState& recipient = m_pools[static_cast<std::size_t>(pool)];
     for (const std::size_t i : candidatesOf(pool)) {
-        const int owner = m_instances[i].at;
-        if (owner == pool || !mayGive(owner) || !hasRoom(pool, i, label))
+        const int donor = m_instances[i].currentPool;
+        if (donor == pool || !canGiveInstances(donor) || !hasRoom(pool, i, label))
             continue;
-        const std::int64_t spread = taker.members[taker.domains->of(i)];
-        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, owner) + spread;
+        const std::int64_t spread = recipient.members[recipient.domains->of(i)];
+        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, donor) + spread;
         std::int64_t endCost = cost;
         if (endsChain(i, start, endCost)) {
             if (endCost < best.cost)
-                best = { .cost = endCost, .taker = pool, .instance = i };
+                best = { .cost = endCost, .recipient = pool, .instance = i };
             continue;
         }
-        SearchLabel& next = m_labels[static_cast<std::size_t>(owner)];
-        if (cost >= next.cost || onPath(owner, pool))
+        SearchLabel& next = m_labels[static_cast<std::size_t>(donor)];
+        if (cost >= next.cost || onPath(donor, pool))
             continue;
         next = { .cost = cost, .previous = pool, .instance = i, .hasInstance = true };
-        if (!queued[static_cast<std::size_t>(owner)]) {
-            queued[static_cast<std::size_t>(owner)] = true;
-            queue.push_back(owner);
+        if (!queued[static_cast<std::size_t>(donor)]) {
+            queued[static_cast<std::size_t>(donor)] = true;
+            queue.push_back(donor);
         }
     }
 }
@@ -309,23 +309,23 @@
 void PlanBuilder::place(std::size_t instance, int pool)
 {
     InstancePlacement& state = m_instances[instance];
-    if (state.at != spare && !isStray(instance))
-        m_pools[static_cast<std::size_t>(state.at)].remove(m_pools[static_cast<std::size_t>(state.at)].domains->of(instance));
-    state.at = pool;
+    if (state.currentPool != spare && !isMismatched(instance))
+        m_pools[static_cast<std::size_t>(state.currentPool)].remove(m_pools[static_cast<std::size_t>(state.currentPool)].domains->of(instance));
+    state.currentPool = pool;
     m_pools[static_cast<std::size_t>(pool)].add(m_pools[static_cast<std::size_t>(pool)].domains->of(instance));
 }
 
 void PlanBuilder::applyChain(ChainEnd end)
 {
-    int taker = end.taker;
+    int recipient = end.recipient;
     std::size_t instance = end.instance;
-    if (m_instances[instance].at != spare)
-        --m_pools[static_cast<std::size_t>(m_instances[instance].at)].slack;
-    while (taker != spare) {
-        const SearchLabel label = m_labels[static_cast<std::size_t>(taker)];
-        place(instance, taker);
+    if (m_instances[instance].currentPool != spare)
+        --m_pools[static_cast<std::size_t>(m_instances[instance].currentPool)].slack;
+    while (recipient != spare) {
+        const SearchLabel label = m_labels[static_cast<std::size_t>(recipient)];
+        place(instance, recipient);
         instance = label.instance;
-        taker = label.previous;
+        recipient = label.previous;
     }
 }
 
@@ -334,7 +334,7 @@
     const PoolState& state = m_pools[static_cast<std::size_t>(pool)];
     while (state.effective < state.size.target) {
         const ChainEnd end = searchChain(pool);
-        if (end.cost == unreachable)
+        if (end.cost == infiniteCost)
             return;
         applyChain(end);
     }
@@ -348,7 +348,7 @@
         if (pool == spare)
             continue;
         PoolState& state = m_pools[static_cast<std::size_t>(pool)];
-        state.resize(m_index.sizeMissing(static_cast<std::size_t>(pool), boost.instances));
+        state.resize(m_index.sizeWithMissing(static_cast<std::size_t>(pool), boost.instances));
     }
     for (const PoolBoost& boost : boosts) {
         const int pool = poolIndex(boost.pool);
@@ -382,20 +382,20 @@
 {
     std::vector<Move> result;
     for (std::size_t i = 0; i < m_instances.size(); ++i) {
-        if (m_instances[i].at == m_instances[i].home)
+        if (m_instances[i].currentPool == m_instances[i].ledgerPool)
             continue;
         const std::string& id = m_view.instances[i].id;
-        result.push_back({ .instance = id, .from = m_view.ledger.find(id)->pool, .to = m_view.configuration.pools[static_cast<std::size_t>(m_instances[i].at)].name });
+        result.push_back({ .instance = id, .from = m_view.ledger.find(id)->pool, .to = m_view.configuration.pools[static_cast<std::size_t>(m_instances[i].currentPool)].name });
     }
     return result;
 }
 
-std::vector<std::string> PlanBuilder::strays() const
+std::vector<std::string> PlanBuilder::mismatchedMembers() const
 {
     std::vector<std::string> result;
     for (std::size_t i = 0; i < m_instances.size(); ++i) {
         const InstancePlacement& state = m_instances[i];
-        if (state.named && state.movable && !state.counted && state.at == state.home)
+        if (state.hasLedgerPool && state.isMovable && !state.isCounted && state.currentPool == state.ledgerPool)
             result.push_back(m_view.instances[i].id);
     }
     return result;
@@ -409,33 +409,33 @@
 }
 
 /// \returns Pools whose budgets do not permit the moves out of them.
-std::vector<std::string> refusingPools(const FleetView& view, const FleetIndex& index, const std::vector<Move>& moves)
+std::vector<std::string> poolsBelowBudget(const FleetView& view, const FleetIndex& index, const std::vector<Move>& moves)
 {
     const Ledger next = withMoves(view.ledger, moves);
     const DisruptionGuard before(view, index);
     const DisruptionGuard after({ .configuration = view.configuration, .ledger = next, .instances = view.instances, .now = view.now }, index);
-    std::vector<std::string> refusing;
+    std::vector<std::string> belowBudget;
     for (const Move& move : moves) {
-        const PoolAvailability was = before.availability(move.from);
-        const PoolAvailability is = after.availability(move.from);
+        const PoolAvailability availabilityBefore = before.availability(move.from);
+        const PoolAvailability availabilityAfter = after.availability(move.from);
         // A pool without slack gives no instance away, not even one of its largest domain,
         // because it may need every member for its minimum.
-        if (is.slack() < 0 && (is.slack() < was.slack() || is.inService < was.inService))
-            refusing.push_back(move.from);
+        if (availabilityAfter.slack() < 0 && (availabilityAfter.slack() < availabilityBefore.slack() || availabilityAfter.inService < availabilityBefore.inService))
+            belowBudget.push_back(move.from);
     }
-    return refusing;
+    return belowBudget;
 }
 
 /// Moves members that no longer match to the spare set, as far as budgets permit.
-void releaseStrays(const FleetView& view, const FleetIndex& index, const std::vector<std::string>& strays, MembershipPlan& plan)
+void releaseMismatched(const FleetView& view, const FleetIndex& index, const std::vector<std::string>& mismatchedMembers, MembershipPlan& plan)
 {
     const Ledger next = withMoves(view.ledger, plan.moves);
     DisruptionGuard guard({ .configuration = view.configuration, .ledger = next, .instances = view.instances, .now = view.now }, index);
-    for (const std::string& stray : strays) {
-        const std::string& pool = next.find(stray)->pool;
-        if (!guard.refusalFor(stray)) {
-            guard.take(stray);
-            plan.moves.push_back({ .instance = stray, .from = pool, .to = {} });
+    for (const std::string& id : mismatchedMembers) {
+        const std::string& pool = next.find(id)->pool;
+        if (!guard.refusalFor(id)) {
+            guard.markOutOfService(id);
+            plan.moves.push_back({ .instance = id, .from = pool, .to = {} });
             continue;
         }
         const auto known = std::find_if(plan.conditions.begin(), plan.conditions.end(), [&](const PoolCondition& condition) { return condition.pool == pool && condition.code == PoolConditionCode::AwaitingReplacement; });
@@ -465,23 +465,23 @@
 
 MembershipPlan StickyMembershipPlanner::plan(const FleetView& view, const FleetIndex& index, const std::vector<PoolBoost>& boosts) const
 {
-    std::unordered_set<std::string> frozen;
+    std::unordered_set<std::string> excludedDonors;
     for (int attempt = 0;; ++attempt) {
-        if (attempt == maximumAttempts) {
+        if (attempt == maxPlanAttempts) {
             // Take instances from the spare set only; no budget refuses such moves.
             for (const Pool& pool : view.configuration.pools)
-                frozen.insert(pool.name);
+                excludedDonors.insert(pool.name);
         }
-        PlanBuilder builder(view, index, frozen);
+        PlanBuilder builder(view, index, excludedDonors);
         builder.fillPools();
         builder.fillBoosts(boosts);
         MembershipPlan plan { .moves = builder.moves(), .conditions = builder.conditions() };
-        const std::vector<std::string> refusing = refusingPools(view, index, plan.moves);
-        if (refusing.empty()) {
-            releaseStrays(view, index, builder.strays(), plan);
+        const std::vector<std::string> belowBudget = poolsBelowBudget(view, index, plan.moves);
+        if (belowBudget.empty()) {
+            releaseMismatched(view, index, builder.mismatchedMembers(), plan);
             return plan;
         }
-        frozen.insert(refusing.begin(), refusing.end());
+        excludedDonors.insert(belowBudget.begin(), belowBudget.end());
     }
 }
 
--- a/src/decisions/request.cpp
+++ b/src/decisions/request.cpp
@@ -49,7 +49,7 @@
         return "entry-stopping";
     case RequestRefusal::EntryNotReady:
         return "entry-not-ready";
-    case RequestRefusal::StoreAway:
+    case RequestRefusal::StoreUnavailable:
         return "store-away";
     case RequestRefusal::AlreadyAccepted:
         return "already-accepted";
@@ -80,7 +80,7 @@
         return "this entry instance is being stopped";
     case RequestRefusal::EntryNotReady:
         return "this entry instance is not ready";
-    case RequestRefusal::StoreAway:
+    case RequestRefusal::StoreUnavailable:
         return "the configuration store is away, so the order can't be claimed";
     case RequestRefusal::AlreadyAccepted:
         return "an order with this idempotency key was accepted before";
--- a/src/decisions/retry_budget.cpp
+++ b/src/decisions/retry_budget.cpp
@@ -4,15 +4,15 @@
 
 void RetryBudget::onFirstAttempt() noexcept
 {
-    std::int64_t saved = m_saved.load(std::memory_order_relaxed);
-    while (saved < mostSaved && !m_saved.compare_exchange_weak(saved, saved + 1, std::memory_order_relaxed)) { }
+    std::int64_t credit = m_credit.load(std::memory_order_relaxed);
+    while (credit < maxCredit && !m_credit.compare_exchange_weak(credit, credit + 1, std::memory_order_relaxed)) { }
 }
 
-bool RetryBudget::take() noexcept
+bool RetryBudget::tryAcquire() noexcept
 {
-    std::int64_t saved = m_saved.load(std::memory_order_relaxed);
-    while (saved >= retryPrice) {
-        if (m_saved.compare_exchange_weak(saved, saved - retryPrice, std::memory_order_relaxed))
+    std::int64_t credit = m_credit.load(std::memory_order_relaxed);
+    while (credit >= retryCost) {
+        if (m_credit.compare_exchange_weak(credit, credit - retryCost, std::memory_order_relaxed))
             return true;
     }
     return false;
--- a/src/decisions/selector.cpp
+++ b/src/decisions/selector.cpp
@@ -26,7 +26,7 @@
         return m_at == m_text.size();
     }
 
-    [[nodiscard]] bool take(std::string_view token) noexcept
+    [[nodiscard]] bool consume(std::string_view token) noexcept
     {
         skipBlanks();
         if (m_text.substr(m_at, token.size()) != token)
@@ -35,7 +35,7 @@
         return true;
     }
 
-    [[nodiscard]] std::string_view takeWord() noexcept
+    [[nodiscard]] std::string_view consumeWord() noexcept
     {
         skipBlanks();
         const std::size_t begin = m_at;
@@ -62,22 +62,22 @@
 
 std::optional<SelectorFault> parseSet(Cursor& cursor, SelectorRequirement& requirement)
 {
-    if (!cursor.take("("))
+    if (!cursor.consume("("))
         return cursor.fault(SelectorFaultCode::ExpectedOpeningParenthesis);
     do {
-        const std::string_view value = cursor.takeWord();
+        const std::string_view value = cursor.consumeWord();
         if (value.empty())
             return cursor.fault(SelectorFaultCode::ExpectedValue);
         requirement.values.emplace_back(value);
-    } while (cursor.take(","));
-    if (!cursor.take(")"))
+    } while (cursor.consume(","));
+    if (!cursor.consume(")"))
         return cursor.fault(SelectorFaultCode::UnterminatedSet);
     return std::nullopt;
 }
 
 std::optional<SelectorFault> parseSingleValue(Cursor& cursor, SelectorRequirement& requirement)
 {
-    const std::string_view value = cursor.takeWord();
+    const std::string_view value = cursor.consumeWord();
     if (value.empty())
         return cursor.fault(SelectorFaultCode::ExpectedValue);
     requirement.values.emplace_back(value);
@@ -87,7 +87,7 @@
 std::optional<SelectorFault> parseWordOperator(Cursor& cursor, SelectorRequirement& requirement)
 {
     const SelectorFault here = cursor.fault(SelectorFaultCode::ExpectedOperator);
-    const std::string_view word = cursor.takeWord();
+    const std::string_view word = cursor.consumeWord();
     if (word.empty())
         return std::nullopt;
     if (word != "in" && word != "notin")
@@ -98,19 +98,19 @@
 
 std::optional<SelectorFault> parseRequirement(Cursor& cursor, SelectorRequirement& requirement)
 {
-    const bool negated = cursor.take("!");
-    requirement.key = std::string(cursor.takeWord());
+    const bool negated = cursor.consume("!");
+    requirement.key = std::string(cursor.consumeWord());
     if (requirement.key.empty())
         return cursor.fault(SelectorFaultCode::ExpectedKey);
     if (negated) {
         requirement.op = SelectorOperator::NotExists;
         return std::nullopt;
     }
-    if (cursor.take("!=")) {
+    if (cursor.consume("!=")) {
         requirement.op = SelectorOperator::NotIn;
         return parseSingleValue(cursor, requirement);
     }
-    if (cursor.take("==") || cursor.take("=")) {
+    if (cursor.consume("==") || cursor.consume("=")) {
         requirement.op = SelectorOperator::In;
         return parseSingleValue(cursor, requirement);
     }
@@ -182,7 +182,7 @@
         if (m_lastFault)
             return std::nullopt;
         requirements.push_back(std::move(requirement));
-        separated = cursor.take(",");
+        separated = cursor.consume(",");
     }
     if (separated && !requirements.empty()) {
         m_lastFault = cursor.fault(SelectorFaultCode::ExpectedKey);
--- a/src/decisions/wave.cpp
+++ b/src/decisions/wave.cpp
@@ -16,12 +16,12 @@
 constexpr std::int64_t leadDivisor = 7;
 
 /// One in this many spare instances stays available for replacements and loans.
-constexpr std::uint32_t spareKeptDivisor = 2;
+constexpr std::uint32_t spareReserveDivisor = 2;
 
 /// Rounds of maintenance that each further loan to a pool must save: the first value
 /// applies if moves have a higher weight than roll-out time, the second otherwise.
-constexpr std::uint32_t leastSavedSparing = 2;
-constexpr std::uint32_t leastSavedQuick = 1;
+constexpr std::uint32_t minRoundsSavedIfMovesCostly = 2;
+constexpr std::uint32_t minRoundsSavedOtherwise = 1;
 
 /// A member due for maintenance.
 struct DueMember {
@@ -34,11 +34,11 @@
     std::uint32_t due = 0; ///< Not yet under maintenance.
     std::uint32_t underWay = 0;
     std::uint32_t serving = 0;
-    std::vector<DueMember> takeable; ///< Due, in service, and a maintenance window is open.
+    std::vector<DueMember> eligible; ///< Due, in service, and a maintenance window is open.
     std::unordered_map<std::string_view, std::uint32_t> inService; ///< By failure domain.
 
     /// \returns Instances that this pool's wave still has to complete.
-    [[nodiscard]] std::uint32_t left() const noexcept { return due + underWay; }
+    [[nodiscard]] std::uint32_t remaining() const noexcept { return due + underWay; }
 };
 
 /// Maintenance work in the whole fleet.
@@ -47,33 +47,33 @@
     PoolWork spares;
 };
 
-bool windowOpen(const Pool& pool, Instant now) noexcept
+bool isWindowOpen(const Pool& pool, Instant now) noexcept
 {
     if (pool.windows.empty())
         return true;
     return std::any_of(pool.windows.begin(), pool.windows.end(), [&](const MaintenanceWindow& window) { return window.contains(now); });
 }
 
-FleetWork workOf(const FleetView& view, const FleetIndex& index)
+FleetWork collectWork(const FleetView& view, const FleetIndex& index)
 {
     FleetWork work;
     work.pools.resize(view.configuration.pools.size());
     forEachEntry(view.ledger, view.instances, [&](const LedgerEntry& entry, const Instance* instance, std::size_t) {
         const std::optional<std::size_t> number = index.poolNumber(entry.pool);
         const Pool* pool = number ? &view.configuration.pools[*number] : nullptr;
-        PoolWork& mine = number ? work.pools[*number] : work.spares;
+        PoolWork& poolWork = number ? work.pools[*number] : work.spares;
         if (entry.grant && entry.grant->reason == GrantReason::Maintenance)
-            ++mine.underWay;
+            ++poolWork.underWay;
         if (!isInService(entry, instance))
             return;
         const std::string_view domain = domainOf(*instance, pool ? pool->budget.survives : FailureDomain::Rack);
-        ++mine.serving;
-        ++mine.inService[domain];
+        ++poolWork.serving;
+        ++poolWork.inService[domain];
         if (!isDue(entry, view.configuration.maintenance, view.now))
             return;
-        ++mine.due;
-        if (!pool || windowOpen(*pool, view.now))
-            mine.takeable.push_back({ .id = entry.instance, .domain = domain });
+        ++poolWork.due;
+        if (!pool || isWindowOpen(*pool, view.now))
+            poolWork.eligible.push_back({ .id = entry.instance, .domain = domain });
     });
     return work;
 }
@@ -81,15 +81,15 @@
 /// Takes members until the guard refuses, those of the largest domain in service first.
 void takeFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& taken)
 {
-    while (!work.takeable.empty()) {
+    while (!work.eligible.empty()) {
         const auto fewer = [&](const DueMember& a, const DueMember& b) { return work.inService.at(a.domain) < work.inService.at(b.domain); };
-        const auto best = std::max_element(work.takeable.begin(), work.takeable.end(), fewer);
+        const auto best = std::max_element(work.eligible.begin(), work.eligible.end(), fewer);
         if (guard.refusalFor(best->id))
             return;
-        guard.take(best->id);
+        guard.markOutOfService(best->id);
         taken.emplace_back(best->id);
         --work.inService.at(best->domain);
-        work.takeable.erase(best);
+        work.eligible.erase(best);
     }
 }
 
@@ -97,31 +97,31 @@
 class LoanPlan {
 public:
     LoanPlan(const FleetView& view, const FleetIndex& index, const FleetWork& work)
-        : m_leastSaved(view.configuration.weights.moves > view.configuration.weights.rollOut ? leastSavedSparing : leastSavedQuick)
+        : m_minRoundsSaved(view.configuration.weights.moves > view.configuration.weights.rollOut ? minRoundsSavedIfMovesCostly : minRoundsSavedOtherwise)
         , m_free(work.spares.serving)
     {
         for (std::size_t pool = 0; pool < work.pools.size(); ++pool) {
-            const PoolWork& mine = work.pools[pool];
-            const std::uint32_t members = mine.serving + mine.underWay;
+            const PoolWork& poolWork = work.pools[pool];
+            const std::uint32_t members = poolWork.serving + poolWork.underWay;
             const std::uint32_t target = index.size(pool).target;
             const std::uint32_t surplus = members > target ? members - target : 0;
             m_free += surplus;
-            if (!mine.takeable.empty())
-                m_loans.push_back({ .pool = pool, .left = mine.left(), .surplus = surplus });
+            if (!poolWork.eligible.empty())
+                m_loans.push_back({ .pool = pool, .remaining = poolWork.remaining(), .surplus = surplus });
         }
         // Pools that have a loan keep it, to avoid needless moves. The others follow by remaining work.
-        std::stable_sort(m_loans.begin(), m_loans.end(), [](const Loan& a, const Loan& b) { return std::pair(a.surplus > 0, a.left) > std::pair(b.surplus > 0, b.left); });
+        std::stable_sort(m_loans.begin(), m_loans.end(), [](const Loan& a, const Loan& b) { return std::pair(a.surplus > 0, a.remaining) > std::pair(b.surplus > 0, b.remaining); });
     }
 
     [[nodiscard]] std::vector<PoolBoost> boosts(const Configuration& configuration)
     {
         for (Loan& loan : m_loans)
-            give(loan);
+            addInstance(loan);
         // Members beyond a pool's target are used up before more are lent.
-        while (Loan* loan = mostSaving(true))
-            give(*loan);
-        while (Loan* loan = mostSaving(false))
-            give(*loan);
+        while (Loan* loan = findBestLoan(true))
+            addInstance(*loan);
+        while (Loan* loan = findBestLoan(false))
+            addInstance(*loan);
         std::vector<PoolBoost> result;
         for (const Loan& loan : m_loans) {
             if (loan.instances > 0)
@@ -133,15 +133,15 @@
 private:
     struct Loan {
         std::size_t pool = 0;
-        std::uint32_t left = 0; ///< Instances still to be maintained.
+        std::uint32_t remaining = 0; ///< Instances still to be maintained.
         std::uint32_t surplus = 0; ///< Current members beyond the target.
         std::uint32_t instances = 0; ///< Lent by this plan.
 
         /// \returns Rounds of maintenance that one more instance saves.
-        [[nodiscard]] std::uint32_t saved() const noexcept { return instances == 0 ? left : left / instances - left / (instances + 1); }
+        [[nodiscard]] std::uint32_t roundsSaved() const noexcept { return instances == 0 ? remaining : remaining / instances - remaining / (instances + 1); }
     };
 
-    void give(Loan& loan) noexcept
+    void addInstance(Loan& loan) noexcept
     {
         if (m_free == 0)
             return;
@@ -149,29 +149,29 @@
         ++loan.instances;
     }
 
-    [[nodiscard]] Loan* mostSaving(bool held) noexcept
+    [[nodiscard]] Loan* findBestLoan(bool isAlreadyHeld) noexcept
     {
         Loan* best = nullptr;
         for (Loan& loan : m_loans) {
-            const bool enough = held ? loan.instances < loan.surplus && loan.saved() > 0 : loan.saved() >= m_leastSaved;
-            if (m_free > 0 && enough && (!best || loan.saved() > best->saved()))
+            const bool isWorthwhile = isAlreadyHeld ? loan.instances < loan.surplus && loan.roundsSaved() > 0 : loan.roundsSaved() >= m_minRoundsSaved;
+            if (m_free > 0 && isWorthwhile && (!best || loan.roundsSaved() > best->roundsSaved()))
                 best = &loan;
         }
         return best;
     }
 
-    std::uint32_t m_leastSaved;
+    std::uint32_t m_minRoundsSaved;
     std::uint32_t m_free;
     std::vector<Loan> m_loans;
 };
 
 /// Limits the spare instances that are taken in this step.
-void keepSomeSpares(PoolWork& spares)
+void limitSpares(PoolWork& spares)
 {
-    const std::uint32_t kept = (spares.serving + spares.underWay) / spareKeptDivisor;
-    const std::uint32_t mayTake = spares.serving > kept ? spares.serving - kept : 0;
-    if (spares.takeable.size() > mayTake)
-        spares.takeable.resize(mayTake);
+    const std::uint32_t reserved = (spares.serving + spares.underWay) / spareReserveDivisor;
+    const std::uint32_t maxTaken = spares.serving > reserved ? spares.serving - reserved : 0;
+    if (spares.eligible.size() > maxTaken)
+        spares.eligible.resize(maxTaken);
 }
 
 } // namespace
@@ -208,14 +208,14 @@
 
 std::vector<PoolBoost> WavePlanner::boosts(const FleetView& view, const FleetIndex& index) const
 {
-    return LoanPlan(view, index, workOf(view, index)).boosts(view.configuration);
+    return LoanPlan(view, index, collectWork(view, index)).boosts(view.configuration);
 }
 
 std::vector<std::string> WavePlanner::next(const FleetView& view, const FleetIndex& index, DisruptionGuard& guard) const
 {
-    FleetWork work = workOf(view, index);
+    FleetWork work = collectWork(view, index);
     std::vector<std::string> taken;
-    keepSomeSpares(work.spares);
+    limitSpares(work.spares);
     takeFromPool(work.spares, guard, taken);
     for (PoolWork& pool : work.pools)
         takeFromPool(pool, guard, taken);
--- a/src/serve/process/control_role.cpp
+++ b/src/serve/process/control_role.cpp
@@ -148,12 +148,12 @@
 void ControlRole::checkInvariants(const Snapshot& snapshot)
 {
     const FleetView view = snapshot.view(currentInstant());
-    const std::vector<PoolStanding> all = standings(view);
+    const std::vector<PoolStatus> all = poolStatuses(view);
     for (const InvariantBreach& breach : m_invariant.check(view.configuration, all)) {
         m_state.metrics().onBreach(breach.code);
         m_state.log().change("invariant-broken", { { "invariant", std::string(describe(breach.code)) }, { "subject", breach.subject } });
     }
-    const auto below = std::count_if(all.begin(), all.end(), [](const PoolStanding& standing) { return standing.inService < standing.minimum; });
+    const auto below = std::count_if(all.begin(), all.end(), [](const PoolStatus& standing) { return standing.inService < standing.minimum; });
     m_state.metrics().set(StateGauge::PoolsBelowBudget, static_cast<double>(below));
     m_state.metrics().set(StateGauge::WaveDue, waveProgress(view).due);
 }
--- a/src/serve/process/reports.cpp
+++ b/src/serve/process/reports.cpp
@@ -108,12 +108,12 @@
 std::string reportPools(const FleetView& view)
 {
     const FleetIndex index(view.configuration, view.instances);
-    const std::vector<PoolStanding> all = standings(view);
+    const std::vector<PoolStatus> all = poolStatuses(view);
     const ControlPlan plan = planNow(view);
     std::map<std::string_view, std::uint32_t> members = membersByPool(view);
     Json json { { "pools", Json::array() }, { "spare", members[{}] } };
     for (std::size_t pool = 0; pool < all.size(); ++pool) {
-        const PoolStanding& standing = all[pool];
+        const PoolStatus& standing = all[pool];
         Json one {
             { "name", standing.pool },
             { "members", members[standing.pool] },
--- a/src/serve/process/shared_state.cpp
+++ b/src/serve/process/shared_state.cpp
@@ -65,14 +65,14 @@
 void SharedState::onPeerSigns(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving)
 {
     const std::lock_guard lock(m_mutex);
-    m_merger.onSigns(peer, std::move(failing), std::move(leaving), currentInstant());
+    m_merger.onReport(peer, std::move(failing), std::move(leaving), currentInstant());
 }
 
 void SharedState::refreshObservations()
 {
     const std::lock_guard lock(m_mutex);
     const Instant now = currentInstant();
-    m_merger.onSigns(m_settings.name, m_endpoints.failing(), m_endpoints.leaving(), now);
+    m_merger.onReport(m_settings.name, m_endpoints.failing(), m_endpoints.leaving(), now);
     const std::shared_ptr<const Snapshot> before = m_snapshots.load();
     Instances merged = m_merger.merge(*before->ledger, now);
     if (merged == *before->instances)
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -142,7 +142,7 @@
         const Seat seat = m_state.seat();
         if (!team || seat.seats == 0)
             return 0;
-        return std::max<std::uint32_t>(1, shareOfSeat(team->name, team->quota, seat.number, seat.seats));
+        return std::max<std::uint32_t>(1, shareOfShard(team->name, team->quota, seat.number, seat.seats));
     }
 
     void serveQueued(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, std::uint32_t quota, RequestMeasure& measure)
@@ -167,7 +167,7 @@
     {
         ClaimAttempt attempt = m_claims.claim(context.team, context.idempotencyKey);
         if (std::holds_alternative<ClaimUnavailable>(attempt))
-            return { .refusal = RequestRefusal::StoreAway };
+            return { .refusal = RequestRefusal::StoreUnavailable };
         if (const auto* others = std::get_if<OrderClaim>(&attempt)) {
             const RequestOutcome outcome = others->state == ClaimState::Ran ? RequestOutcome::Ran : RequestOutcome::Unknown;
             return { .outcome = outcome, .refusal = RequestRefusal::AlreadyAccepted, .status = others->status };
@@ -184,7 +184,7 @@
         Sending last { .refusal = RequestRefusal::NoEndpoint };
         m_retries.onFirstAttempt();
         for (int attempt = 0; attempt < mostAttempts; ++attempt) {
-            if (attempt > 0 && !m_retries.take())
+            if (attempt > 0 && !m_retries.tryAcquire())
                 break;
             const Route* route = gate.takeEndpoint(routes, m_state.endpoints(), tried);
             if (!route)
--- a/src/serve/request/problem.cpp
+++ b/src/serve/request/problem.cpp
@@ -44,7 +44,7 @@
     case RequestRefusal::NoEndpoint:
     case RequestRefusal::EntryStopping:
     case RequestRefusal::EntryNotReady:
-    case RequestRefusal::StoreAway:
+    case RequestRefusal::StoreUnavailable:
         break;
     }
     return 503;
--- a/src/serve/version/routing_table.cpp
+++ b/src/serve/version/routing_table.cpp
@@ -10,8 +10,8 @@
 
 Route routeTo(const Instance& instance, Seat seat, EndpointRegistry& registry)
 {
-    const std::uint32_t slots = shareOfSeat(instance.id, instance.slots, seat.number, seat.seats);
-    const std::uint32_t connections = shareOfSeat(instance.id, instance.connections, seat.number, seat.seats);
+    const std::uint32_t slots = shareOfShard(instance.id, instance.slots, seat.number, seat.seats);
+    const std::uint32_t connections = shareOfShard(instance.id, instance.connections, seat.number, seat.seats);
     return {
         .endpoint = registry.at(instance.id, { instance.address, instance.port }),
         .rack = instance.rack,
--- a/src/state/configuration_document.cpp
+++ b/src/state/configuration_document.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::int64_t mostInstances = 100'000;
-constexpr std::int64_t mostWeight = 1'000'000;
-constexpr std::int64_t mostPeriodDays = 3'650;
-constexpr std::int64_t mostReturnMinutes = 7 * 24 * 60;
+constexpr std::int64_t maxInstances = 100'000;
+constexpr std::int64_t maxWeight = 1'000'000;
+constexpr std::int64_t maxPeriodDays = 3'650;
+constexpr std::int64_t maxReturnMinutes = 7 * 24 * 60;
 
 struct DomainName {
     std::string_view text;
@@ -27,28 +27,28 @@
     { .text = "dataHall", .domain = FailureDomain::DataHall },
 } };
 
-std::uint32_t narrowed(std::optional<std::int64_t> value, std::uint32_t otherwise) noexcept
+std::uint32_t narrowOr(std::optional<std::int64_t> value, std::uint32_t fallback) noexcept
 {
-    return value ? static_cast<std::uint32_t>(*value) : otherwise;
+    return value ? static_cast<std::uint32_t>(*value) : fallback;
 }
 
-FailureDomain readDomain(ObjectReader& reader, FailureDomain otherwise)
+FailureDomain readDomain(ObjectReader& reader, FailureDomain fallback)
 {
     const std::optional<std::string> text = reader.string("survives");
     if (!text)
-        return otherwise;
+        return fallback;
     for (const DomainName& name : domainNames) {
         if (name.text == *text)
             return name.domain;
     }
     reader.fault(DocumentFaultCode::BadValue, "survives", "one of none, instance, rack, dataHall");
-    return otherwise;
+    return fallback;
 }
 
 AvailabilityBudget readBudget(ObjectReader& reader)
 {
     AvailabilityBudget budget;
-    budget.minimum = narrowed(reader.integer("minimum", 0, mostInstances, true), 0);
+    budget.minimum = narrowOr(reader.integer("minimum", 0, maxInstances, true), 0);
     budget.survives = readDomain(reader, budget.survives);
     return budget;
 }
@@ -90,7 +90,7 @@
     pool.name = readName(reader);
     pool.selector = readSelector(reader);
     pool.priority = static_cast<std::int32_t>(reader.integer("priority", -1'000, 1'000).value_or(0));
-    pool.wanted = narrowed(reader.integer("wanted", 0, mostInstances), 0);
+    pool.wanted = narrowOr(reader.integer("wanted", 0, maxInstances), 0);
     reader.object(
         "budget", [&](ObjectReader& budget) { pool.budget = readBudget(budget); }, true);
     reader.objects("windows", [&](ObjectReader& window) {
@@ -104,8 +104,8 @@
 Maintenance readMaintenance(ObjectReader& reader)
 {
     Maintenance maintenance;
-    maintenance.periodDays = narrowed(reader.integer("periodDays", 1, mostPeriodDays), maintenance.periodDays);
-    maintenance.returnMinutes = narrowed(reader.integer("returnMinutes", 1, mostReturnMinutes), maintenance.returnMinutes);
+    maintenance.periodDays = narrowOr(reader.integer("periodDays", 1, maxPeriodDays), maintenance.periodDays);
+    maintenance.returnMinutes = narrowOr(reader.integer("returnMinutes", 1, maxReturnMinutes), maintenance.returnMinutes);
     const std::optional<std::string> wave = reader.string("waveRequestedAt");
     const std::optional<Instant> instant = wave ? parseInstant(*wave) : std::nullopt;
     if (wave && !instant)
@@ -118,9 +118,9 @@
 void sortByName(std::vector<Named>& all, const char* field, ObjectReader& reader)
 {
     std::sort(all.begin(), all.end(), [](const Named& a, const Named& b) { return a.name < b.name; });
-    const auto twin = std::adjacent_find(all.begin(), all.end(), [](const Named& a, const Named& b) { return a.name == b.name; });
-    if (twin != all.end())
-        reader.fault(DocumentFaultCode::DuplicateName, field, twin->name);
+    const auto duplicate = std::adjacent_find(all.begin(), all.end(), [](const Named& a, const Named& b) { return a.name == b.name; });
+    if (duplicate != all.end())
+        reader.fault(DocumentFaultCode::DuplicateName, field, duplicate->name);
 }
 
 Configuration readConfiguration(ObjectReader& reader)
@@ -130,13 +130,13 @@
     reader.objects("pools", [&](ObjectReader& pool) { configuration.pools.push_back(readPool(pool)); });
     reader.objects("teams", [&](ObjectReader& team) {
         const std::string name = readName(team);
-        const std::uint32_t quota = narrowed(team.integer("quota", 1, mostInstances, true), 1);
+        const std::uint32_t quota = narrowOr(team.integer("quota", 1, maxInstances, true), 1);
         configuration.teams.push_back({ .name = name, .quota = quota });
     });
     configuration.drains = reader.strings("drains");
     reader.object("weights", [&](ObjectReader& weights) {
-        configuration.weights.moves = narrowed(weights.integer("moves", 0, mostWeight), 1);
-        configuration.weights.rollOut = narrowed(weights.integer("rollOut", 0, mostWeight), 1);
+        configuration.weights.moves = narrowOr(weights.integer("moves", 0, maxWeight), 1);
+        configuration.weights.rollOut = narrowOr(weights.integer("rollOut", 0, maxWeight), 1);
     });
     reader.object("maintenance", [&](ObjectReader& maintenance) { configuration.maintenance = readMaintenance(maintenance); });
     reader.finish();
--- a/src/state/json_document.cpp
+++ b/src/state/json_document.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Max nesting depth of documents.
-constexpr std::size_t maximumDepth = 32;
+constexpr std::size_t maxNestingDepth = 32;
 
 /// Iterator that counts the bytes read, so that a SAX handler can derive positions.
 class CountingIterator {
@@ -107,7 +107,7 @@
 
     bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception& error) override
     {
-        m_faults.push_back({ .code = DocumentFaultCode::Syntax, .field = {}, .position = here(), .detail = error.what() });
+        m_faults.push_back({ .code = DocumentFaultCode::Syntax, .field = {}, .position = currentPosition(), .detail = error.what() });
         return false;
     }
 
@@ -119,7 +119,7 @@
         std::set<std::string> seen;
     };
 
-    [[nodiscard]] SourcePosition here() const { return positionAt(m_text, m_offset == 0 ? 0 : m_offset - 1); }
+    [[nodiscard]] SourcePosition currentPosition() const { return positionAt(m_text, m_offset == 0 ? 0 : m_offset - 1); }
 
     /// The parser reads at most one byte past a token, which never belongs to the next token.
     [[nodiscard]] std::size_t tokenStart() const
@@ -148,8 +148,8 @@
     {
         m_offsets.emplace(currentPointer(), tokenStart());
         m_tokenEnd = m_offset;
-        if (m_levels.size() == maximumDepth) {
-            m_faults.push_back({ .code = DocumentFaultCode::Syntax, .field = currentPointer(), .position = here(), .detail = "nested too deeply" });
+        if (m_levels.size() == maxNestingDepth) {
+            m_faults.push_back({ .code = DocumentFaultCode::Syntax, .field = currentPointer(), .position = currentPosition(), .detail = "nested too deeply" });
             return false;
         }
         m_levels.push_back({ .isArray = isArray });
@@ -265,9 +265,9 @@
     return name.empty() ? m_field : m_field + '/' + escapePointer(name);
 }
 
-const nlohmann::json* ObjectReader::take(const char* name, bool required)
+const nlohmann::json* ObjectReader::findField(const char* name, bool required)
 {
-    m_asked.emplace_back(name);
+    m_requestedFields.emplace_back(name);
     if (!m_value.is_object())
         return nullptr;
     const auto found = m_value.find(name);
@@ -280,7 +280,7 @@
 
 std::optional<std::string> ObjectReader::string(const char* name, bool required)
 {
-    const nlohmann::json* value = take(name, required);
+    const nlohmann::json* value = findField(name, required);
     if (!value)
         return std::nullopt;
     if (value->is_string())
@@ -289,26 +289,26 @@
     return std::nullopt;
 }
 
-std::optional<std::int64_t> ObjectReader::integer(const char* name, std::int64_t least, std::int64_t most, bool required)
+std::optional<std::int64_t> ObjectReader::integer(const char* name, std::int64_t minValue, std::int64_t maxValue, bool required)
 {
-    const nlohmann::json* value = take(name, required);
+    const nlohmann::json* value = findField(name, required);
     if (!value)
         return std::nullopt;
     if (!value->is_number_integer()) {
         fault(DocumentFaultCode::WrongType, name, "a whole number is expected");
         return std::nullopt;
     }
-    const bool beyondSigned = value->is_number_unsigned() && value->get<std::uint64_t>() > static_cast<std::uint64_t>(most);
-    if (beyondSigned || value->get<std::int64_t>() < least || value->get<std::int64_t>() > most) {
-        fault(DocumentFaultCode::OutOfRange, name, std::to_string(least) + " to " + std::to_string(most));
+    const bool beyondSigned = value->is_number_unsigned() && value->get<std::uint64_t>() > static_cast<std::uint64_t>(maxValue);
+    if (beyondSigned || value->get<std::int64_t>() < minValue || value->get<std::int64_t>() > maxValue) {
+        fault(DocumentFaultCode::OutOfRange, name, std::to_string(minValue) + " to " + std::to_string(maxValue));
         return std::nullopt;
     }
     return value->get<std::int64_t>();
 }
 
-std::optional<double> ObjectReader::number(const char* name, double least, double most)
+std::optional<double> ObjectReader::number(const char* name, double minValue, double maxValue)
 {
-    const nlohmann::json* value = take(name, false);
+    const nlohmann::json* value = findField(name, false);
     if (!value)
         return std::nullopt;
     if (!value->is_number()) {
@@ -316,8 +316,8 @@
         return std::nullopt;
     }
     const auto number = value->get<double>();
-    if (number < least || number > most) {
-        fault(DocumentFaultCode::OutOfRange, name, "from " + std::to_string(least) + " to " + std::to_string(most));
+    if (number < minValue || number > maxValue) {
+        fault(DocumentFaultCode::OutOfRange, name, "from " + std::to_string(minValue) + " to " + std::to_string(maxValue));
         return std::nullopt;
     }
     return number;
@@ -325,7 +325,7 @@
 
 std::optional<bool> ObjectReader::boolean(const char* name)
 {
-    const nlohmann::json* value = take(name, false);
+    const nlohmann::json* value = findField(name, false);
     if (!value)
         return std::nullopt;
     if (!value->is_boolean()) {
@@ -338,7 +338,7 @@
 std::vector<std::string> ObjectReader::strings(const char* name)
 {
     std::vector<std::string> result;
-    const nlohmann::json* value = take(name, false);
+    const nlohmann::json* value = findField(name, false);
     if (!value)
         return result;
     const auto isString = [](const nlohmann::json& element) { return element.is_string(); };
@@ -353,7 +353,7 @@
 
 void ObjectReader::object(const char* name, const std::function<void(ObjectReader&)>& read, bool required)
 {
-    const nlohmann::json* value = take(name, required);
+    const nlohmann::json* value = findField(name, required);
     if (!value)
         return;
     ObjectReader reader(m_document, *value, pointerTo(name));
@@ -363,7 +363,7 @@
 
 void ObjectReader::objects(const char* name, const std::function<void(ObjectReader&)>& read)
 {
-    const nlohmann::json* value = take(name, false);
+    const nlohmann::json* value = findField(name, false);
     if (!value)
         return;
     if (!value->is_array()) {
@@ -387,7 +387,7 @@
     if (!m_value.is_object())
         return;
     for (const auto& [name, value] : m_value.items()) {
-        if (std::find(m_asked.begin(), m_asked.end(), name) == m_asked.end())
+        if (std::find(m_requestedFields.begin(), m_requestedFields.end(), name) == m_requestedFields.end())
             m_document.addFault(DocumentFaultCode::UnknownField, pointerTo(name), name);
     }
 }
--- a/src/state/observation_merger.cpp
+++ b/src/state/observation_merger.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A report of a source expires unless it is renewed within this time.
-constexpr Millis signsLapseAfter = std::chrono::seconds(5);
+constexpr Millis reportLifetime = std::chrono::seconds(5);
 /// An instance missing from the list for this long is gone.
 constexpr Millis goneAfter = std::chrono::seconds(60);
 
@@ -19,12 +19,12 @@
     for (const Instance& instance : listed)
         m_lastSeen[instance.id] = instance;
     m_listed = std::move(listed);
-    m_haveList = true;
+    m_hasList = true;
 }
 
-void ObservationMerger::onSigns(const std::string& source, std::set<std::string> failing, std::set<std::string> leaving, Instant now)
+void ObservationMerger::onReport(const std::string& source, std::set<std::string> failing, std::set<std::string> leaving, Instant now)
 {
-    m_signs[source] = { .failing = std::move(failing), .leaving = std::move(leaving), .lapsesAt = now + signsLapseAfter };
+    m_reports[source] = { .failing = std::move(failing), .leaving = std::move(leaving), .expiresAt = now + reportLifetime };
 }
 
 std::set<std::string> ObservationMerger::listedLeaving() const
@@ -37,13 +37,13 @@
     return leaving;
 }
 
-void ObservationMerger::applySigns(Instance& instance, Instant now) const
+void ObservationMerger::applyReports(Instance& instance, Instant now) const
 {
-    for (const auto& [source, signs] : m_signs) {
-        if (now >= signs.lapsesAt)
+    for (const auto& [source, report] : m_reports) {
+        if (now >= report.expiresAt)
             continue;
-        instance.failing = instance.failing || signs.failing.contains(instance.id);
-        if (signs.leaving.contains(instance.id) && instance.state == InstanceState::Live)
+        instance.failing = instance.failing || report.failing.contains(instance.id);
+        if (report.leaving.contains(instance.id) && instance.state == InstanceState::Live)
             instance.state = InstanceState::Leaving;
     }
 }
@@ -68,25 +68,25 @@
     merged.insert(merged.end(), missing.begin(), missing.end());
 }
 
-void ObservationMerger::noteOutSince(Instance& instance, Instant now)
+void ObservationMerger::updateUnhealthySince(Instance& instance, Instant now)
 {
     if (isHealthy(instance)) {
-        m_outSince.erase(instance.id);
+        m_unhealthySince.erase(instance.id);
         return;
     }
-    instance.outSince = m_outSince.emplace(instance.id, now).first->second;
+    instance.unhealthySince = m_unhealthySince.emplace(instance.id, now).first->second;
 }
 
 Instances ObservationMerger::merge(const Ledger& ledger, Instant now)
 {
-    if (!m_haveList)
+    if (!m_hasList)
         return {};
     Instances merged = m_listed;
     addMissing(ledger, now, merged);
     std::sort(merged.begin(), merged.end(), [](const Instance& a, const Instance& b) { return a.id < b.id; });
     for (Instance& instance : merged) {
-        applySigns(instance, now);
-        noteOutSince(instance, now);
+        applyReports(instance, now);
+        updateUnhealthySince(instance, now);
     }
     return merged;
 }
--- a/src/state/settings.cpp
+++ b/src/state/settings.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::int64_t mostPort = 65'535;
-constexpr std::int64_t mostCount = 100'000;
-constexpr std::int64_t mostMilliseconds = 24LL * 60 * 60 * 1'000;
+constexpr std::int64_t maxPort = 65'535;
+constexpr std::int64_t maxCount = 100'000;
+constexpr std::int64_t maxMilliseconds = 24LL * 60 * 60 * 1'000;
 
 bool isIpNumber(const std::string& text)
 {
@@ -32,22 +32,22 @@
 }
 
 template <typename Number>
-void readNumber(ObjectReader& reader, const char* name, std::int64_t least, std::int64_t most, Number& number)
+void readNumber(ObjectReader& reader, const char* name, std::int64_t minValue, std::int64_t maxValue, Number& number)
 {
-    if (const std::optional<std::int64_t> value = reader.integer(name, least, most))
+    if (const std::optional<std::int64_t> value = reader.integer(name, minValue, maxValue))
         number = static_cast<Number>(*value);
 }
 
-void readMillis(ObjectReader& reader, const char* name, std::int64_t least, Millis& length)
+void readMillis(ObjectReader& reader, const char* name, std::int64_t minValue, Millis& duration)
 {
-    if (const std::optional<std::int64_t> value = reader.integer(name, least, mostMilliseconds))
-        length = Millis(*value);
+    if (const std::optional<std::int64_t> value = reader.integer(name, minValue, maxMilliseconds))
+        duration = Millis(*value);
 }
 
 void readListen(ObjectReader& reader, ListenSettings& listen)
 {
     readIp(reader, listen.ip, false);
-    readNumber(reader, "port", 0, mostPort, listen.port);
+    readNumber(reader, "port", 0, maxPort, listen.port);
     listen.certificateFile = reader.string("certificateFile").value_or(std::string());
     listen.keyFile = reader.string("keyFile").value_or(std::string());
     if (listen.certificateFile.empty() != listen.keyFile.empty())
@@ -57,7 +57,7 @@
 void readPeerListen(ObjectReader& reader, PeerListenSettings& listen)
 {
     readIp(reader, listen.ip, false);
-    readNumber(reader, "port", 0, mostPort, listen.port);
+    readNumber(reader, "port", 0, maxPort, listen.port);
     listen.keyFile = reader.string("keyFile").value_or(std::string());
     if (!isLoopback(listen.ip) && listen.keyFile.empty())
         reader.fault(DocumentFaultCode::InsecureAddress, "keyFile", "the peer link needs a key file");
@@ -67,7 +67,7 @@
 {
     PeerAddress address;
     readIp(reader, address.ip, true);
-    if (const std::optional<std::int64_t> port = reader.integer("port", 1, mostPort, true))
+    if (const std::optional<std::int64_t> port = reader.integer("port", 1, maxPort, true))
         address.port = static_cast<std::uint16_t>(*port);
     return address;
 }
@@ -84,11 +84,11 @@
 
 void readLimits(ObjectReader& reader, Settings& settings)
 {
-    readNumber(reader, "seats", 1, mostCount, settings.seats);
-    readNumber(reader, "mostListeners", 0, mostCount, settings.mostListeners);
-    readNumber(reader, "mostThreads", 8, mostCount, settings.mostThreads);
-    readNumber(reader, "mostWaiting", 1, mostCount, settings.mostWaiting);
-    readNumber(reader, "claimsPerSecond", 1, mostCount, settings.claimsPerSecond);
+    readNumber(reader, "seats", 1, maxCount, settings.seats);
+    readNumber(reader, "mostListeners", 0, maxCount, settings.mostListeners);
+    readNumber(reader, "mostThreads", 8, maxCount, settings.mostThreads);
+    readNumber(reader, "mostWaiting", 1, maxCount, settings.mostWaiting);
+    readNumber(reader, "claimsPerSecond", 1, maxCount, settings.claimsPerSecond);
     readMillis(reader, "defaultDeadlineMs", 1, settings.defaultDeadline);
     readMillis(reader, "unreadyBeforeStopMs", 0, settings.unreadyBeforeStop);
     readMillis(reader, "leaseMs", 500, settings.leaseTime);
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -6,7 +6,7 @@
 
 bool SnapshotHolder::offerConfiguration(Configuration configuration)
 {
-    const std::lock_guard lock(m_writers);
+    const std::lock_guard lock(m_writeMutex);
     Snapshot next = *load();
     if (configuration.revision <= next.configuration->revision)
         return false;
@@ -17,7 +17,7 @@
 
 bool SnapshotHolder::offerLedger(Ledger ledger)
 {
-    const std::lock_guard lock(m_writers);
+    const std::lock_guard lock(m_writeMutex);
     Snapshot next = *load();
     if (ledger.version <= next.ledger->version)
         return false;
@@ -28,7 +28,7 @@
 
 void SnapshotHolder::setInstances(Instances instances)
 {
-    const std::lock_guard lock(m_writers);
+    const std::lock_guard lock(m_writeMutex);
     Snapshot next = *load();
     next.instances = std::make_shared<const Instances>(std::move(instances));
     m_current.store(std::make_shared<const Snapshot>(std::move(next)), std::memory_order_release);
--- a/src/state/time_text.cpp
+++ b/src/state/time_text.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t minutesPerHour = 60;
 constexpr std::uint32_t minutesPerDay = 24 * minutesPerHour;
 
-std::optional<int> takeNumber(std::string_view& text, std::size_t digits, int least, int most)
+std::optional<int> takeNumber(std::string_view& text, std::size_t digits, int minValue, int maxValue)
 {
     if (text.size() < digits)
         return std::nullopt;
@@ -23,7 +23,7 @@
         number = number * 10 + (c - '0');
     }
     text.remove_prefix(digits);
-    if (number < least || number > most)
+    if (number < minValue || number > maxValue)
         return std::nullopt;
     return number;
 }
@@ -43,14 +43,14 @@
         return 0;
     int milliseconds = 0;
     int weight = 100;
-    bool any = false;
+    bool hasDigits = false;
     while (!text.empty() && text.front() >= '0' && text.front() <= '9') {
         milliseconds += (text.front() - '0') * weight;
         weight /= 10;
-        any = true;
+        hasDigits = true;
         text.remove_prefix(1);
     }
-    if (!any)
+    if (!hasDigits)
         return std::nullopt;
     return milliseconds;
 }
--- a/tests/support/control_loop.cpp
+++ b/tests/support/control_loop.cpp
@@ -4,21 +4,21 @@
 
 std::optional<Ledger> FakeLedgerStore::read() const
 {
-    if (m_away)
+    if (m_unavailable)
         return std::nullopt;
     return m_ledger;
 }
 
 bool FakeLedgerStore::write(const Ledger& next)
 {
-    if (m_away || next.version != m_ledger.version || next.epoch < m_ledger.epoch)
+    if (m_unavailable || next.version != m_ledger.version || next.epoch < m_ledger.epoch)
         return false;
     m_ledger = next;
     ++m_ledger.version;
     ++m_writes;
-    if (m_answersToLose == 0)
+    if (m_responsesToLose == 0)
         return true;
-    --m_answersToLose;
+    --m_responsesToLose;
     return false;
 }
 
@@ -31,18 +31,18 @@
 void FakeHolder::decide(const FakeLedgerStore& store, const Configuration& configuration, const FakeFleet& fleet)
 {
     const std::optional<Ledger> ledger = store.read();
-    m_decided = ledger.has_value();
-    if (!m_decided)
+    m_hasPlan = ledger.has_value();
+    if (!m_hasPlan)
         return;
     m_plan = m_controller.step({ .configuration = configuration, .ledger = *ledger, .instances = fleet.listed(), .now = fleet.now() }, m_epoch);
-    m_decided = !m_plan.superseded;
+    m_hasPlan = !m_plan.superseded;
 }
 
 bool FakeHolder::write(FakeLedgerStore& store)
 {
-    if (!m_decided)
+    if (!m_hasPlan)
         return false;
-    m_decided = false;
+    m_hasPlan = false;
     if (!m_plan.changed)
         return true;
     if (!store.write(m_plan.next))
--- a/tests/support/control_loop.h
+++ b/tests/support/control_loop.h
@@ -24,8 +24,8 @@
     /// the write took effect.
     bool write(const Ledger& next);
 
-    void setAway(bool away) noexcept { m_away = away; }
-    void loseNextAnswers(int count) noexcept { m_answersToLose = count; }
+    void setUnavailable(bool unavailable) noexcept { m_unavailable = unavailable; }
+    void loseNextResponses(int count) noexcept { m_responsesToLose = count; }
 
     /// \returns The stored ledger, even while the store is unavailable.
     [[nodiscard]] const Ledger& truth() const noexcept { return m_ledger; }
@@ -36,8 +36,8 @@
 private:
     Ledger m_ledger;
     std::uint64_t m_writes = 0;
-    int m_answersToLose = 0;
-    bool m_away = false;
+    int m_responsesToLose = 0;
+    bool m_unavailable = false;
 };
 
 /// \brief One holder of the control role. Runs the same steps as the daemon.
@@ -72,7 +72,7 @@
     Controller m_controller;
     ControlPlan m_plan;
     std::uint64_t m_acceptedMoves = 0;
-    bool m_decided = false;
+    bool m_hasPlan = false;
 };
 
 } // namespace lanemoor::test
--- a/tests/support/fake_fleet.cpp
+++ b/tests/support/fake_fleet.cpp
@@ -7,49 +7,49 @@
 namespace {
 
 /// A Wednesday at 12:00 UTC, so that maintenance windows can be tested around it.
-constexpr Instant startOfTime { std::chrono::seconds(1'764'763'200) };
+constexpr Instant startTime { std::chrono::seconds(1'764'763'200) };
 
 } // namespace
 
 FakeFleet::FakeFleet(Instances instances, FakeFleetOptions options)
     : m_options(options)
-    , m_now(startOfTime)
+    , m_now(startTime)
     , m_truth(std::move(instances))
 {
     std::sort(m_truth.begin(), m_truth.end(), [](const Instance& a, const Instance& b) { return a.id < b.id; });
     m_history.push_back(m_truth);
 }
 
-bool FakeFleet::named(const Instance& instance, std::string_view name) const
+bool FakeFleet::matchesName(const Instance& instance, std::string_view name) const
 {
     return instance.id == name || instance.rack == name || instance.dataHall == name;
 }
 
-void FakeFleet::settle(Instance& instance)
+void FakeFleet::updateInstance(Instance& instance)
 {
-    Work& work = m_work[instance.id];
-    if (work.draining && m_now >= work.drainedAt)
+    InstanceProgress& progress = m_progress[instance.id];
+    if (progress.draining && m_now >= progress.drainedAt)
         instance.drained = true;
-    if (work.rebooting && m_now >= work.backAt && !work.lostAtReboot) {
-        work.rebooting = false;
-        work.draining = false;
+    if (progress.rebooting && m_now >= progress.returnsAt && !progress.failsAtReboot) {
+        progress.rebooting = false;
+        progress.draining = false;
         instance.drained = false;
         instance.failing = false;
         ++instance.bootId;
     }
-    const bool down = work.lost || work.rebooting;
+    const bool down = progress.failed || progress.rebooting;
     instance.state = down ? InstanceState::Leaving : InstanceState::Live;
     if (isHealthy(instance))
-        instance.outSince.reset();
-    else if (!instance.outSince)
-        instance.outSince = m_now;
+        instance.unhealthySince.reset();
+    else if (!instance.unhealthySince)
+        instance.unhealthySince = m_now;
 }
 
 void FakeFleet::advance()
 {
     m_now += m_options.step;
     for (Instance& instance : m_truth)
-        settle(instance);
+        updateInstance(instance);
     m_history.push_back(m_truth);
     while (m_history.size() > m_options.listLagSteps + 1)
         m_history.pop_front();
@@ -57,25 +57,25 @@
 
 bool FakeFleet::perform(const Action& action)
 {
-    Work& work = m_work[action.instance];
-    if (m_options.checksEpochs && action.epoch < work.newestEpoch)
+    InstanceProgress& progress = m_progress[action.instance];
+    if (m_options.checksEpochs && action.epoch < progress.newestEpoch)
         return false;
-    work.newestEpoch = std::max(work.newestEpoch, action.epoch);
+    progress.newestEpoch = std::max(progress.newestEpoch, action.epoch);
     switch (action.kind) {
     case ActionKind::Drain:
-        if (!work.draining)
-            work.drainedAt = m_now + m_options.drainTime;
-        work.draining = true;
+        if (!progress.draining)
+            progress.drainedAt = m_now + m_options.drainTime;
+        progress.draining = true;
         break;
     case ActionKind::Reboot:
-        if (work.rebootedUnder == action.grant)
+        if (progress.lastRebootGrant == action.grant)
             break;
-        work.rebootedUnder = action.grant;
-        work.rebooting = true;
-        work.backAt = m_now + m_options.rebootTime;
+        progress.lastRebootGrant = action.grant;
+        progress.rebooting = true;
+        progress.returnsAt = m_now + m_options.rebootTime;
         break;
     case ActionKind::Undrain:
-        work.draining = false;
+        progress.draining = false;
         for (Instance& instance : m_truth) {
             if (instance.id == action.instance)
                 instance.drained = false;
@@ -88,16 +88,16 @@
 void FakeFleet::fail(std::string_view name)
 {
     for (const Instance& instance : m_truth) {
-        if (named(instance, name))
-            m_work[instance.id].lost = true;
+        if (matchesName(instance, name))
+            m_progress[instance.id].failed = true;
     }
 }
 
 void FakeFleet::recover(std::string_view name)
 {
     for (const Instance& instance : m_truth) {
-        if (named(instance, name))
-            m_work[instance.id].lost = false;
+        if (matchesName(instance, name))
+            m_progress[instance.id].failed = false;
     }
 }
 
@@ -109,9 +109,9 @@
     }
 }
 
-void FakeFleet::loseAtReboot(std::string_view id)
+void FakeFleet::failAtReboot(std::string_view id)
 {
-    m_work[std::string(id)].lostAtReboot = true;
+    m_progress[std::string(id)].failsAtReboot = true;
 }
 
 void FakeFleet::relabel(std::string_view id, const LabelSet& labels)
--- a/tests/support/fake_fleet.h
+++ b/tests/support/fake_fleet.h
@@ -53,7 +53,7 @@
     void setFailing(std::string_view id, bool failing);
 
     /// \brief Makes `id` not return from its reboot.
-    void loseAtReboot(std::string_view id);
+    void failAtReboot(std::string_view id);
 
     /// \brief Replaces the labels of one instance.
     void relabel(std::string_view id, const LabelSet& labels);
@@ -62,24 +62,24 @@
     void remove(std::string_view id);
 
 private:
-    struct Work {
-        std::uint64_t rebootedUnder = 0;
+    struct InstanceProgress {
+        std::uint64_t lastRebootGrant = 0;
         std::uint64_t newestEpoch = 0;
         Instant drainedAt;
-        Instant backAt;
+        Instant returnsAt;
         bool draining = false;
         bool rebooting = false;
-        bool lost = false;
-        bool lostAtReboot = false;
+        bool failed = false;
+        bool failsAtReboot = false;
     };
 
-    void settle(Instance& instance);
-    [[nodiscard]] bool named(const Instance& instance, std::string_view name) const;
+    void updateInstance(Instance& instance);
+    [[nodiscard]] bool matchesName(const Instance& instance, std::string_view name) const;
 
     FakeFleetOptions m_options;
     Instant m_now;
     Instances m_truth;
-    std::unordered_map<std::string, Work> m_work;
+    std::unordered_map<std::string, InstanceProgress> m_progress;
     std::deque<Instances> m_history;
 };
 
--- a/tests/support/fake_store.cpp
+++ b/tests/support/fake_store.cpp
@@ -11,9 +11,9 @@
 
 std::optional<StoredValue> FakeStore::get(const std::string& key)
 {
-    m_lastFault = m_data->away ? StoreFault::Unreachable : StoreFault::NotFound;
+    m_lastFault = m_data->isUnavailable ? StoreFault::Unreachable : StoreFault::NotFound;
     const auto found = m_data->values.find(key);
-    if (m_data->away || found == m_data->values.end())
+    if (m_data->isUnavailable || found == m_data->values.end())
         return std::nullopt;
     return found->second;
 }
@@ -27,7 +27,7 @@
 std::optional<std::uint64_t> FakeStore::put(const std::string& key, const std::string& body, std::uint64_t expected)
 {
     m_lastFault = StoreFault::Unreachable;
-    if (m_data->away)
+    if (m_data->isUnavailable)
         return std::nullopt;
     StoredValue& value = m_data->values[key];
     m_lastFault = StoreFault::Conflict;
@@ -37,9 +37,9 @@
     value.body = body;
     ++m_data->writes;
     m_lastFault = StoreFault::NoAnswer;
-    if (m_data->answersToLose == 0)
+    if (m_data->responsesToLose == 0)
         return value.version;
-    --m_data->answersToLose;
+    --m_data->responsesToLose;
     return std::nullopt;
 }
 
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -13,8 +13,8 @@
 /// State shared by all clients of one fake store.
 struct FakeStoreData {
     std::map<std::string, StoredValue> values;
-    bool away = false;
-    int answersToLose = 0; ///< Number of writes that will take effect without a response.
+    bool isUnavailable = false;
+    int responsesToLose = 0; ///< Number of writes that will take effect without a response.
     int writes = 0; ///< Number of writes that took effect.
 };
 
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -14,9 +14,9 @@
 
 /// Average number of steps between events.
 constexpr std::uint64_t stepsPerEvent = 12;
-constexpr std::uint32_t longestLoss = 200; ///< Steps.
-constexpr std::uint32_t longestOutage = 60;
-constexpr std::uint32_t longestFreeze = 80;
+constexpr std::uint32_t maxFailureSteps = 200; ///< Steps.
+constexpr std::uint32_t maxOutageSteps = 60;
+constexpr std::uint32_t maxFreezeSteps = 80;
 constexpr std::uint32_t lagSteps = 2;
 
 class RandomRun {
@@ -33,9 +33,9 @@
     RandomRunResult run(std::uint32_t steps)
     {
         for (; m_step < steps; ++m_step) {
-            endOverdue();
-            if (pick(stepsPerEvent) == 0)
-                playEvent();
+            endDueFailures();
+            if (randomBelow(stepsPerEvent) == 0)
+                applyRandomEvent();
             decide();
             m_fleet.advance();
             check();
@@ -48,51 +48,51 @@
 
 private:
     /// A failure or outage that ends at a given step.
-    struct Pending {
+    struct TemporaryFailure {
         std::uint32_t endsAt = 0;
-        std::string lost; ///< Name passed to `FakeFleet::recover`; empty for an outage of the store.
+        std::string failedName; ///< Name passed to `FakeFleet::recover`; empty for an outage of the store.
     };
 
-    [[nodiscard]] std::uint64_t pick(std::uint64_t count) { return m_random() % count; }
+    [[nodiscard]] std::uint64_t randomBelow(std::uint64_t count) { return m_random() % count; }
 
-    [[nodiscard]] const Instance& anyInstance() { return m_fleet.truth()[pick(m_fleet.truth().size())]; }
+    [[nodiscard]] const Instance& randomInstance() { return m_fleet.truth()[randomBelow(m_fleet.truth().size())]; }
 
-    [[nodiscard]] Pool& anyPool() { return m_configuration.pools[pick(m_configuration.pools.size())]; }
+    [[nodiscard]] Pool& randomPool() { return m_configuration.pools[randomBelow(m_configuration.pools.size())]; }
 
     void startHolder()
     {
         m_holders.push_back(std::make_unique<FakeHolder>(++m_epoch, std::make_unique<StickyMembershipPlanner>()));
     }
 
-    void lose(const std::string& what)
+    void failTemporarily(const std::string& what)
     {
         m_fleet.fail(what);
-        m_pending.push_back({ .endsAt = m_step + 1 + static_cast<std::uint32_t>(pick(longestLoss)), .lost = what });
+        m_pending.push_back({ .endsAt = m_step + 1 + static_cast<std::uint32_t>(randomBelow(maxFailureSteps)), .failedName = what });
     }
 
-    void playEvent()
+    void applyRandomEvent()
     {
         ++m_result.events;
-        switch (pick(12)) {
+        switch (randomBelow(12)) {
         case 0:
-            lose(anyInstance().rack);
+            failTemporarily(randomInstance().rack);
             return;
         case 1:
-            lose(anyInstance().id);
+            failTemporarily(randomInstance().id);
             return;
         case 2:
-            if (pick(8) == 0)
-                lose(anyInstance().dataHall);
+            if (randomBelow(8) == 0)
+                failTemporarily(randomInstance().dataHall);
             return;
         case 3:
-            m_fleet.setFailing(anyInstance().id, pick(2) == 0);
+            m_fleet.setFailing(randomInstance().id, randomBelow(2) == 0);
             return;
         case 4:
-            m_store.setAway(true);
-            m_pending.push_back({ .endsAt = m_step + 1 + static_cast<std::uint32_t>(pick(longestOutage)), .lost = {} });
+            m_store.setUnavailable(true);
+            m_pending.push_back({ .endsAt = m_step + 1 + static_cast<std::uint32_t>(randomBelow(maxOutageSteps)), .failedName = {} });
             return;
         case 5:
-            m_store.loseNextAnswers(static_cast<int>(pick(4)));
+            m_store.loseNextResponses(static_cast<int>(randomBelow(4)));
             return;
         case 6:
             replaceHolder();
@@ -112,7 +112,7 @@
     /// Adds a second holder, kills the holder, or freezes it with a plan that it writes later.
     void replaceHolder()
     {
-        if (pick(3) == 0 && m_holders.size() < 3) {
+        if (randomBelow(3) == 0 && m_holders.size() < 3) {
             startHolder(); // Two holders consider themselves in control.
             return;
         }
@@ -120,8 +120,8 @@
         m_holders.erase(m_holders.begin());
         old->decide(m_store, m_configuration, m_fleet);
         m_result.moves += old->acceptedMoves();
-        if (pick(2) == 0)
-            m_frozen.emplace_back(m_step + 1 + static_cast<std::uint32_t>(pick(longestFreeze)), std::move(old));
+        if (randomBelow(2) == 0)
+            m_excludedDonors.emplace_back(m_step + 1 + static_cast<std::uint32_t>(randomBelow(maxFreezeSteps)), std::move(old));
         if (m_holders.empty())
             startHolder();
     }
@@ -129,52 +129,52 @@
     void changeDrains()
     {
         std::vector<std::string>& drains = m_configuration.drains;
-        if (drains.size() > 2 || pick(2) == 0)
+        if (drains.size() > 2 || randomBelow(2) == 0)
             drains.clear();
         else
-            drains.push_back(anyInstance().id);
+            drains.push_back(randomInstance().id);
     }
 
     void changeConfiguration()
     {
-        Pool& pool = anyPool();
-        const std::string group = "g00" + std::to_string(pick(3));
-        if (pick(3) == 0)
-            pool.selector = selectorOf(pick(2) == 0 ? "role=worker" : "role=worker,group!=" + group);
-        else if (pick(2) == 0)
-            m_fleet.relabel(anyInstance().id, LabelSet({ { "role", "worker" }, { "group", group } }));
+        Pool& pool = randomPool();
+        const std::string group = "g00" + std::to_string(randomBelow(3));
+        if (randomBelow(3) == 0)
+            pool.selector = selectorOf(randomBelow(2) == 0 ? "role=worker" : "role=worker,group!=" + group);
+        else if (randomBelow(2) == 0)
+            m_fleet.relabel(randomInstance().id, LabelSet({ { "role", "worker" }, { "group", group } }));
         else
-            pool.budget.minimum = std::clamp<std::uint32_t>(pool.budget.minimum + static_cast<std::uint32_t>(pick(3)) - 1, 1, 12);
+            pool.budget.minimum = std::clamp<std::uint32_t>(pool.budget.minimum + static_cast<std::uint32_t>(randomBelow(3)) - 1, 1, 12);
     }
 
-    void endOverdue()
+    void endDueFailures()
     {
-        std::erase_if(m_pending, [&](const Pending& pending) {
+        std::erase_if(m_pending, [&](const TemporaryFailure& pending) {
             if (m_step < pending.endsAt)
                 return false;
-            if (pending.lost.empty())
-                m_store.setAway(false);
+            if (pending.failedName.empty())
+                m_store.setUnavailable(false);
             else
-                m_fleet.recover(pending.lost);
+                m_fleet.recover(pending.failedName);
             return true;
         });
-        std::erase_if(m_frozen, [&](auto& frozen) {
+        std::erase_if(m_excludedDonors, [&](auto& frozen) {
             if (m_step < frozen.first)
                 return false;
-            act(*frozen.second);
+            writeAndPerform(*frozen.second);
             return true;
         });
     }
 
-    void act(FakeHolder& holder)
+    void writeAndPerform(FakeHolder& holder)
     {
         if (!holder.write(m_store))
             return;
         for (const Action& action : holder.actions(m_configuration, m_fleet)) {
             const LedgerEntry* entry = m_store.truth().find(action.instance);
-            const bool stands = action.kind == ActionKind::Undrain || (entry && entry->grant);
-            if (m_fleet.perform(action) && !stands)
-                note(std::string(describe(InvariantCode::GrantMissing)) + ": " + action.instance);
+            const bool isPermitted = action.kind == ActionKind::Undrain || (entry && entry->grant);
+            if (m_fleet.perform(action) && !isPermitted)
+                recordBreach(std::string(describe(InvariantCode::GrantMissing)) + ": " + action.instance);
         }
     }
 
@@ -190,8 +190,8 @@
         if (m_holders.empty())
             startHolder();
         for (const auto& holder : m_holders)
-            act(*holder);
-        if (m_holders.size() > 1 && pick(20) == 0) {
+            writeAndPerform(*holder);
+        if (m_holders.size() > 1 && randomBelow(20) == 0) {
             m_result.moves += m_holders.front()->acceptedMoves();
             m_holders.erase(m_holders.begin());
         }
@@ -201,14 +201,14 @@
     {
         const FleetView view { .configuration = m_configuration, .ledger = m_store.truth(), .instances = m_fleet.truth(), .now = m_fleet.now() };
         for (const InvariantBreach& breach : m_invariant.check(view))
-            note(std::string(describe(breach.code)) + ": " + breach.subject);
+            recordBreach(std::string(describe(breach.code)) + ": " + breach.subject);
         const auto& entries = m_store.truth().entries;
-        const auto twice = [](const LedgerEntry& a, const LedgerEntry& b) { return a.instance >= b.instance; };
-        if (std::adjacent_find(entries.begin(), entries.end(), twice) != entries.end())
-            note("an instance stands in the ledger twice");
+        const auto isOutOfOrder = [](const LedgerEntry& a, const LedgerEntry& b) { return a.instance >= b.instance; };
+        if (std::adjacent_find(entries.begin(), entries.end(), isOutOfOrder) != entries.end())
+            recordBreach("an instance stands in the ledger twice");
     }
 
-    void note(const std::string& what)
+    void recordBreach(const std::string& what)
     {
         if (m_result.breaches++ == 0)
             m_result.firstBreach = "step " + std::to_string(m_step) + ": " + what;
@@ -219,8 +219,8 @@
     FakeLedgerStore m_store;
     std::mt19937_64 m_random;
     std::vector<std::unique_ptr<FakeHolder>> m_holders;
-    std::vector<std::pair<std::uint32_t, std::unique_ptr<FakeHolder>>> m_frozen;
-    std::vector<Pending> m_pending;
+    std::vector<std::pair<std::uint32_t, std::unique_ptr<FakeHolder>>> m_excludedDonors;
+    std::vector<TemporaryFailure> m_pending;
     BudgetInvariant m_invariant;
     RandomRunResult m_result;
     std::uint64_t m_epoch = 0;
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -40,14 +40,14 @@
     return words;
 }
 
-std::uint32_t numberOf(const std::string& text)
+std::uint32_t parseNumber(const std::string& text)
 {
     if (text.empty() || text.find_first_not_of("0123456789") != std::string::npos)
         throw std::invalid_argument("a number is expected, not " + text);
     return static_cast<std::uint32_t>(std::stoul(text));
 }
 
-FailureDomain domainNamed(const std::string& text)
+FailureDomain parseDomain(const std::string& text)
 {
     const std::map<std::string, FailureDomain> names { { "none", FailureDomain::None }, { "instance", FailureDomain::Instance }, { "rack", FailureDomain::Rack }, { "hall", FailureDomain::DataHall } };
     const auto found = names.find(text);
@@ -57,17 +57,17 @@
 }
 
 /// The holders of the control role, which can be killed, frozen, resumed and duplicated.
-struct ControlProcesses {
+struct ControlHolders {
     std::vector<std::unique_ptr<FakeHolder>> running;
     std::vector<std::unique_ptr<FakeHolder>> frozen; ///< With a plan that is not written yet.
-    std::vector<std::vector<Action>> lateActions; ///< Of holders frozen after the write but before the actions.
+    std::vector<std::vector<Action>> delayedActions; ///< Of holders frozen after the write but before the actions.
     std::uint64_t epoch = 0;
-    std::optional<std::uint32_t> successorAt;
+    std::optional<std::uint32_t> successorStartStep;
 };
 
-class Runner {
+class ScenarioRunner {
 public:
-    explicit Runner(std::string_view text) { read(text); }
+    explicit ScenarioRunner(std::string_view text) { read(text); }
 
     ScenarioResult run();
 
@@ -76,67 +76,67 @@
     void setUp(const Line& line);
     void addFleet(const Words& words);
     void addPool(const Words& words);
-    void play(const Line& line);
-    void playControl(const Words& words);
-    void playStore(const Words& words);
-    void playPool(const Words& words);
+    void applyEvent(const Line& line);
+    void applyControlEvent(const Words& words);
+    void applyStoreEvent(const Words& words);
+    void applyPoolChange(const Words& words);
     void advance();
     void stepControl();
     void perform(const std::vector<Action>& actions);
     void startHolder();
     void check();
-    void checkEnd(const Line& line);
-    [[nodiscard]] bool waveDone() const;
+    void runFinalCheck(const Line& line);
+    [[nodiscard]] bool isWaveDone() const;
     [[nodiscard]] FleetView truth() const;
     [[nodiscard]] std::uint64_t moves() const;
     Pool& poolNamed(const std::string& name);
     void fail(const Line& line, const std::string& why);
-    void guarded(const Line& line, const std::function<void()>& act);
+    void recordErrors(const Line& line, const std::function<void()>& command);
 
     Instances m_instances;
     Configuration m_configuration;
     FakeFleetOptions m_options;
     std::optional<FakeFleet> m_fleet;
     FakeLedgerStore m_store;
-    ControlProcesses m_control;
+    ControlHolders m_control;
     BudgetInvariant m_budgets;
     std::vector<Event> m_events;
-    std::vector<Line> m_endings;
+    std::vector<Line> m_finalChecks;
     std::uint32_t m_steps = defaultSteps;
     std::uint32_t m_step = 0;
-    std::uint64_t m_pastMoves = 0;
+    std::uint64_t m_movesOfStoppedHolders = 0;
     std::map<std::string, std::string> m_poolOf;
     std::uint64_t m_lastVersion = 0;
     ScenarioResult m_result;
 };
 
-void Runner::fail(const Line& line, const std::string& why)
+void ScenarioRunner::fail(const Line& line, const std::string& why)
 {
     m_result.failures.push_back("line " + std::to_string(line.number) + ": " + why);
 }
 
-void Runner::guarded(const Line& line, const std::function<void()>& act)
+void ScenarioRunner::recordErrors(const Line& line, const std::function<void()>& command)
 {
     try {
-        act();
+        command();
     } catch (const std::exception& error) {
         fail(line, error.what());
     }
 }
 
-void Runner::read(std::string_view text)
+void ScenarioRunner::read(std::string_view text)
 {
     std::istringstream in { std::string(text) };
     std::size_t number = 0;
-    for (std::string one; std::getline(in, one);) {
-        const Line line { .number = ++number, .words = split(one) };
+    for (std::string rawLine; std::getline(in, rawLine);) {
+        const Line line { .number = ++number, .words = split(rawLine) };
         if (line.words.empty())
             continue;
-        guarded(line, [&] {
+        recordErrors(line, [&] {
             if (line.words[0] == "at")
-                m_events.push_back({ .step = numberOf(line.words.at(1)), .line = { .number = number, .words = Words(line.words.begin() + 2, line.words.end()) } });
+                m_events.push_back({ .step = parseNumber(line.words.at(1)), .line = { .number = number, .words = Words(line.words.begin() + 2, line.words.end()) } });
             else if (line.words[0] == "finally")
-                m_endings.push_back({ .number = number, .words = Words(line.words.begin() + 1, line.words.end()) });
+                m_finalChecks.push_back({ .number = number, .words = Words(line.words.begin() + 1, line.words.end()) });
             else
                 setUp(line);
         });
@@ -144,7 +144,7 @@
     std::stable_sort(m_events.begin(), m_events.end(), [](const Event& a, const Event& b) { return a.step < b.step; });
 }
 
-void Runner::setUp(const Line& line)
+void ScenarioRunner::setUp(const Line& line)
 {
     const Words& words = line.words;
     if (words[0] == "fleet")
@@ -152,22 +152,22 @@
     else if (words[0] == "pool")
         addPool(words);
     else if (words[0] == "weights")
-        m_configuration.weights = { .moves = numberOf(words.at(2)), .rollOut = numberOf(words.at(4)) };
+        m_configuration.weights = { .moves = parseNumber(words.at(2)), .rollOut = parseNumber(words.at(4)) };
     else if (words[0] == "lag")
-        m_options.listLagSteps = numberOf(words.at(1));
+        m_options.listLagSteps = parseNumber(words.at(1));
     else if (words[0] == "platform" && words.at(1) == "ignores-epochs")
         m_options.checksEpochs = false;
     else if (words[0] == "steps")
-        m_steps = numberOf(words.at(1));
+        m_steps = parseNumber(words.at(1));
     else
         throw std::invalid_argument("unknown word " + words[0]);
 }
 
-void Runner::addFleet(const Words& words)
+void ScenarioRunner::addFleet(const Words& words)
 {
-    const std::uint32_t halls = numberOf(words.at(2));
-    const std::uint32_t racks = numberOf(words.at(4));
-    const std::uint32_t workers = numberOf(words.at(6));
+    const std::uint32_t halls = parseNumber(words.at(2));
+    const std::uint32_t racks = parseNumber(words.at(4));
+    const std::uint32_t workers = parseNumber(words.at(6));
     for (std::uint32_t i = 0; i < halls * racks * workers; ++i) {
         const std::uint32_t rack = i / workers;
         Instance instance;
@@ -180,20 +180,20 @@
     }
 }
 
-void Runner::addPool(const Words& words)
+void ScenarioRunner::addPool(const Words& words)
 {
     Pool pool { .name = words.at(1) };
     for (std::size_t i = 2; i + 1 < words.size(); i += 2) {
         if (words[i] == "select")
             pool.selector = selectorOf(words[i + 1]);
         else if (words[i] == "minimum")
-            pool.budget.minimum = numberOf(words[i + 1]);
+            pool.budget.minimum = parseNumber(words[i + 1]);
         else if (words[i] == "survives")
-            pool.budget.survives = domainNamed(words[i + 1]);
+            pool.budget.survives = parseDomain(words[i + 1]);
         else if (words[i] == "wanted")
-            pool.wanted = numberOf(words[i + 1]);
+            pool.wanted = parseNumber(words[i + 1]);
         else if (words[i] == "priority")
-            pool.priority = static_cast<std::int32_t>(numberOf(words[i + 1]));
+            pool.priority = static_cast<std::int32_t>(parseNumber(words[i + 1]));
         else
             throw std::invalid_argument("unknown word " + words[i]);
     }
@@ -201,7 +201,7 @@
     std::sort(m_configuration.pools.begin(), m_configuration.pools.end(), [](const Pool& a, const Pool& b) { return a.name < b.name; });
 }
 
-Pool& Runner::poolNamed(const std::string& name)
+Pool& ScenarioRunner::poolNamed(const std::string& name)
 {
     for (Pool& pool : m_configuration.pools) {
         if (pool.name == name)
@@ -210,76 +210,76 @@
     throw std::invalid_argument("no pool " + name);
 }
 
-void Runner::play(const Line& line)
+void ScenarioRunner::applyEvent(const Line& line)
 {
     const Words& words = line.words;
-    const std::string& act = words.at(0);
-    if (act == "wave")
+    const std::string& command = words.at(0);
+    if (command == "wave")
         m_configuration.maintenance.waveRequestedAt = m_fleet->now();
-    else if (act == "fail")
+    else if (command == "fail")
         m_fleet->fail(words.at(1));
-    else if (act == "recover")
+    else if (command == "recover")
         m_fleet->recover(words.at(1));
-    else if (act == "failing" || act == "well")
-        m_fleet->setFailing(words.at(1), act == "failing");
-    else if (act == "lost-at-reboot")
-        m_fleet->loseAtReboot(words.at(1));
-    else if (act == "drain")
+    else if (command == "failing" || command == "well")
+        m_fleet->setFailing(words.at(1), command == "failing");
+    else if (command == "lost-at-reboot")
+        m_fleet->failAtReboot(words.at(1));
+    else if (command == "drain")
         m_configuration.drains.push_back(words.at(1));
-    else if (act == "undrain")
+    else if (command == "undrain")
         std::erase(m_configuration.drains, words.at(1));
-    else if (act == "relabel")
+    else if (command == "relabel")
         m_fleet->relabel(words.at(1), LabelSet({ { "role", words.at(2) } }));
-    else if (act == "control")
-        playControl(words);
-    else if (act == "store")
-        playStore(words);
-    else if (act == "set")
-        playPool(words);
+    else if (command == "control")
+        applyControlEvent(words);
+    else if (command == "store")
+        applyStoreEvent(words);
+    else if (command == "set")
+        applyPoolChange(words);
     else
-        throw std::invalid_argument("unknown act " + act);
+        throw std::invalid_argument("unknown act " + command);
 }
 
-void Runner::playPool(const Words& words)
+void ScenarioRunner::applyPoolChange(const Words& words)
 {
     Pool& pool = poolNamed(words.at(1));
     if (words.at(2) == "minimum")
-        pool.budget.minimum = numberOf(words.at(3));
+        pool.budget.minimum = parseNumber(words.at(3));
     else if (words.at(2) == "select")
         pool.selector = selectorOf(words.at(3));
     else if (words.at(2) == "wanted")
-        pool.wanted = numberOf(words.at(3));
+        pool.wanted = parseNumber(words.at(3));
     else
         throw std::invalid_argument("unknown word " + words.at(2));
 }
 
-void Runner::playStore(const Words& words)
+void ScenarioRunner::applyStoreEvent(const Words& words)
 {
     if (words.at(1) == "away" || words.at(1) == "back")
-        m_store.setAway(words.at(1) == "away");
+        m_store.setUnavailable(words.at(1) == "away");
     else if (words.at(1) == "loses-answers")
-        m_store.loseNextAnswers(static_cast<int>(numberOf(words.at(2))));
+        m_store.loseNextResponses(static_cast<int>(parseNumber(words.at(2))));
     else
         throw std::invalid_argument("unknown word " + words.at(1));
 }
 
-void Runner::playControl(const Words& words)
+void ScenarioRunner::applyControlEvent(const Words& words)
 {
-    const std::string& act = words.at(1);
-    if (act == "two") {
+    const std::string& command = words.at(1);
+    if (command == "two") {
         startHolder();
         return;
     }
-    if (act == "wakes") {
+    if (command == "wakes") {
         for (std::unique_ptr<FakeHolder>& holder : m_control.frozen) {
             if (holder->write(m_store))
                 perform(holder->actions(m_configuration, *m_fleet));
-            m_pastMoves += holder->acceptedMoves();
+            m_movesOfStoppedHolders += holder->acceptedMoves();
         }
         m_control.frozen.clear();
-        for (const std::vector<Action>& actions : m_control.lateActions)
+        for (const std::vector<Action>& actions : m_control.delayedActions)
             perform(actions);
-        m_control.lateActions.clear();
+        m_control.delayedActions.clear();
         return;
     }
     if (m_control.running.empty())
@@ -287,39 +287,39 @@
     std::unique_ptr<FakeHolder> holder = std::move(m_control.running.back());
     m_control.running.pop_back();
     holder->decide(m_store, m_configuration, *m_fleet);
-    if (act == "freezes") {
+    if (command == "freezes") {
         m_control.frozen.push_back(std::move(holder));
-    } else if (act == "freezes-before-acting") {
+    } else if (command == "freezes-before-acting") {
         if (holder->write(m_store))
-            m_control.lateActions.push_back(holder->actions(m_configuration, *m_fleet));
-        m_pastMoves += holder->acceptedMoves();
-    } else if (act == "killed") {
-        m_pastMoves += holder->acceptedMoves();
+            m_control.delayedActions.push_back(holder->actions(m_configuration, *m_fleet));
+        m_movesOfStoppedHolders += holder->acceptedMoves();
+    } else if (command == "killed") {
+        m_movesOfStoppedHolders += holder->acceptedMoves();
     } else {
-        throw std::invalid_argument("unknown word " + act);
+        throw std::invalid_argument("unknown word " + command);
     }
-    m_control.successorAt = m_step + leaseSteps;
+    m_control.successorStartStep = m_step + leaseSteps;
 }
 
-void Runner::startHolder()
+void ScenarioRunner::startHolder()
 {
     m_control.running.push_back(std::make_unique<FakeHolder>(++m_control.epoch, std::make_unique<StickyMembershipPlanner>()));
 }
 
-void Runner::perform(const std::vector<Action>& actions)
+void ScenarioRunner::perform(const std::vector<Action>& actions)
 {
     for (const Action& action : actions) {
         const LedgerEntry* entry = m_store.truth().find(action.instance);
-        const bool stands = action.kind == ActionKind::Undrain || (entry && entry->grant);
-        if (m_fleet->perform(action) && !stands)
+        const bool isPermitted = action.kind == ActionKind::Undrain || (entry && entry->grant);
+        if (m_fleet->perform(action) && !isPermitted)
             m_result.failures.push_back("step " + std::to_string(m_step) + ": " + std::string(describe(InvariantCode::GrantMissing)) + ": " + action.instance);
     }
 }
 
-void Runner::stepControl()
+void ScenarioRunner::stepControl()
 {
-    if (m_control.successorAt && m_step >= *m_control.successorAt) {
-        m_control.successorAt.reset();
+    if (m_control.successorStartStep && m_step >= *m_control.successorStartStep) {
+        m_control.successorStartStep.reset();
         startHolder();
     }
     // All holders plan on the same state before any of them writes, which is the tightest race.
@@ -331,78 +331,78 @@
     }
 }
 
-FleetView Runner::truth() const
+FleetView ScenarioRunner::truth() const
 {
     return { .configuration = m_configuration, .ledger = m_store.truth(), .instances = m_fleet->truth(), .now = m_fleet->now() };
 }
 
-std::uint64_t Runner::moves() const
+std::uint64_t ScenarioRunner::moves() const
 {
-    std::uint64_t all = m_pastMoves;
+    std::uint64_t all = m_movesOfStoppedHolders;
     for (const std::unique_ptr<FakeHolder>& holder : m_control.running)
         all += holder->acceptedMoves();
     return all;
 }
 
-void Runner::check()
+void ScenarioRunner::check()
 {
-    const auto complain = [&](const std::string& what) { m_result.failures.push_back("step " + std::to_string(m_step) + ": " + what); };
+    const auto recordFailure = [&](const std::string& what) { m_result.failures.push_back("step " + std::to_string(m_step) + ": " + what); };
     for (const InvariantBreach& breach : m_budgets.check(truth()))
-        complain(std::string(describe(breach.code)) + ": " + breach.subject);
+        recordFailure(std::string(describe(breach.code)) + ": " + breach.subject);
     std::set<std::string> seen;
     for (const LedgerEntry& entry : m_store.truth().entries) {
         if (!seen.insert(entry.instance).second)
-            complain(entry.instance + " stands in the ledger twice");
+            recordFailure(entry.instance + " stands in the ledger twice");
     }
     if (m_store.truth().version < m_lastVersion)
-        complain("the ledger went back");
+        recordFailure("the ledger went back");
     m_lastVersion = m_store.truth().version;
 }
 
-bool Runner::waveDone() const
+bool ScenarioRunner::isWaveDone() const
 {
     const WaveProgress progress = waveProgress(truth());
     return m_configuration.maintenance.waveRequestedAt != Instant {} && progress.due == progress.lost;
 }
 
-void Runner::checkEnd(const Line& line)
+void ScenarioRunner::runFinalCheck(const Line& line)
 {
     const Words& words = line.words;
     if (words.at(0) == "wave") {
-        if (!waveDone())
+        if (!isWaveDone())
             fail(line, std::to_string(waveProgress(truth()).due) + " instances are still due");
         return;
     }
     if (words.at(0) == "moves") {
-        if (moves() > numberOf(words.at(3)))
+        if (moves() > parseNumber(words.at(3)))
             fail(line, std::to_string(moves()) + " moves");
         return;
     }
     if (words.at(0) == "granted") {
         const auto& entries = m_store.truth().entries;
         const auto granted = std::count_if(entries.begin(), entries.end(), [](const LedgerEntry& entry) { return entry.grant.has_value(); });
-        if (granted != numberOf(words.at(1)))
+        if (granted != parseNumber(words.at(1)))
             fail(line, std::to_string(granted) + " grants stand");
         return;
     }
     if (words.at(0) != "pool")
         throw std::invalid_argument("unknown word " + words.at(0));
     static_cast<void>(poolNamed(words.at(1)));
-    for (const PoolStanding& standing : standings(truth())) {
-        if (standing.pool != words.at(1))
+    for (const PoolStatus& status : poolStatuses(truth())) {
+        if (status.pool != words.at(1))
             continue;
-        if (words.at(2) == "stands-well" && standing.slack < 0)
+        if (words.at(2) == "stands-well" && status.slack < 0)
             fail(line, "it would not outlive the loss of its largest failure domain");
-        else if (words.at(2) != "stands-well" && standing.inService < numberOf(words.at(3)))
-            fail(line, std::to_string(standing.inService) + " instances in service");
+        else if (words.at(2) != "stands-well" && status.inService < parseNumber(words.at(3)))
+            fail(line, std::to_string(status.inService) + " instances in service");
     }
 }
 
-void Runner::advance()
+void ScenarioRunner::advance()
 {
     for (; !m_events.empty() && m_events.front().step <= m_step; m_events.erase(m_events.begin())) {
         const Line line = m_events.front().line;
-        guarded(line, [&] { play(line); });
+        recordErrors(line, [&] { applyEvent(line); });
     }
     check(); // Checks the effect of the events before the holders react.
     stepControl();
@@ -411,21 +411,21 @@
     check();
 }
 
-ScenarioResult Runner::run()
+ScenarioResult ScenarioRunner::run()
 {
     m_fleet.emplace(m_instances, m_options);
     m_configuration.revision = 1;
     startHolder();
     for (; m_step < m_steps; ++m_step) {
         advance();
-        if (m_events.empty() && waveDone())
+        if (m_events.empty() && isWaveDone())
             break;
     }
-    for (const Line& line : m_endings)
-        guarded(line, [&] { checkEnd(line); });
+    for (const Line& line : m_finalChecks)
+        recordErrors(line, [&] { runFinalCheck(line); });
     m_result.summary = std::to_string(m_step) + " steps, " + std::to_string(moves()) + " moves, " + std::to_string(m_store.writes()) + " writes";
-    for (const PoolStanding& standing : standings(truth()))
-        m_result.summary += "\n  " + standing.pool + ": " + std::to_string(standing.inService) + " in service, minimum " + std::to_string(standing.minimum) + ", slack " + std::to_string(standing.slack) + ", " + std::to_string(standing.granted) + " granted";
+    for (const PoolStatus& status : poolStatuses(truth()))
+        m_result.summary += "\n  " + status.pool + ": " + std::to_string(status.inService) + " in service, minimum " + std::to_string(status.minimum) + ", slack " + std::to_string(status.slack) + ", " + std::to_string(status.granted) + " granted";
     for (const std::unique_ptr<FakeHolder>& holder : m_control.running) {
         for (const PoolCondition& condition : holder->lastPlan().conditions)
             m_result.summary += "\n  " + condition.pool + ": " + std::string(describe(condition.code)) + " (" + std::to_string(condition.instances) + ")";
@@ -437,7 +437,7 @@
 
 ScenarioResult runScenario(std::string_view text)
 {
-    return Runner(text).run();
+    return ScenarioRunner(text).run();
 }
 
 } // namespace lanemoor::test
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -10,7 +10,7 @@
 using namespace lanemoor;
 using namespace lanemoor::test;
 
-TEST_CASE("of any claims on one key exactly one is held, whatever answers are lost")
+TEST_CASE("exactly one of several claims on a key is held, even if responses are lost")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t>& faults) {
         const auto data = std::make_shared<FakeStoreData>();
@@ -18,12 +18,12 @@
         int held = 0;
         int attempt = 0;
         for (const std::uint8_t fault : faults) {
-            data->away = fault % 5 == 0;
-            data->answersToLose = fault % 3 == 0 ? 1 : 0;
+            data->isUnavailable = fault % 5 == 0;
+            data->responsesToLose = fault % 3 == 0 ? 1 : 0;
             const ClaimAttempt result = claimOrder(store, "team", "key", "entry-" + std::to_string(++attempt));
             held += std::holds_alternative<HeldClaim>(result) ? 1 : 0;
             RC_ASSERT(held <= 1);
-            if (data->away)
+            if (data->isUnavailable)
                 RC_ASSERT(std::holds_alternative<ClaimUnavailable>(result));
         }
     }));
@@ -41,7 +41,7 @@
     CHECK(std::get<OrderClaim>(third).claimant == "e2");
 }
 
-TEST_CASE("keys of different teams do not meet, whatever bytes they hold")
+TEST_CASE("keys of different teams do not collide, for any bytes")
 {
     const auto data = std::make_shared<FakeStoreData>();
     FakeStore store(data);
@@ -58,19 +58,19 @@
     CHECK_FALSE(decodeClaim(R"({"claimant":"x","state":"dancing","status":1})"));
 }
 
-TEST_CASE("an operator's change takes effect once though its answer is lost, and a stale one is refused")
+TEST_CASE("a configuration change takes effect once even if its response is lost, and a stale one is refused")
 {
     const auto data = std::make_shared<FakeStoreData>();
     FakeStore store(data);
     int ids = 0;
     ConfigurationWriter writer(store, [&] { return "change-" + std::to_string(++ids); });
     CHECK(std::get<ChangeAccepted>(writer.replace("{}", 0)).revision == 1);
-    data->answersToLose = 1;
+    data->responsesToLose = 1;
     CHECK(std::get<ChangeAccepted>(writer.replace("{}", 1)).revision == 2);
     CHECK(data->writes == 2);
     CHECK(std::get<ChangeConflict>(writer.replace("{}", 1)).newerRevision == 2);
     CHECK(std::holds_alternative<ChangeFaulty>(writer.replace("{\"x\":1}", 2)));
-    data->away = true;
+    data->isUnavailable = true;
     CHECK(std::holds_alternative<ChangeUnsettled>(writer.replace("{}", 2)));
     CHECK(data->writes == 2);
 }
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a pool's size outlives its largest failure domain with the least buffer")
+TEST_CASE("a pool's size survives its largest failure domain with the smallest buffer")
 {
     const auto size = [](std::uint32_t minimum, FailureDomain survives, const std::vector<std::uint32_t>& domains) {
         Pool pool;
@@ -62,7 +62,7 @@
     CHECK_FALSE(size(1, FailureDomain::Rack, {}).feasible);
 }
 
-TEST_CASE("a budget that can never hold and a pool without instances are told")
+TEST_CASE("a budget that can't be met and a pool with too few instances are reported")
 {
     SmallFleet fleet(4);
     fleet.addPool("big", "role=worker", 9);
@@ -92,9 +92,9 @@
     SmallFleet fleet(4, "a");
     fleet.addPool("a", "role=worker", 3);
     fleet.instances[0].labels = LabelSet(std::vector<Label> { { "role", "other" } });
-    const MembershipPlan stuck = fleet.plan();
-    CHECK(stuck.moves.empty());
-    CHECK(stuck.conditions.back() == PoolCondition { .pool = "a", .code = PoolConditionCode::AwaitingReplacement, .instances = 1 });
+    const MembershipPlan blocked = fleet.plan();
+    CHECK(blocked.moves.empty());
+    CHECK(blocked.conditions.back() == PoolCondition { .pool = "a", .code = PoolConditionCode::AwaitingReplacement, .instances = 1 });
     SmallFleet larger = fleet;
     SmallFleet spare(5, "a");
     larger.instances.push_back(spare.instances.back());
@@ -115,7 +115,7 @@
     CHECK(fleet.plan().moves == std::vector<Move> { { .instance = "w12", .from = "b", .to = "a" }, { .instance = "w13", .from = "", .to = "b" } });
 }
 
-TEST_CASE("a pool without slack gives nobody, not even one of its largest failure domain")
+TEST_CASE("a pool without slack gives no instance away, not even one of its largest failure domain")
 {
     SmallFleet fleet(6, "a");
     fleet.addPool("a", "role=worker", 3);
@@ -135,7 +135,7 @@
     SmallFleet fleet(5, "a");
     fleet.addPool("a", "role=worker", 3);
     fleet.instances[0].state = InstanceState::Leaving;
-    fleet.instances[0].outSince = noon - std::chrono::hours(1);
+    fleet.instances[0].unhealthySince = noon - std::chrono::hours(1);
     fleet.ledger.entries[4].pool.clear();
     fleet.instances[4].rack = fleet.instances[0].rack;
     CHECK(fleet.plan().moves.empty());
@@ -155,7 +155,7 @@
     CHECK(fleet.plan().moves.size() == 2);
 }
 
-TEST_CASE("the guard refuses what a budget can't miss and tells why")
+TEST_CASE("the guard refuses instances that a budget needs and reports the reason")
 {
     SmallFleet fleet(4, "a");
     fleet.addPool("a", "role=worker", 2);
@@ -163,9 +163,9 @@
     const FleetIndex index(fleet.configuration, fleet.instances);
     DisruptionGuard guard(view, index);
     CHECK_FALSE(guard.refusalFor("w10"));
-    guard.take("w10");
-    CHECK(guard.refusalFor("w10") == DisruptionRefusal::GrantStands);
-    CHECK(guard.refusalFor("w11") == DisruptionRefusal::BudgetSpent);
+    guard.markOutOfService("w10");
+    CHECK(guard.refusalFor("w10") == DisruptionRefusal::AlreadyGranted);
+    CHECK(guard.refusalFor("w11") == DisruptionRefusal::BudgetExhausted);
     CHECK(guard.refusalFor("nobody") == DisruptionRefusal::UnknownInstance);
 }
 
@@ -181,10 +181,10 @@
     fleet.instances[0].failing = true;
     CHECK_FALSE(refusal());
     fleet.instances[1].state = InstanceState::Leaving;
-    CHECK(refusal() == DisruptionRefusal::BudgetSpent);
+    CHECK(refusal() == DisruptionRefusal::BudgetExhausted);
 }
 
-TEST_CASE("an instance drained under no grant by a late act is let back")
+TEST_CASE("an instance drained without a grant by a delayed action is returned to service")
 {
     SmallFleet fleet(3, "a");
     fleet.addPool("a", "role=worker", 1);
@@ -195,7 +195,7 @@
     CHECK(DisruptionGuard(fleet.view(), index).availability("a").inService == 2);
 }
 
-TEST_CASE("a holder whose epoch was overtaken does nothing")
+TEST_CASE("a holder with an outdated epoch does nothing")
 {
     SmallFleet fleet(4);
     fleet.addPool("a", "role=worker", 2);
--- a/tests/unit/document_test.cpp
+++ b/tests/unit/document_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-const std::string whole = R"({
+const std::string validConfiguration = R"({
   "pools": [
     { "name": "counter", "selector": "service=counter", "priority": 3, "wanted": 9,
       "budget": { "minimum": 6, "survives": "dataHall" },
@@ -32,7 +32,7 @@
 TEST_CASE("a configuration is read and written back the same")
 {
     ConfigurationReader reader;
-    const std::optional<Configuration> first = reader.read(whole, 7);
+    const std::optional<Configuration> first = reader.read(validConfiguration, 7);
     REQUIRE(first);
     CHECK(first->revision == 7);
     CHECK(first->pools[0].budget == AvailabilityBudget { .minimum = 6, .survives = FailureDomain::DataHall });
@@ -40,7 +40,7 @@
     CHECK(reader.read(formatConfiguration(*first), 7) == first);
 }
 
-TEST_CASE("all faults of a configuration are told at once, each with its place")
+TEST_CASE("all faults of a configuration are reported together with their positions")
 {
     ConfigurationReader reader;
     CHECK_FALSE(reader.read("{\n \"pools\": [ { \"name\": \"a b\", \"selector\": 3,\n  \"budget\": { \"minimum\": -1, \"survives\": \"moon\" } },\n  { \"name\": \"x\", \"selector\": \"\", \"budget\": { \"minimum\": 1 } },\n  { \"name\": \"x\", \"selector\": \"\", \"budget\": { \"minimum\": 1 } } ],\n \"team\": [] }", 1));
@@ -57,7 +57,7 @@
     CHECK(reader.faults().size() == 6);
 }
 
-TEST_CASE("broken JSON, doubled fields and deep nesting are refused with a place")
+TEST_CASE("invalid JSON, duplicate fields and deep nesting are refused with a position")
 {
     ConfigurationReader reader;
     CHECK_FALSE(reader.read("{\n  \"pools\": [,]\n}", 1));
@@ -75,10 +75,10 @@
         const bool read = reader.read(text, 1).has_value();
         RC_ASSERT(read == reader.faults().empty());
     }));
-    CHECK(rc::check([](const std::vector<std::uint8_t>& cuts) {
-        std::string text = whole;
-        for (const std::uint8_t cut : cuts)
-            text.erase(cut % text.size(), 1);
+    CHECK(rc::check([](const std::vector<std::uint8_t>& deletions) {
+        std::string text = validConfiguration;
+        for (const std::uint8_t deletion : deletions)
+            text.erase(deletion % text.size(), 1);
         ConfigurationReader reader;
         const bool read = reader.read(text, 1).has_value();
         RC_ASSERT(read == reader.faults().empty());
@@ -87,9 +87,9 @@
 
 TEST_CASE("settings refuse an operators' port beyond loopback without certificate and token")
 {
-    const std::string open = R"({"name":"e","dataHall":"h","platform":{"ip":"10.0.0.1","port":7000},"operators":{"ip":"10.0.0.2","port":7300}})";
+    const std::string insecureSettings = R"({"name":"e","dataHall":"h","platform":{"ip":"10.0.0.1","port":7000},"operators":{"ip":"10.0.0.2","port":7300}})";
     SettingsReader reader;
-    CHECK_FALSE(reader.read(open));
+    CHECK_FALSE(reader.read(insecureSettings));
     CHECK(reader.faults().size() == 2);
     CHECK(reader.faults().at(0).code == DocumentFaultCode::InsecureAddress);
     CHECK(reader.read(R"({"name":"e","dataHall":"h","platform":{"ip":"10.0.0.1","port":7000}})"));
--- a/tests/unit/scenario_test.cpp
+++ b/tests/unit/scenario_test.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-TEST_CASE("a scenario's unreadable lines are told with their numbers")
+TEST_CASE("unreadable lines of a scenario are reported with their numbers")
 {
     const ScenarioResult result = runScenario("fleet halls 1 racks 1 workers x\nat 3 dance\nsteps 5\n");
     REQUIRE(result.failures.size() == 2);
--- a/tests/unit/selector_test.cpp
+++ b/tests/unit/selector_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace lanemoor;
 
-TEST_CASE("selectors match as operators know them")
+TEST_CASE("selectors support equality, set and existence requirements")
 {
     const LabelSet gold({ { "service", "counter" }, { "tier", "gold" } });
     const auto matches = [&](const char* text) {
@@ -25,7 +25,7 @@
     CHECK_FALSE(matches("tier in (silver)"));
 }
 
-TEST_CASE("a selector that can't be parsed tells the place and the reason")
+TEST_CASE("a parse error of a selector has a position and a reason")
 {
     struct Case {
         const char* text;
@@ -53,7 +53,7 @@
     }));
 }
 
-TEST_CASE("of labels with the same key the last one stays")
+TEST_CASE("the last of several labels with the same key is kept")
 {
     const LabelSet labels({ { "a", "1" }, { "b", "2" }, { "a", "3" } });
     CHECK(labels.all().size() == 2);
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -38,7 +38,7 @@
     CHECK(decodeLedger(encodeLedger(ledger), ledger.version) == ledger);
 }
 
-TEST_CASE("a ledger in which an instance stands twice is refused")
+TEST_CASE("a ledger with two entries for an instance is refused")
 {
     Ledger ledger = someLedger();
     ledger.entries.push_back(ledger.entries.back());
@@ -54,7 +54,7 @@
     }));
 }
 
-TEST_CASE("configuration and ledger never go back, in whatever order they are offered")
+TEST_CASE("configuration and ledger versions never decrease, in any order of updates")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t>& offers) {
         SnapshotHolder holder;
@@ -73,18 +73,18 @@
     }));
 }
 
-TEST_CASE("the first sign that an instance leaves counts, whatever its source")
+TEST_CASE("an instance counts as leaving as soon as any source reports it")
 {
     ObservationMerger merger;
     merger.onList({ live("w1"), live("w2") });
-    merger.onSigns("peer", { "w2" }, { "w1" }, noon);
+    merger.onReport("peer", { "w2" }, { "w1" }, noon);
     const Instances merged = merger.merge({}, noon);
     CHECK(merged[0].state == InstanceState::Leaving);
     CHECK(merged[1].failing);
     CHECK(merger.merge({}, noon + std::chrono::seconds(6))[0].state == InstanceState::Live);
 }
 
-TEST_CASE("an instance missing from the list is out at once and gone only after a minute")
+TEST_CASE("an instance missing from the list is leaving immediately but gone only after a minute")
 {
     ObservationMerger merger;
     CHECK(merger.merge(someLedger(), noon).empty());
@@ -92,14 +92,14 @@
     const auto stateAt = [&](Instant now) { return merger.merge(someLedger(), now).at(1); };
     CHECK(stateAt(noon).state == InstanceState::Leaving);
     CHECK(stateAt(noon + std::chrono::seconds(59)).state == InstanceState::Leaving);
-    CHECK(stateAt(noon + std::chrono::seconds(59)).outSince == noon);
+    CHECK(stateAt(noon + std::chrono::seconds(59)).unhealthySince == noon);
     CHECK(stateAt(noon + std::chrono::seconds(61)).state == InstanceState::Gone);
     merger.onList({ live("w1"), live("w2") });
     CHECK(stateAt(noon + std::chrono::seconds(62)).state == InstanceState::Live);
-    CHECK_FALSE(stateAt(noon + std::chrono::seconds(62)).outSince);
+    CHECK_FALSE(stateAt(noon + std::chrono::seconds(62)).unhealthySince);
 }
 
-TEST_CASE("an instance under a grant, drained or leaving is in no routes")
+TEST_CASE("an instance under a grant, drained or leaving is not in the routing table")
 {
     Snapshot snapshot;
     Configuration configuration;
@@ -123,16 +123,16 @@
     CHECK(table.find("other") == nullptr);
 }
 
-TEST_CASE("an entry that hears neither the store nor most others takes no callers")
+TEST_CASE("an entry that reaches neither the store nor most of its peers is not ready")
 {
-    const StandingFacts well { .configurationRevision = 3, .hasSeat = true, .storeReachedAt = noon, .peersKnown = 5, .peersHeard = 5 };
-    CHECK(judgeReadiness(well, noon) == Readiness::Ready);
-    CHECK(judgeReadiness(well, noon + std::chrono::seconds(60)) == Readiness::Ready);
-    StandingFacts cut = well;
-    cut.peersHeard = 2;
-    CHECK(judgeReadiness(cut, noon + std::chrono::seconds(4)) == Readiness::Ready);
-    CHECK(judgeReadiness(cut, noon + std::chrono::seconds(5)) == Readiness::CutOff);
-    StandingFacts fresh = well;
+    const StandingFacts healthy { .configurationRevision = 3, .hasSeat = true, .storeReachedAt = noon, .peersKnown = 5, .peersHeard = 5 };
+    CHECK(judgeReadiness(healthy, noon) == Readiness::Ready);
+    CHECK(judgeReadiness(healthy, noon + std::chrono::seconds(60)) == Readiness::Ready);
+    StandingFacts partitioned = healthy;
+    partitioned.peersHeard = 2;
+    CHECK(judgeReadiness(partitioned, noon + std::chrono::seconds(4)) == Readiness::Ready);
+    CHECK(judgeReadiness(partitioned, noon + std::chrono::seconds(5)) == Readiness::CutOff);
+    StandingFacts fresh = healthy;
     fresh.configurationRevision = 0;
     CHECK(judgeReadiness(fresh, noon) == Readiness::NoConfiguration);
 }
--- a/tests/unit/traffic_test.cpp
+++ b/tests/unit/traffic_test.cpp
@@ -22,8 +22,8 @@
 }
 
 /// Parses a response in chunks of `step` bytes.
-struct ReadAnswer {
-    ReadAnswer(std::string_view bytes, std::size_t step)
+struct ParsedResponse {
+    ParsedResponse(std::string_view bytes, std::size_t step)
         : sink(1'000'000)
         , reader(sink, false)
     {
@@ -38,15 +38,15 @@
 
 } // namespace
 
-TEST_CASE("the shares of all seats add up to a worker's slots exactly")
+TEST_CASE("the shares of all shards add up to exactly a worker's slots")
 {
     CHECK(rc::check([](const std::string& instance, std::uint16_t slots) {
-        const std::uint32_t seats = *rc::gen::inRange<std::uint32_t>(1, 40);
+        const std::uint32_t shardCount = *rc::gen::inRange<std::uint32_t>(1, 40);
         std::uint32_t sum = 0;
-        for (std::uint32_t seat = 0; seat < seats; ++seat)
-            sum += shareOfSeat(instance, slots, seat, seats);
+        for (std::uint32_t shard = 0; shard < shardCount; ++shard)
+            sum += shareOfShard(instance, slots, shard, shardCount);
         RC_ASSERT(sum == slots);
-        RC_ASSERT(shareOfSeat(instance, slots, seats, seats) == 0);
+        RC_ASSERT(shareOfShard(instance, slots, shardCount, shardCount) == 0);
     }));
 }
 
@@ -94,7 +94,7 @@
     CHECK(refusal->reason == RequestRefusal::TeamOverQuota);
 }
 
-TEST_CASE("what can't make its deadline by observed run times is refused at once, and the rest expires")
+TEST_CASE("requests that can't meet their deadlines by observed run times are refused at once or expire")
 {
     AdmissionQueue queue({ .slots = 1, .mostWaiting = 100 });
     for (std::uint64_t id = 0; id < 60; ++id) {
@@ -113,23 +113,23 @@
     CHECK(queue.waiting() == 0);
 }
 
-TEST_CASE("whatever is offered, started, cancelled or finished, slots and quotas hold")
+TEST_CASE("slots and quotas hold for any sequence of offers, starts, cancels and finishes")
 {
-    CHECK(rc::check([](const std::vector<std::uint16_t>& acts) {
+    CHECK(rc::check([](const std::vector<std::uint16_t>& operations) {
         AdmissionQueue queue({ .slots = 5, .mostWaiting = 20 });
         queue.setQuota("t0", 3);
         std::map<std::uint64_t, std::string> running;
         std::uint64_t next = 0;
-        for (const std::uint16_t act : acts) {
-            const std::uint64_t target = next == 0 ? 0 : act % next;
-            const std::string team = "t" + std::to_string(act % 3);
-            if (act % 4 == 0)
+        for (const std::uint16_t operation : operations) {
+            const std::uint64_t target = next == 0 ? 0 : operation % next;
+            const std::string team = "t" + std::to_string(operation % 3);
+            if (operation % 4 == 0)
                 queue.cancel(target);
-            else if (act % 4 == 1)
+            else if (operation % 4 == 1)
                 queue.finish(target, noon);
             else
-                static_cast<void>(queue.offer(ticket(next++, static_cast<RequestClass>(act % 3 == 1 ? 2 : 0), team), noon));
-            if (act % 4 < 2)
+                static_cast<void>(queue.offer(ticket(next++, static_cast<RequestClass>(operation % 3 == 1 ? 2 : 0), team), noon));
+            if (operation % 4 < 2)
                 running.erase(target);
             while (const std::optional<std::uint64_t> id = queue.start(noon))
                 running[*id] = "";
@@ -140,7 +140,7 @@
     }));
 }
 
-TEST_CASE("an endpoint that fails all it is given is out after three requests and probed later")
+TEST_CASE("an endpoint that fails all its requests is ejected after three and probed later")
 {
     EjectionTracker tracker;
     const std::vector<std::string> members { "w1", "w2", "w3", "w4" };
@@ -173,19 +173,19 @@
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
         budget.onFirstAttempt();
-        retries += budget.take() ? 1 : 0;
+        retries += budget.tryAcquire() ? 1 : 0;
     }
     CHECK(retries <= 110);
     CHECK(retries >= 100);
 }
 
-TEST_CASE("answers are framed the same, however their bytes come")
+TEST_CASE("responses are framed identically for any split of their bytes")
 {
     const std::string counted = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
     const std::string chunked = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nTrailer: t\r\n\r\n";
     for (std::size_t step = 1; step < 60; ++step) {
         for (const std::string& bytes : { counted, chunked }) {
-            const ReadAnswer read(bytes, step);
+            const ParsedResponse read(bytes, step);
             CHECK(read.state == ReadState::Complete);
             CHECK(read.sink.response().body == "hello");
             CHECK(read.reader.keepsAlive());
@@ -193,24 +193,24 @@
     }
 }
 
-TEST_CASE("an answer that ends with its connection is whole, one cut short is not")
+TEST_CASE("a response delimited by the end of its connection is complete, a truncated one is not")
 {
-    ReadAnswer whole("HTTP/1.1 200 OK\r\n\r\nsome", 7);
-    CHECK(whole.reader.finishAtClose() == ReadState::Complete);
-    ReadAnswer cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome", 7);
-    CHECK(cut.reader.finishAtClose() == ReadState::Malformed);
-    ReadAnswer chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n", 7);
-    CHECK(chunk.reader.finishAtClose() == ReadState::Malformed);
+    ParsedResponse complete("HTTP/1.1 200 OK\r\n\r\nsome", 7);
+    CHECK(complete.reader.finishAtClose() == ReadState::Complete);
+    ParsedResponse truncated("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome", 7);
+    CHECK(truncated.reader.finishAtClose() == ReadState::Malformed);
+    ParsedResponse truncatedChunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n", 7);
+    CHECK(truncatedChunked.reader.finishAtClose() == ReadState::Malformed);
 }
 
-TEST_CASE("answers that can't be framed are refused")
+TEST_CASE("responses that can't be framed are refused")
 {
     for (const char* bytes : { "HTTP/2 200\r\n\r\n", "HTTP/1.1 abc\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n\r\n" }) {
         CAPTURE(bytes);
-        CHECK(ReadAnswer(bytes, 1000).state == ReadState::Malformed);
+        CHECK(ParsedResponse(bytes, 1000).state == ReadState::Malformed);
     }
-    CHECK(ReadAnswer(std::string(100'000, 'x'), 1000).state == ReadState::Malformed);
-    CHECK(rc::check([](const std::string& bytes) { static_cast<void>(ReadAnswer("HTTP/1.1 200 OK\r\n" + bytes, 3)); }));
+    CHECK(ParsedResponse(std::string(100'000, 'x'), 1000).state == ReadState::Malformed);
+    CHECK(rc::check([](const std::string& bytes) { static_cast<void>(ParsedResponse("HTTP/1.1 200 OK\r\n" + bytes, 3)); }));
 }
 
 TEST_CASE("a request's context is read from its headers")
