--- a/include/lanemoor/decisions/disruption_guard.h
+++ b/include/lanemoor/decisions/disruption_guard.h
@@ -40,8 +40,8 @@
 /// \brief Decides whether an instance may be taken out of service.
 ///
 /// Counts the instances in service by the latest observation, without those that
-/// failed, are under a grant or fail their requests. `take` counts the grants that
-/// were given in the same step.
+/// failed, are under a grant or fail their requests. `markOutOfService` subtracts the
+/// instances that were granted in the same step.
 ///
 /// \code
 /// DisruptionGuard guard(view, index);
--- a/include/lanemoor/decisions/endpoint_choice.h
+++ b/include/lanemoor/decisions/endpoint_choice.h
@@ -27,18 +27,19 @@
 /// \brief Selects the endpoint with the smallest load relative to its share.
 ///
 /// Endpoints already tried are skipped; those in a failure domain that failed the request
-/// are selected last. `turn` breaks ties, so that requests of all entry instances spread
+/// are selected last. `rotation` breaks ties, so that requests of all entry instances spread
 /// over equal endpoints.
 /// \returns The index of the selected candidate, or nothing if none has capacity.
 [[nodiscard]] std::optional<std::size_t> chooseEndpoint(const std::vector<EndpointCandidate>& candidates, std::uint64_t rotation) noexcept;
 
-/// \brief Divides the slots of an instance among the shards of the entry instances.
+/// \brief Divides the slots, connections or quota of `key` among the shards of the entry instances.
 ///
 /// The shares add up to exactly `slots`, so that all entry instances together never exceed
 /// them, without coordination. The remainder goes to shards in an order that depends on
-/// the hash of the instance's id.
-/// \param seat Shard number, from 0 to `seats` - 1.
-/// \returns Max concurrent requests that the entry instance on `seat` may send to the instance.
+/// the hash of `key`.
+/// \param key Id of an instance or name of a team.
+/// \param shard From 0 to `shardCount` - 1.
+/// \returns The part of `slots` that belongs to `shard`.
 [[nodiscard]] std::uint32_t shareOfShard(const std::string& key, std::uint32_t slots, std::uint32_t shard, std::uint32_t shardCount) noexcept;
 
 } // namespace lanemoor
--- a/include/lanemoor/decisions/invariants.h
+++ b/include/lanemoor/decisions/invariants.h
@@ -56,7 +56,7 @@
     /// \returns Breaches at this moment. Calls must be in chronological order.
     [[nodiscard]] std::vector<InvariantBreach> check(const FleetView& view);
 
-    /// \param now The result of `standings` for this moment, for callers that already have it.
+    /// \param now The result of `poolStatuses` for this moment, for callers that already have it.
     [[nodiscard]] std::vector<InvariantBreach> check(const Configuration& configuration, const std::vector<PoolStatus>& now);
 
 private:
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -84,7 +84,7 @@
     std::size_t instance = 0;
 };
 
-/// Builds one plan. No instance is taken from the pools in `frozen`.
+/// Builds one plan. No instance is taken from the pools in `excludedDonors`.
 class PlanBuilder {
 public:
     PlanBuilder(const FleetView& view, const FleetIndex& index, const std::unordered_set<std::string>& excludedDonors);
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -14,7 +14,7 @@
 
 /// Average number of steps between events.
 constexpr std::uint64_t stepsPerEvent = 12;
-constexpr std::uint32_t maxFailureSteps = 200; ///< Steps.
+constexpr std::uint32_t maxFailureSteps = 200;
 constexpr std::uint32_t maxOutageSteps = 60;
 constexpr std::uint32_t maxFreezeSteps = 80;
 constexpr std::uint32_t lagSteps = 2;
