--- a/include/lanemoor/adapters/event_log.h
+++ b/include/lanemoor/adapters/event_log.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The log: one structured line for each change of state and for each decision on a request.
+/// The event log: one structured line for each state change and each decision on a request.
 
 #include <cstdint>
 #include <initializer_list>
@@ -17,17 +17,18 @@
     std::variant<std::string, std::int64_t> value;
 };
 
-/// How a log is written.
+/// Options of an event log.
 struct EventLogOptions {
-    bool asJson = true; ///< One JSON object a line; else text for people.
-    bool discard = false; ///< Writes nothing; for tests of what logs.
-    std::uint32_t queueLines = 4'096; ///< Lines waiting for standard output; about 1 MB of them.
-    std::uint32_t decisionsPerSecond = 60; ///< Lines of one kind; an entry takes about 20 jobs a second at its peak.
+    bool asJson = true; ///< One JSON object per line; otherwise plain text.
+    bool discard = false; ///< Writes nothing; used in tests.
+    std::uint32_t queueLines = 4'096; ///< Lines waiting for standard output, about 1 MB.
+    std::uint32_t decisionsPerSecond = 60; ///< Per event name; an entry accepts about 20 jobs per second at peak load.
 };
 
-/// \brief Writes to standard output and never blocks: a thread of its own writes, and while
-/// the reader is slow the oldest lines that wait are dropped, counted, and told of later.
-/// Safe for several threads.
+/// \brief Writes to standard output from a background thread and never blocks the caller.
+///
+/// While standard output is slow, the oldest queued lines are dropped and counted; a later
+/// line reports the count. Thread-safe.
 ///
 /// \code
 /// log.change("seat-taken", { { "seat", std::int64_t { 3 } } });
@@ -40,17 +41,17 @@
     EventLog(const EventLog&) = delete;
     EventLog& operator=(const EventLog&) = delete;
 
-    /// \brief Logs a change of state: start, stop, reload, a dependency lost or back, a role.
+    /// \brief Logs a state change: start, stop, reload, a dependency lost or recovered, a role.
     void change(std::string_view event, std::initializer_list<LogField> fields = {});
 
-    /// \brief Logs a decision on one request or belief. Beyond the budget of its kind the line
-    /// is left out and counted; the next second's first line is preceded by the count.
+    /// \brief Logs a decision on one request or observation. Lines beyond the budget of their
+    /// event name are omitted; the first line of the next second is preceded by their count.
     void decision(std::string_view event, std::initializer_list<LogField> fields);
 
-    /// \returns Lines lost because standard output was slow.
+    /// \returns The number of lines dropped because standard output was slow.
     [[nodiscard]] std::uint64_t dropped() const;
 
-    /// \returns Decisions left out for want of budget.
+    /// \returns The number of decisions omitted because their budget was exhausted.
     [[nodiscard]] std::uint64_t omitted() const;
 
 private:
--- a/include/lanemoor/adapters/http_platform.h
+++ b/include/lanemoor/adapters/http_platform.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The platform's store and worker control over HTTP.
+/// HTTP clients of the platform's store and of its worker control.
 
 #include "lanemoor/adapters/platform.h"
 #include "lanemoor/adapters/store.h"
@@ -11,11 +11,12 @@
 
 namespace lanemoor {
 
-/// \returns Instances from the JSON text of the platform's list, or nothing.
+/// \brief Parses the JSON text of the platform's instance list.
+/// \returns Nothing if `text` is malformed.
 [[nodiscard]] std::optional<Instances> parseInstanceList(std::string_view text);
 
-/// \brief Makes stores that speak HTTP: versions are entity tags, conditions If-Match
-/// and If-None-Match. See docs/DESIGN.md for the calls.
+/// \brief Creates HTTP store clients. Versions are entity tags; conditions are If-Match
+/// and If-None-Match. docs/DESIGN.md describes the calls.
 class HttpStoreFactory final : public StoreFactory {
 public:
     explicit HttpStoreFactory(HttpAddress address);
@@ -25,7 +26,7 @@
     HttpAddress m_address;
 };
 
-/// \returns A platform at `address`.
+/// \returns A client of the platform at `address`.
 [[nodiscard]] std::unique_ptr<Platform> makeHttpPlatform(const HttpAddress& address);
 
 } // namespace lanemoor
--- a/include/lanemoor/adapters/metrics.h
+++ b/include/lanemoor/adapters/metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Counters, gauges and histograms, in the text format of Prometheus.
+/// Counters, gauges and histograms in the Prometheus text format.
 
 #include "lanemoor/decisions/invariants.h"
 #include "lanemoor/decisions/request.h"
@@ -12,17 +12,17 @@
 
 namespace lanemoor {
 
-/// A finished request.
+/// The labels and durations of a finished request.
 struct RequestMeasure {
     RequestClass requestClass = RequestClass::Check;
-    std::string team; ///< Of the configuration, or empty.
+    std::string team; ///< A team of the configuration, or empty.
     RequestOutcome outcome = RequestOutcome::NotRun;
     std::optional<RequestRefusal> refusal;
-    double seconds = 0; ///< From its arrival to the end of its answer.
-    double waitedSeconds = 0; ///< From its arrival to its start.
+    double seconds = 0; ///< From arrival to the end of the answer.
+    double waitedSeconds = 0; ///< From arrival to the start of its execution.
 };
 
-/// Counters of events that have no labels of their own.
+/// Event counters without labels.
 enum class EventCounter {
     Retries,
     StoreCalls,
@@ -41,7 +41,7 @@
     ClaimsRefused,
 };
 
-/// Gauges of the process's state.
+/// Gauges of the process state.
 enum class StateGauge {
     Ready,
     ConfigurationRevision,
@@ -53,7 +53,7 @@
     WaveDue,
 };
 
-/// \brief The metrics of one process. Safe for several threads.
+/// \brief The metrics of one process. Thread-safe.
 class Metrics {
 public:
     Metrics();
@@ -66,7 +66,7 @@
     void count(EventCounter counter, std::uint64_t times = 1);
     void set(StateGauge gauge, double value);
 
-    /// \returns All metrics as text.
+    /// \returns All metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/include/lanemoor/adapters/platform.h
+++ b/include/lanemoor/adapters/platform.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The platform's instance list and control of workers.
+/// Interface to the platform's instance list and worker control.
 
 #include "lanemoor/decisions/controller.h"
 #include "lanemoor/decisions/instance.h"
@@ -16,22 +16,23 @@
 enum class PlatformFault {
     Unreachable,
     Refused,
-    Malformed, ///< The answer can't be read.
+    Malformed, ///< The answer can't be parsed.
 };
 
 /// \returns A short English text for `fault`.
 [[nodiscard]] std::string_view describe(PlatformFault fault) noexcept;
 
-/// \brief The platform as lanemoor needs it. An object serves one thread.
+/// \brief Client of the platform. Not thread-safe; each thread uses its own object.
 class Platform {
 public:
     virtual ~Platform() = default;
 
-    /// \returns The list, which lags; or nothing, and `lastFault()` says why.
+    /// \returns The instance list, which may lag behind the platform's state; nothing on
+    /// failure, with the reason in `lastFault()`.
     [[nodiscard]] virtual std::optional<Instances> list() = 0;
 
-    /// \brief Asks for `action`, which may be repeated.
-    /// \returns Whether the platform took it.
+    /// \brief Requests `action`. The same action may be requested repeatedly.
+    /// \returns Whether the platform accepted it.
     [[nodiscard]] virtual bool perform(const Action& action) = 0;
 
     [[nodiscard]] virtual PlatformFault lastFault() const noexcept = 0;
--- a/include/lanemoor/net/http_connection.h
+++ b/include/lanemoor/net/http_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One HTTP/1.1 connection to an endpoint, or to the platform.
+/// A client connection for HTTP/1.1.
 
 #include "lanemoor/net/http_message.h"
 
@@ -12,41 +12,41 @@
 
 namespace lanemoor {
 
-/// How an exchange ended short of a whole answer.
+/// Why an exchange ended without a complete answer.
 enum class ExchangeFault {
-    None, ///< The whole answer came.
-    ConnectFailed, ///< No connection; nothing was sent.
+    None, ///< The answer is complete.
+    ConnectFailed, ///< No connection was established; nothing was sent.
     SendFailed, ///< The connection broke while sending.
-    ClosedBeforeAnswer, ///< The peer closed before its answer began.
-    AnswerCut, ///< The peer closed within its answer.
-    AnswerMalformed, ///< What came is not an HTTP answer that can be framed.
+    ClosedBeforeAnswer, ///< The peer closed the connection before its answer began.
+    AnswerCut, ///< The peer closed the connection within its answer.
+    AnswerMalformed, ///< The received bytes are not a valid HTTP answer.
     DeadlinePassed,
-    Abandoned, ///< The watched descriptor closed, or the sink refused.
+    Abandoned, ///< The watched socket was closed, or the sink stopped the exchange.
 };
 
 /// \returns A short English text for `fault`.
 [[nodiscard]] const char* describe(ExchangeFault fault) noexcept;
 
-/// How an exchange went.
+/// The result of an exchange.
 struct ExchangeResult {
     ExchangeFault fault = ExchangeFault::None;
-    bool anySent = false; ///< Whether a byte of the request may have left.
-    bool headSeen = false; ///< Whether the answer's head was handed to the sink.
+    bool anySent = false; ///< Whether any byte of the request may have been sent.
+    bool headSeen = false; ///< Whether the sink received the head of the answer.
 };
 
-/// \brief Takes an answer as it comes.
+/// \brief Receives an answer incrementally.
 class AnswerSink {
 public:
     virtual ~AnswerSink() = default;
 
-    /// \returns False to give the exchange up.
+    /// \returns False to abandon the exchange.
     [[nodiscard]] virtual bool begin(const HttpResponseHead& head) = 0;
 
-    /// \returns False to give the exchange up.
+    /// \returns False to abandon the exchange.
     [[nodiscard]] virtual bool write(std::string_view part) = 0;
 };
 
-/// \brief Keeps a whole answer, up to a bound.
+/// \brief Buffers an answer; a body above the size limit abandons the exchange.
 class BufferSink final : public AnswerSink {
 public:
     explicit BufferSink(std::size_t mostBytes);
@@ -61,20 +61,20 @@
     std::size_t m_mostBytes;
 };
 
-/// \returns Whether the peer of socket `descriptor` has closed it.
+/// \returns Whether the peer has closed the connection of socket `descriptor`.
 [[nodiscard]] bool isClosedByPeer(int descriptor) noexcept;
 
-/// What binds one exchange.
+/// Limits of one exchange.
 struct ExchangeOptions {
-    std::chrono::system_clock::time_point deadline; ///< For the whole exchange.
-    int watchedDescriptor = -1; ///< Give up when this socket's peer closes it; -1: none.
+    std::chrono::system_clock::time_point deadline; ///< Applies to the whole exchange.
+    int watchedDescriptor = -1; ///< Abandons the exchange when this socket's peer closes it; -1 for none.
 };
 
-/// \brief A connection on which a request is sent exactly once.
+/// \brief A connection that sends each request exactly once.
 ///
-/// The client of cxxtools sends a request again by itself when a connection that it
-/// has used or opened before is closed on it (measured; see docs/DESIGN.md), so this
-/// one stands on `cxxtools::net::TcpSocket`. It never opens a second connection.
+/// The HTTP client of cxxtools silently resends a request when a connection that it opened or
+/// used before is closed by the peer (see docs/DESIGN.md). This class therefore uses
+/// `cxxtools::net::TcpSocket` directly and never opens a second connection.
 ///
 /// \code
 /// HttpConnection connection({ "127.0.0.1", 8080 });
@@ -88,7 +88,7 @@
     HttpConnection(HttpConnection&&) noexcept;
     HttpConnection& operator=(HttpConnection&&) noexcept;
 
-    /// \brief Connects if need be, sends `request` once and hands the answer to `sink`.
+    /// \brief Connects if necessary, sends `request` once and passes the answer to `sink`.
     [[nodiscard]] ExchangeResult exchange(const HttpRequest& request, AnswerSink& sink, const ExchangeOptions& options);
 
     /// \returns Whether another request may be sent on this connection.
--- a/include/lanemoor/net/http_message.h
+++ b/include/lanemoor/net/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// HTTP messages as plain values. Compiles as C++17, like all headers under net/.
+/// HTTP messages as value types. All headers under net/ compile as C++17.
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
     std::string value;
 };
 
-/// \brief Header fields in the order they came; names compare without case.
+/// \brief Header fields in the order of arrival. Names are case-insensitive.
 class HttpHeaders {
 public:
     HttpHeaders() = default;
@@ -25,7 +25,7 @@
     /// \returns The first value of `name`, or nothing.
     [[nodiscard]] std::optional<std::string_view> find(std::string_view name) const noexcept;
 
-    /// \returns How often `name` stands.
+    /// \returns The number of fields called `name`.
     [[nodiscard]] std::size_t count(std::string_view name) const noexcept;
 
     void add(std::string name, std::string value);
@@ -41,7 +41,7 @@
     std::vector<HttpHeader> m_headers;
 };
 
-/// A whole request.
+/// A complete request.
 struct HttpRequest {
     std::string method = "GET";
     std::string target = "/"; ///< Path and query.
@@ -49,20 +49,20 @@
     std::string body;
 };
 
-/// Status and headers of an answer.
+/// Status and header fields of an answer.
 struct HttpResponseHead {
     unsigned status = 200;
     HttpHeaders headers;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct HttpResponse {
     unsigned status = 200;
     HttpHeaders headers;
     std::string body;
 };
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct HttpAddress {
     std::string ip;
     std::uint16_t port = 0;
@@ -70,31 +70,32 @@
     [[nodiscard]] friend bool operator==(const HttpAddress& a, const HttpAddress& b) noexcept { return a.ip == b.ip && a.port == b.port; }
 };
 
-/// \returns Whether `a` and `b` are the same but for the case of ASCII letters.
+/// \returns Whether `a` and `b` are equal, ignoring the case of ASCII letters.
 [[nodiscard]] bool equalsIgnoringCase(std::string_view a, std::string_view b) noexcept;
 
-/// \param text Digits only. \returns Nothing if `text` is not a number below 2^63.
+/// \param text Decimal digits only.
+/// \returns Nothing if `text` is not a number below 2^63.
 [[nodiscard]] std::optional<std::uint64_t> parseDecimal(std::string_view text) noexcept;
 
-/// \param text Such as `10.0.0.1:8080`; the part before the last colon is taken as it is.
-/// \param leastPort 0 where the kernel may choose the port.
-/// \returns Nothing if `text` is no address.
+/// \param text For example `10.0.0.1:8080`; the part before the last colon is not validated.
+/// \param leastPort The smallest valid port; 0 where the kernel may choose the port.
+/// \returns Nothing if `text` is not an address.
 [[nodiscard]] std::optional<HttpAddress> parseAddress(std::string_view text, std::uint16_t leastPort = 1);
 
-/// \returns A strong entity tag for `version`, such as `"7"`.
+/// \returns A strong entity tag for `version`, for example `"7"`.
 [[nodiscard]] std::string formatEntityTag(std::uint64_t version);
 
-/// \returns The version that `formatEntityTag` wrote, or nothing.
+/// \returns The version in a tag written by `formatEntityTag`; nothing for other tags.
 [[nodiscard]] std::optional<std::uint64_t> parseEntityTag(std::string_view tag) noexcept;
 
-/// \returns The standard phrase of `status`.
+/// \returns The standard reason phrase of `status`.
 [[nodiscard]] const char* reasonPhrase(unsigned status) noexcept;
 
-/// \returns The value of `name` in the query part of `target`, or nothing. Percent
-/// escapes are left as they are.
+/// \returns The value of `name` in the query of `target`, or nothing. Percent escapes are
+/// not decoded.
 [[nodiscard]] std::optional<std::string_view> queryValue(std::string_view target, std::string_view name) noexcept;
 
-/// \returns `target` without its query part.
+/// \returns `target` without its query.
 [[nodiscard]] std::string_view pathOf(std::string_view target) noexcept;
 
 } // namespace lanemoor
--- a/include/lanemoor/net/http_server.h
+++ b/include/lanemoor/net/http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// An HTTP server on cxxtools, with guards against what its library lets through.
+/// An HTTP server based on cxxtools that also rejects malformed framing the library accepts.
 
 #include "lanemoor/net/http_message.h"
 
@@ -13,34 +13,34 @@
 
 namespace lanemoor {
 
-/// \brief One request and the way to answer it. Lives while the request does.
+/// \brief One request and its answer. Valid only while the request is handled.
 class HttpExchange {
 public:
     virtual ~HttpExchange() = default;
 
     [[nodiscard]] virtual const HttpRequest& request() const noexcept = 0;
 
-    /// \returns The caller's socket, to see whether the caller has gone.
+    /// \returns The caller's socket, used to detect a disconnected caller.
     [[nodiscard]] virtual int descriptor() const noexcept = 0;
 
-    /// \brief Answers with a whole answer. Called at most once, and not with `beginStream`.
+    /// \brief Sends a complete answer. Called at most once, and never after `beginStream`.
     virtual void respond(const HttpResponse& response) = 0;
 
-    /// \brief Begins an answer that is sent as it comes, in chunks.
-    /// \returns False if the caller has gone.
+    /// \brief Begins a streamed answer with chunked encoding.
+    /// \returns False if the caller has disconnected.
     [[nodiscard]] virtual bool beginStream(const HttpResponseHead& head) = 0;
 
-    /// \returns False if the caller has gone.
+    /// \returns False if the caller has disconnected.
     [[nodiscard]] virtual bool writeStream(std::string_view part) = 0;
 
-    /// \brief Closes the connection with no further answer.
+    /// \brief Closes the connection without any further answer.
     virtual void abort() = 0;
 
-    /// \brief Ends the stream. Without it the caller sees that the answer was cut.
+    /// \brief Ends the stream. Without this call the caller detects a truncated answer.
     virtual void endStream() = 0;
 };
 
-/// \brief Answers requests, on several threads at once.
+/// \brief Handles requests. Called by several threads concurrently.
 class HttpHandler {
 public:
     virtual ~HttpHandler() = default;
@@ -50,19 +50,19 @@
 /// Options of a server.
 struct HttpServerOptions {
     std::string ip = "127.0.0.1";
-    std::uint16_t port = 0; ///< 0: chosen by the kernel.
-    std::string certificateFile; ///< PEM; empty: no TLS.
+    std::uint16_t port = 0; ///< 0 lets the kernel choose.
+    std::string certificateFile; ///< PEM; empty disables TLS.
     std::string keyFile;
     std::size_t mostBodyBytes = 1024 * 1024;
-    unsigned mostThreads = 64; ///< Requests handled at once; more wait.
-    std::chrono::milliseconds readLimit { 5'000 }; ///< For one body as a whole.
+    unsigned mostThreads = 64; ///< Requests handled concurrently; further ones wait.
+    std::chrono::milliseconds readLimit { 5'000 }; ///< For one complete body.
     std::chrono::milliseconds idleLimit { 30'000 }; ///< For a connection between requests.
 };
 
 /// \brief A server that listens from construction to destruction.
 ///
-/// Requests with a chunked body, with a doubled, negative or conflicting length, or
-/// larger than the bound are answered with a 4xx and their connection is closed.
+/// Requests with a chunked body, with a repeated, negative or conflicting length, or with a body
+/// above the limit get a 4xx answer and their connection is closed.
 class HttpServer {
 public:
     /// \throws std::runtime_error if it can't listen.
--- a/include/lanemoor/serve/process/background.h
+++ b/include/lanemoor/serve/process/background.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The background threads of an entry instance. Each class is one loop, run by one
-/// thread until `SharedState::isQuitting`.
+/// Background loops of an entry instance. Each class is a loop that one thread runs until
+/// `SharedState::isQuitting` returns true.
 
 #include "lanemoor/adapters/platform.h"
 #include "lanemoor/adapters/store.h"
@@ -13,10 +13,10 @@
 
 namespace lanemoor {
 
-/// Takes a document's version and body.
+/// Called with the version and body of a document.
 using DocumentTaker = std::function<void(std::uint64_t version, const std::string& body)>;
 
-/// \brief Watches one key of the store and hands each newer document on.
+/// \brief Watches one key of the store and passes each newer document to a callback.
 class DocumentWatch {
 public:
     DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentTaker taker);
@@ -30,7 +30,7 @@
     DocumentTaker m_taker;
 };
 
-/// \brief Reads the instance list again and again, and merges all observations.
+/// \brief Polls the instance list and merges all observations.
 class ListPoller {
 public:
     ListPoller(SharedState& state, std::unique_ptr<Platform> platform);
@@ -43,10 +43,10 @@
     bool m_listAway = false;
 };
 
-/// \brief Keeps a seat among the entry instances by a lease.
+/// \brief Holds one of the entry shards by a lease.
 ///
-/// A seat that was another's is used only one lease time after it was taken, so that
-/// the former holder has seen that it lost it.
+/// A shard taken over from another holder is used only after one more lease duration, so that
+/// the previous holder has detected the loss.
 class SeatKeeper {
 public:
     SeatKeeper(SharedState& state, std::unique_ptr<Store> store);
--- a/include/lanemoor/serve/process/configuration_writer.h
+++ b/include/lanemoor/serve/process/configuration_writer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Writes operators' changes of the configuration to the store.
+/// Writes configuration changes by operators to the store.
 
 #include "lanemoor/adapters/store.h"
 #include "lanemoor/state/configuration_document.h"
@@ -14,12 +14,12 @@
 
 namespace lanemoor {
 
-/// The store holds the change.
+/// The store has the change.
 struct ChangeAccepted {
     std::uint64_t revision = 0;
 };
 
-/// The change was made on an older revision than the store's.
+/// The change is based on an older revision than the store's.
 struct ChangeConflict {
     std::uint64_t newerRevision = 0;
 };
@@ -29,25 +29,25 @@
     std::vector<DocumentFault> faults;
 };
 
-/// The store did not answer; whether it holds the change could not be found out.
+/// The store did not answer, so the outcome of the write is unknown.
 struct ChangeUnsettled { };
 
-/// How a change went.
+/// The outcome of a change.
 using ChangeResult = std::variant<ChangeAccepted, ChangeConflict, ChangeFaulty, ChangeUnsettled>;
 
-/// \brief Accepts changes by compare-and-swap only.
+/// \brief Writes changes by compare-and-swap only.
 ///
-/// A change is accepted only when the store holds it. A write whose answer is lost is
-/// settled by reading back the change's id, never by writing again.
+/// A change is accepted only when the store has it. If the answer to a write is lost, the outcome
+/// is determined by reading back the change id, never by writing again.
 class ConfigurationWriter {
 public:
-    /// \param changeIds Gives a new unique id with each call.
+    /// \param changeIds Returns a new unique id on each call.
     ConfigurationWriter(Store& store, std::function<std::string()> changeIds);
 
-    /// \brief Replaces the document, made on revision `base` (0: there is none yet).
+    /// \brief Replaces the document of revision `base` (0 if none exists yet).
     [[nodiscard]] ChangeResult replace(std::string_view text, std::uint64_t base);
 
-    /// \brief Changes the newest document by `edit`, again if another change came between.
+    /// \brief Applies `edit` to the latest document and retries after a concurrent change.
     [[nodiscard]] ChangeResult edit(const std::function<void(Configuration&)>& edit);
 
 private:
--- a/include/lanemoor/serve/process/control_role.h
+++ b/include/lanemoor/serve/process/control_role.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The control role: one entry instance holds it by a lease and writes the ledger.
+/// The control role, held by one entry instance through a lease.
 
 #include "lanemoor/adapters/platform.h"
 #include "lanemoor/adapters/store.h"
@@ -13,16 +13,16 @@
 
 namespace lanemoor {
 
-/// \brief Takes the control role when it is free and does its work while it is held.
+/// \brief Acquires the control role when it is free, and writes the ledger while holding it.
 ///
-/// The ledger is written by compare-and-swap on the version that was decided on, with
-/// the role's epoch inside, and nothing is asked of the platform before the store holds
-/// the grant. A write whose answer is lost is settled by reading the ledger back.
+/// The ledger contains the role's epoch and is written by compare-and-swap on the version that
+/// the decision was based on. No action is sent to the platform before the store has the
+/// grant. If the answer to a write is lost, its outcome is determined by reading the ledger back.
 class ControlRole {
 public:
     ControlRole(SharedState& state, std::unique_ptr<Store> store, std::unique_ptr<Platform> platform);
 
-    /// \brief Runs until `SharedState::isQuitting`.
+    /// \brief Runs until `SharedState::isQuitting` returns true.
     void run();
 
 private:
@@ -41,7 +41,7 @@
     Controller m_controller;
     BudgetInvariant m_invariant;
     std::optional<Lease> m_lease;
-    Instant m_actsFrom; ///< Not before the peers' observations have come.
+    Instant m_actsFrom; ///< No decisions before this time, so that peers' observations can arrive.
     Instant m_nextRenewal;
 };
 
--- a/include/lanemoor/serve/process/daemon.h
+++ b/include/lanemoor/serve/process/daemon.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One entry instance as a process.
+/// The process of an entry instance.
 
 #include "lanemoor/state/settings.h"
 
@@ -8,8 +8,8 @@
 
 /// \brief Runs an entry instance until SIGTERM or SIGINT.
 ///
-/// A planned stop tells the balancer first, then waits until every request in flight
-/// has ended, listeners too, and then leaves.
+/// On a planned stop the instance first reports itself unready to the load balancer, then waits
+/// until all requests in flight, including listeners, have ended.
 /// \returns The exit code of the process.
 [[nodiscard]] int runDaemon(const Settings& settings);
 
--- a/include/lanemoor/serve/process/endpoint_registry.h
+++ b/include/lanemoor/serve/process/endpoint_registry.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What an entry instance knows of each endpoint for as long as the process lives.
+/// State of each endpoint in an entry instance, kept for the lifetime of the process.
 
 #include "lanemoor/decisions/ejection.h"
 #include "lanemoor/decisions/time.h"
@@ -17,8 +17,8 @@
 
 namespace lanemoor {
 
-/// \brief One endpoint: its requests in flight from here and its idle connections.
-/// Safe for several threads.
+/// \brief One endpoint with the requests in flight from this entry instance and its idle
+/// connections. Thread-safe.
 class Endpoint {
 public:
     Endpoint(std::string id, HttpAddress address);
@@ -26,21 +26,23 @@
     [[nodiscard]] const std::string& id() const noexcept { return m_id; }
     [[nodiscard]] const HttpAddress& address() const noexcept { return m_address; }
 
-    /// \returns Whether one of `most` places for requests was free; it is then taken.
+    /// \brief Acquires one of `most` request slots.
+    /// \returns False if all slots are in use.
     [[nodiscard]] bool takeSlot(std::uint32_t most) noexcept { return take(m_inFlight, most); }
     void giveSlot() noexcept { m_inFlight.fetch_sub(1, std::memory_order_acq_rel); }
 
-    /// \returns Whether one of `most` places for listeners was free; it is then taken.
+    /// \brief Acquires one of `most` listener slots.
+    /// \returns False if all slots are in use.
     [[nodiscard]] bool takeListener(std::uint32_t most) noexcept { return take(m_listeners, most); }
     void giveListener() noexcept { m_listeners.fetch_sub(1, std::memory_order_acq_rel); }
 
     [[nodiscard]] std::uint32_t inFlight() const noexcept { return m_inFlight.load(std::memory_order_acquire); }
     [[nodiscard]] std::uint32_t listeners() const noexcept { return m_listeners.load(std::memory_order_acquire); }
 
-    /// \returns A connection: a kept one for a repeatable request, else a fresh one.
+    /// \returns An idle connection for a repeatable request if there is one, otherwise a new one.
     [[nodiscard]] std::unique_ptr<HttpConnection> connection(bool repeatable);
 
-    /// \brief Keeps `connection` for another request, if it can carry one.
+    /// \brief Keeps `connection` for reuse if it is reusable.
     void keep(std::unique_ptr<HttpConnection> connection);
 
 private:
@@ -54,25 +56,25 @@
     std::vector<std::unique_ptr<HttpConnection>> m_idle;
 };
 
-/// \brief All endpoints seen so far, and which of them fail. Safe for several threads.
+/// \brief All endpoints seen so far, with their failures. Thread-safe.
 class EndpointRegistry {
 public:
-    /// \returns The endpoint `id` at `address`; a new one if its address has changed.
+    /// \returns The endpoint `id` at `address`. A changed address creates a new endpoint.
     [[nodiscard]] std::shared_ptr<Endpoint> at(const std::string& id, const HttpAddress& address);
 
     void onSuccess(const std::string& id);
     void onFailure(const std::string& id);
 
-    /// \brief Notes that `id` itself said that it takes no new work.
+    /// \brief Records that endpoint `id` reported that it accepts no new work.
     void onLeaving(const std::string& id);
 
-    /// \returns Those of `members` to be left out now.
+    /// \returns The `members` that currently get no requests.
     [[nodiscard]] std::vector<std::string> ejected(const std::vector<std::string>& members) const;
 
-    /// \returns Endpoints that fail all that this entry gives them.
+    /// \returns Endpoints that fail all requests of this entry instance.
     [[nodiscard]] std::set<std::string> failing() const;
 
-    /// \returns Endpoints that said within the last seconds that they take no new work.
+    /// \returns Endpoints that reported within the last seconds that they accept no new work.
     [[nodiscard]] std::set<std::string> leaving() const;
 
 private:
--- a/include/lanemoor/serve/process/operator_handler.h
+++ b/include/lanemoor/serve/process/operator_handler.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The operators' port: configuration, fleet, waves, metrics and health.
+/// The operator port: configuration, fleet, waves, metrics and health.
 
 #include "lanemoor/adapters/store.h"
 #include "lanemoor/net/http_server.h"
@@ -14,7 +14,7 @@
 
 namespace lanemoor {
 
-/// \brief Answers operators. See docs/OPERATING.md for the calls.
+/// \brief Handles operator requests. docs/OPERATING.md describes them.
 class OperatorHandler final : public HttpHandler {
 public:
     OperatorHandler(SharedState& state, const StoreFactory& stores);
--- a/include/lanemoor/serve/process/order_claims.h
+++ b/include/lanemoor/serve/process/order_claims.h
@@ -1,6 +1,7 @@
 #pragma once
 /// \file
-/// Claims on orders in the store, so that none runs twice through any entry instance.
+/// Claims on orders in the store; they prevent an order from running twice through several
+/// entry instances.
 
 #include "lanemoor/adapters/metrics.h"
 #include "lanemoor/adapters/store.h"
@@ -19,50 +20,50 @@
 
 namespace lanemoor {
 
-/// How far an order has come, as its claim in the store tells.
+/// Progress of an order according to its claim in the store.
 enum class ClaimState {
-    Claimed, ///< Its entry may have sent it; the outcome is unknown.
+    Claimed, ///< The claiming entry instance may have sent it; the outcome is unknown.
     Ran, ///< The endpoint answered.
-    NotRun, ///< It did not run; the key may be claimed again.
+    NotRun, ///< The order did not run; its key may be claimed again.
 };
 
-/// What the store holds under an idempotency key.
+/// The value in the store for an idempotency key.
 struct OrderClaim {
-    std::string claimant; ///< Unique to one attempt of one entry instance.
+    std::string claimant; ///< Identifies one claim attempt of one entry instance.
     ClaimState state = ClaimState::Claimed;
-    unsigned status = 0; ///< The endpoint's status, if it ran.
+    unsigned status = 0; ///< HTTP status from the endpoint if the order ran.
 
     [[nodiscard]] bool operator==(const OrderClaim&) const = default;
 };
 
-/// \returns `claim` as text for the store.
+/// \returns `claim` in the store's JSON format.
 [[nodiscard]] std::string encodeClaim(const OrderClaim& claim);
 
-/// \returns The claim, or nothing if `text` is not one.
+/// \returns The claim; nothing if `text` is not a valid claim.
 [[nodiscard]] std::optional<OrderClaim> decodeClaim(std::string_view text);
 
-/// A claim of this process, needed to end it.
+/// A claim held by this process, with the data needed to end it.
 struct HeldClaim {
-    std::string key; ///< Of the store.
+    std::string key; ///< The store's key.
     std::uint64_t version = 0;
     std::string claimant;
 };
 
-/// The claim could not be made or seen through.
+/// The claim could not be made, or its outcome could not be determined.
 struct ClaimUnavailable { };
 
-/// Outcome of an attempt to claim: held, another's, or the store is away.
+/// Outcome of a claim attempt: held, claimed by another, or store unavailable.
 using ClaimAttempt = std::variant<HeldClaim, OrderClaim, ClaimUnavailable>;
 
-/// \brief Makes one claim attempt. A write whose answer is lost is settled by reading
-/// the claimant back, never by writing again.
+/// \brief Makes one claim attempt. If the answer to the write is lost, the outcome is determined
+/// by reading back the claimant, never by writing again.
 [[nodiscard]] ClaimAttempt claimOrder(Store& store, const std::string& team, const std::string& idempotencyKey, const std::string& claimant);
 
 /// \brief Claims orders for all threads of a process and ends the claims in the background.
 ///
-/// A claim never lapses by time: an entry that was frozen between its claim and its
-/// send is still the only one that may send. One store write makes a claim and one
-/// ends it; both are bounded by a rate.
+/// Claims do not expire: an entry instance that is paused between its claim and its send is
+/// still the only one that may send the order. A claim takes one store write and its end
+/// another one; the rate of claims bounds both.
 class OrderClaims {
 public:
     OrderClaims(const StoreFactory& factory, std::string claimantPrefix, std::uint32_t claimsPerSecond, Metrics& metrics);
@@ -70,10 +71,10 @@
     OrderClaims(const OrderClaims&) = delete;
     OrderClaims& operator=(const OrderClaims&) = delete;
 
-    /// \returns How the attempt went; ClaimUnavailable too if the rate is spent.
+    /// \returns The outcome of the attempt; ClaimUnavailable also if the rate limit is reached.
     [[nodiscard]] ClaimAttempt claim(const std::string& team, const std::string& idempotencyKey);
 
-    /// \brief Writes in the background how the order ended. Unknown writes nothing.
+    /// \brief Writes the outcome of the order in the background. Outcome Unknown writes nothing.
     void end(HeldClaim claim, RequestOutcome outcome, unsigned status);
 
 private:
--- a/include/lanemoor/serve/process/peer_keys.h
+++ b/include/lanemoor/serve/process/peer_keys.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Keys of the peer link: CURVE, with one key pair for all entry instances.
+/// CURVE keys of the peer link. All entry instances share one key pair.
 
 #include <memory>
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace lanemoor {
 
-/// A key pair in Z85 text.
+/// A key pair in Z85 encoding.
 struct PeerKeys {
     std::string publicKey;
     std::string secretKey;
@@ -20,17 +20,18 @@
     [[nodiscard]] bool operator==(const PeerKeys&) const = default;
 };
 
-/// \returns The keys in `file`, as `writePeerKeys` wrote them, or nothing.
+/// \brief Reads a key file written by `writePeerKeys`.
+/// \returns Nothing if `file` can't be read or has another format.
 [[nodiscard]] std::optional<PeerKeys> readPeerKeys(const std::string& file);
 
-/// \brief Writes a new key pair to `file`, readable by its owner alone.
-/// \returns False if the file is there already or can't be written.
+/// \brief Writes a new key pair to `file`, readable by its owner only.
+/// \returns False if the file already exists or can't be written.
 [[nodiscard]] bool writePeerKeys(const std::string& file);
 
-/// \brief Lets in only peers that hold the key pair (ZAP, ZeroMQ RFC 27).
+/// \brief Authenticates peers: only holders of the key pair may connect (ZAP, ZeroMQ RFC 27).
 ///
-/// It runs in a thread of its own from construction to destruction and must exist
-/// before the sockets of `context` that it guards are bound.
+/// Runs in its own thread from construction to destruction. Must be constructed before the
+/// guarded sockets of `context` are bound.
 class PeerGatekeeper {
 public:
     PeerGatekeeper(zmq::context_t& context, const std::string& publicKey);
--- a/include/lanemoor/serve/process/peer_link.h
+++ b/include/lanemoor/serve/process/peer_link.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The link between entry instances: ZeroMQ carrying protobuf.
+/// The link between entry instances, using protobuf messages over ZeroMQ.
 
 #include "lanemoor/serve/process/shared_state.h"
 
@@ -9,12 +9,12 @@
 
 namespace lanemoor {
 
-/// \brief Tells the other entry instances how this one stands, and listens to them.
+/// \brief Exchanges state with the other entry instances.
 ///
-/// Each instance binds one socket and pushes its state to every peer it knows, twice a
-/// second. A peer seen with an older configuration or ledger is sent the document. A
-/// new instance needs to know one peer; it learns of the others, and they of it, from
-/// the messages. Messages of an older incarnation or sequence are dropped.
+/// Each instance binds one socket and pushes its state to every known peer twice per second. A
+/// peer with an older configuration or ledger is sent the document. A new instance needs the
+/// address of one peer; the messages carry the addresses of the others. Messages of an older
+/// incarnation or sequence are dropped.
 class PeerLink {
 public:
     /// \throws std::runtime_error if the address can't be bound.
@@ -23,10 +23,10 @@
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
 
-    /// \returns Where this instance receives, as `tcp://IP:PORT`.
+    /// \returns The receiving address of this instance as `tcp://IP:PORT`.
     [[nodiscard]] const std::string& address() const noexcept;
 
-    /// \brief Runs until `SharedState::isQuitting`.
+    /// \brief Runs until `SharedState::isQuitting` returns true.
     void run();
 
 private:
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Lets requests through to the endpoints of one pool, as many as they have slots.
+/// Admission of requests to the endpoints of one pool, limited by their slots.
 
 #include "lanemoor/decisions/admission.h"
 #include "lanemoor/serve/request/request_context.h"
@@ -18,33 +18,33 @@
 
 namespace lanemoor {
 
-/// What has been tried for a request, so that a retry goes elsewhere.
+/// Endpoints and racks already tried for a request; a retry avoids them.
 struct TriedEndpoints {
     std::set<std::string> endpoints;
     std::set<std::string> racks;
 };
 
-/// The caller gave up while its request waited.
+/// The caller disconnected while its request waited.
 struct CallerGone { };
 
-/// \brief The admission queue of a pool, for threads that wait in it.
+/// \brief The admission queue of a pool. Requests wait in it with blocked threads.
 ///
-/// A waiting request is answered at once when it can't make its deadline any more.
+/// A waiting request that can no longer meet its deadline is refused at once.
 class PoolGate {
 public:
     explicit PoolGate(std::uint32_t mostWaiting);
 
-    /// \brief Waits for the turn of a request.
+    /// \brief Waits until a request is admitted.
     /// \param descriptor The caller's socket.
-    /// \returns The ticket's number, or why there is none.
+    /// \returns The ticket number, or the reason for the refusal.
     [[nodiscard]] std::variant<std::uint64_t, AdmissionRefusal, CallerGone> enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor);
 
-    /// \brief Takes a slot of an endpoint for a request that was let in.
+    /// \brief Acquires an endpoint slot for an admitted request.
     /// \returns The route, or null if every endpoint is full, ejected or tried.
     [[nodiscard]] const Route* takeEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried);
 
-    /// \brief Ends a request that was let in.
-    /// \param ran Whether its time is one to learn from.
+    /// \brief Ends an admitted request.
+    /// \param ran Whether the request ran, so that its duration counts in the service time estimate.
     void leave(std::uint64_t ticket, bool ran);
 
 private:
--- a/include/lanemoor/serve/process/readiness.h
+++ b/include/lanemoor/serve/process/readiness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Whether callers may be sent to this entry instance.
+/// Readiness of an entry instance for callers.
 
 #include "lanemoor/decisions/time.h"
 
@@ -9,35 +9,35 @@
 
 namespace lanemoor {
 
-/// What an entry instance knows of its own standing.
+/// Inputs of the readiness check of an entry instance.
 struct StandingFacts {
     std::uint64_t configurationRevision = 0;
     bool hasSeat = false;
     bool stopping = false;
-    Instant storeReachedAt; ///< By this entry instance itself.
+    Instant storeReachedAt; ///< Last successful contact by this entry instance.
     std::size_t peersKnown = 0;
-    std::size_t peersHeard = 0; ///< Within the last seconds.
+    std::size_t peersHeard = 0; ///< Peers that reported within the last seconds.
 
     [[nodiscard]] bool operator==(const StandingFacts&) const = default;
 };
 
-/// Whether, and why not, callers may be sent here.
+/// Ready, or the reason why callers must not be sent here.
 enum class Readiness {
     Ready,
-    NoConfiguration, ///< None was ever received.
+    NoConfiguration, ///< None has been received yet.
     NoSeat,
-    CutOff, ///< Neither the store nor most of the others are reached: a newer configuration may be in force there.
+    CutOff, ///< Neither the store nor a majority of the entry instances is reachable; a newer configuration may be in force.
     Stopping,
 };
 
 /// \returns A short English text for `readiness`.
 [[nodiscard]] const char* describe(Readiness readiness) noexcept;
 
-/// \brief Judges by `facts` at `now`.
+/// \brief Evaluates `facts` at `now`.
 ///
-/// With the store away, an entry that hears most of the others goes on under the last
-/// accepted configuration: nothing newer can be accepted meanwhile. One that hears
-/// neither may have missed a change, so it sends its callers elsewhere.
+/// While the store is unavailable, an entry instance that reaches a majority of the entry
+/// instances continues with the last accepted configuration, since no newer one can be accepted.
+/// An instance that reaches neither may have missed a change and becomes unready.
 [[nodiscard]] Readiness judgeReadiness(const StandingFacts& facts, Instant now) noexcept;
 
 } // namespace lanemoor
--- a/include/lanemoor/serve/process/reports.h
+++ b/include/lanemoor/serve/process/reports.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What operators are told, as JSON text.
+/// Reports for operators as JSON text.
 
 #include "lanemoor/decisions/fleet_view.h"
 #include "lanemoor/serve/process/shared_state.h"
@@ -11,20 +11,20 @@
 
 namespace lanemoor {
 
-/// \returns Each pool: members, in service, budget, slack, buffer and conditions.
+/// \returns Each pool: members, target, instances in service, minimum, slack, grants and conditions.
 [[nodiscard]] std::string reportPools(const FleetView& view);
 
-/// \returns Each instance: pool, state, grant and last maintenance.
+/// \returns Each instance: pool, state, grant and time of its last maintenance.
 [[nodiscard]] std::string reportInstances(const FleetView& view);
 
-/// \returns How far maintenance has come, by pool and in all, with a forecast.
+/// \returns The progress of maintenance over all pools.
 [[nodiscard]] std::string reportWaves(const FleetView& view);
 
-/// \returns This entry instance, its peers and what is in force on each.
+/// \returns This entry instance and its peers, with the versions in force on each.
 [[nodiscard]] std::string reportStatus(const SharedState& state);
 
-/// \returns Why `instance` is in its pool and whether it may be taken now; nothing if
-/// it is not known.
+/// \returns The reason why `instance` is in its pool and whether it may be taken out of service
+/// now; nothing if it is unknown.
 [[nodiscard]] std::optional<std::string> reportInstance(const FleetView& view, std::string_view instance);
 
 } // namespace lanemoor
--- a/include/lanemoor/serve/process/shared_state.h
+++ b/include/lanemoor/serve/process/shared_state.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What the threads of one entry instance share.
+/// State shared by the threads of one entry instance.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/adapters/metrics.h"
@@ -22,20 +22,20 @@
 
 namespace lanemoor {
 
-/// \name Keys of the store
+/// \name Store keys and leases
 ///@{
 inline constexpr std::string_view configurationKey = "configuration";
 inline constexpr std::string_view ledgerKey = "ledger";
 inline constexpr std::string_view controlLease = "control";
 ///@}
 
-/// A document of the store as last accepted, kept for the peers.
+/// The last accepted version of a store document, kept to send it to peers.
 struct KeptDocument {
     std::uint64_t version = 0;
     std::string body;
 };
 
-/// How another entry instance was last heard to stand.
+/// The last reported status of another entry instance.
 struct PeerStanding {
     std::string name;
     std::string address;
@@ -44,14 +44,14 @@
     Instant heardAt;
 };
 
-/// \brief State of the process, shared by its threads.
+/// \brief State of the process, shared by its threads. Thread-safe.
 class SharedState {
 public:
     SharedState(Settings settings, std::string holder, Metrics& metrics, EventLog& log);
 
     [[nodiscard]] const Settings& settings() const noexcept { return m_settings; }
 
-    /// \returns Name of this incarnation, unique over restarts.
+    /// \returns The name of this incarnation as a lease holder, unique across restarts.
     [[nodiscard]] const std::string& holder() const noexcept { return m_holder; }
     [[nodiscard]] Metrics& metrics() noexcept { return m_metrics; }
     [[nodiscard]] EventLog& log() noexcept { return m_log; }
@@ -62,39 +62,39 @@
     [[nodiscard]] std::shared_ptr<const Snapshot> snapshot() const noexcept { return m_snapshots.load(); }
     [[nodiscard]] std::shared_ptr<const RoutingTable> routes() const noexcept { return m_routes.load(std::memory_order_acquire); }
 
-    /// \brief Takes a configuration from the store or a peer; an older one is ignored.
+    /// \brief Accepts a configuration from the store or a peer; ignores an older one.
     void acceptConfiguration(std::uint64_t version, const std::string& body);
 
-    /// \brief Takes a ledger from the store or a peer; an older one is ignored.
+    /// \brief Accepts a ledger from the store or a peer; ignores an older one.
     void acceptLedger(std::uint64_t version, const std::string& body);
 
     void onList(Instances listed);
     void onPeerSigns(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving);
 
-    /// \brief Merges observations anew and publishes them.
+    /// \brief Merges all observations again and publishes the result.
     void refreshObservations();
 
     void setSeat(Seat seat);
     [[nodiscard]] Seat seat() const;
 
-    /// \returns Instances that this entry itself, not a peer, found leaving.
+    /// \returns Instances that this entry instance, not a peer, found leaving.
     [[nodiscard]] std::set<std::string> leavingFoundHere() const;
 
     [[nodiscard]] KeptDocument configurationDocument() const;
     [[nodiscard]] KeptDocument ledgerDocument() const;
     ///@}
 
-    /// \name Contact with others
+    /// \name Contact with the store, the platform and peers
     ///@{
     void onStoreReached() noexcept { m_storeReachedAt.store(currentInstant(), std::memory_order_release); }
     [[nodiscard]] Instant storeReachedAt() const noexcept { return m_storeReachedAt.load(std::memory_order_acquire); }
-    /// \brief Notes that another entry instance reached the store at `instant`.
+    /// \brief Records that another entry instance reached the store at `instant`.
     void onStoreReachedByPeer(Instant instant) noexcept;
-    /// \returns When the store was last reached by this or, as far as known, any other entry instance.
+    /// \returns The last known time at which this or any other entry instance reached the store.
     [[nodiscard]] Instant storeReachedByAnyAt() const noexcept;
     [[nodiscard]] Instant listReadAt() const noexcept { return m_listReadAt.load(std::memory_order_acquire); }
-    /// \param known Peers that should be there, heard or not.
-    /// \param heard Peers heard within the last seconds.
+    /// \param known The number of all known peers.
+    /// \param heard The number of peers that reported within the last seconds.
     void setPeers(std::size_t known, std::size_t heard, std::vector<PeerStanding> standings);
     [[nodiscard]] std::vector<PeerStanding> peers() const;
     [[nodiscard]] Readiness readiness() const;
@@ -105,12 +105,12 @@
     void stop();
     [[nodiscard]] bool isStopping() const noexcept { return m_stopping.load(std::memory_order_acquire); }
 
-    /// \brief Ends the background threads, after the last request has ended.
+    /// \brief Ends the background threads. Called after the last request has ended.
     void quit();
     [[nodiscard]] bool isQuitting() const noexcept { return m_quitting.load(std::memory_order_acquire); }
 
-    /// \brief Sleeps for `time`, or until `quit`.
-    /// \returns Whether to go on.
+    /// \brief Sleeps for `time` or until `quit` is called.
+    /// \returns False if the process is quitting.
     bool pause(Millis time);
     ///@}
 
--- a/include/lanemoor/serve/request/answer_relay.h
+++ b/include/lanemoor/serve/request/answer_relay.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Passes an endpoint's answer on to the caller.
+/// Forwards an endpoint's answer to the caller.
 
 #include "lanemoor/net/http_connection.h"
 #include "lanemoor/net/http_server.h"
@@ -10,25 +10,25 @@
 
 namespace lanemoor {
 
-/// \brief Takes an endpoint's answer and gives it to the caller of one request.
+/// \brief Forwards an endpoint's answer to the caller of one request.
 ///
-/// A small answer of known length is kept and sent whole, so that one that is cut can
-/// still be replaced by an error. Any other answer is passed on as it comes.
+/// A small answer of known length is buffered and sent as a whole, so that a truncated one can
+/// still be replaced by an error. Any other answer is streamed.
 class AnswerRelay final : public AnswerSink {
 public:
-    /// \param entry Name of this entry instance, told in a header.
+    /// \param entry Name of this entry instance, sent in a header.
     AnswerRelay(HttpExchange& exchange, std::string entry);
 
     [[nodiscard]] bool begin(const HttpResponseHead& head) override;
     [[nodiscard]] bool write(std::string_view part) override;
 
-    /// \brief Ends the answer after a whole exchange.
+    /// \brief Ends the answer after a complete exchange.
     void complete();
 
-    /// \returns Whether anything of the answer has been sent to the caller.
+    /// \returns Whether the caller has already received a part of the answer.
     [[nodiscard]] bool isStreaming() const noexcept { return m_streaming; }
 
-    /// \returns Whether the endpoint said that it did not run the request.
+    /// \returns Whether the endpoint reported that it did not run the request.
     [[nodiscard]] bool saysNotRun() const noexcept { return m_notRun; }
 
     [[nodiscard]] unsigned status() const noexcept { return m_response.status; }
--- a/include/lanemoor/serve/request/front_handler.h
+++ b/include/lanemoor/serve/request/front_handler.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Serves callers.
+/// The handler of callers' requests.
 
 #include "lanemoor/net/http_server.h"
 #include "lanemoor/serve/process/order_claims.h"
@@ -10,7 +10,7 @@
 
 namespace lanemoor {
 
-/// \brief Takes a caller's request, sends it to an endpoint and passes the answer on.
+/// \brief Sends each caller's request to an endpoint and forwards the answer.
 class FrontHandler final : public HttpHandler {
 public:
     FrontHandler(SharedState& state, OrderClaims& claims);
@@ -18,7 +18,7 @@
 
     void handle(HttpExchange& exchange) override;
 
-    /// \returns Requests being handled now, listeners included.
+    /// \returns The number of requests being handled, including listeners.
     [[nodiscard]] std::size_t inFlight() const noexcept;
 
 private:
--- a/include/lanemoor/serve/request/problem.h
+++ b/include/lanemoor/serve/request/problem.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Failures as callers see them: problem details of RFC 9457.
+/// Error answers for callers as problem details (RFC 9457).
 
 #include "lanemoor/decisions/request.h"
 #include "lanemoor/net/http_message.h"
@@ -9,20 +9,20 @@
 
 namespace lanemoor {
 
-/// Why a request got no endpoint's answer, and what is known of its execution.
+/// Why a request has no answer from an endpoint, and whether it ran.
 struct Problem {
     RequestRefusal refusal = RequestRefusal::EndpointFailed;
     RequestOutcome outcome = RequestOutcome::NotRun;
     std::string entry; ///< Name of this entry instance.
     std::string detail;
-    Instant retryAt; ///< When asking again makes sense; ignored where it doesn't.
-    unsigned endpointStatus = 0; ///< Of the order that was accepted before; 0: not known.
+    Instant retryAt; ///< Time for a retry; ignored if a retry can't succeed.
+    unsigned endpointStatus = 0; ///< Status of the order accepted earlier; 0 if unknown.
 };
 
-/// \returns The HTTP status told for `refusal` with `outcome`.
+/// \returns The HTTP status for `refusal` with `outcome`.
 [[nodiscard]] unsigned statusOf(RequestRefusal refusal, RequestOutcome outcome) noexcept;
 
-/// \returns The answer for `problem`, with Retry-After where coming back makes sense.
+/// \returns The answer for `problem`, with Retry-After if a retry can succeed.
 [[nodiscard]] HttpResponse problemOf(const Problem& problem);
 
 } // namespace lanemoor
--- a/include/lanemoor/serve/request/request_context.h
+++ b/include/lanemoor/serve/request/request_context.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What a caller asks for, read from its request's headers.
+/// Parameters of a caller's request, read from its target and headers.
 
 #include "lanemoor/decisions/request.h"
 #include "lanemoor/net/http_message.h"
@@ -12,7 +12,7 @@
 
 namespace lanemoor {
 
-/// \name Headers of lanemoor's own
+/// \name Header names specific to lanemoor
 /// Documented for callers in docs/CALLERS.md.
 ///@{
 inline constexpr std::string_view classHeader = "Lanemoor-Class";
@@ -24,7 +24,7 @@
 inline constexpr std::string_view idempotencyHeader = "Idempotency-Key";
 ///@}
 
-/// A caller's request as it is decided on. Lives for one request.
+/// The parameters of one request.
 struct RequestContext {
     std::string pool;
     std::string endpointTarget; ///< Path and query at the endpoint.
@@ -33,26 +33,26 @@
     Instant arrivedAt;
     Instant deadline;
     bool repeatable = false;
-    std::string idempotencyKey; ///< Empty: none.
+    std::string idempotencyKey; ///< Empty if the request is not an order.
 };
 
-/// A request that can't be read.
+/// A request with an invalid header.
 struct BadRequestHeader {
-    std::string_view header; ///< Which one.
+    std::string_view header; ///< Name of the invalid header.
 };
 
 /// \brief Reads a request's context.
 ///
-/// The first part of the path names the pool; the rest is the endpoint's. GET and HEAD
-/// are repeatable; other methods if the caller says so. An Idempotency-Key makes the
-/// request an order.
-/// \param defaultDeadline For requests that name none, but listeners and batch.
+/// The first path segment names the pool; the rest is the target at the endpoint. GET and HEAD
+/// are repeatable by default; a header overrides this. An Idempotency-Key makes the request an
+/// order, which is never repeatable.
+/// \param defaultDeadline For requests without a deadline, except listeners and batch requests.
 [[nodiscard]] std::variant<RequestContext, BadRequestHeader> readContext(const HttpRequest& request, Instant now, Millis defaultDeadline);
 
-/// \returns The request to send to the endpoint: hop-by-hop headers left out.
+/// \returns The request to send to the endpoint, without hop-by-hop headers.
 [[nodiscard]] HttpRequest requestForEndpoint(const HttpRequest& request, const RequestContext& context);
 
-/// \returns Whether a header of this name belongs to one connection only.
+/// \returns Whether header `name` applies to a single connection only.
 [[nodiscard]] bool isHopByHop(std::string_view name) noexcept;
 
 } // namespace lanemoor
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Which endpoints serve which pool, for one version of the state.
+/// Endpoints of each pool, for one version of the state.
 
 #include "lanemoor/serve/process/endpoint_registry.h"
 #include "lanemoor/state/snapshot.h"
@@ -13,31 +13,31 @@
 
 namespace lanemoor {
 
-/// An endpoint in service, with what this entry instance may give it.
+/// An endpoint in service with its capacity for this entry instance.
 struct Route {
     std::shared_ptr<Endpoint> endpoint;
     std::string rack;
-    std::uint32_t slots = 0; ///< Requests at once from this entry.
-    std::uint32_t listeners = 0; ///< Standing answers at once from this entry.
+    std::uint32_t slots = 0; ///< Max concurrent requests from this entry instance.
+    std::uint32_t listeners = 0; ///< Max concurrent listeners from this entry instance.
 };
 
 /// The endpoints in service of one pool.
 struct PoolRoutes {
     std::string pool;
     std::vector<Route> routes;
-    std::vector<std::string> members; ///< Ids, in the order of `routes`.
+    std::vector<std::string> members; ///< Instance ids in the order of `routes`.
     std::uint32_t slots = 0; ///< Sum over `routes`.
 };
 
-/// This entry instance's place among the others.
+/// The share of the fleet's capacity that this entry instance may use, as one of equal shards.
 struct Seat {
     std::uint32_t number = 0;
-    std::uint32_t seats = 0; ///< 0: this entry has no seat and gives nobody work.
+    std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
 
     [[nodiscard]] bool operator==(const Seat&) const = default;
 };
 
-/// \brief The routes of all pools. Immutable; a new one is made for each version.
+/// \brief The routes of all pools. Immutable; each version of the state has its own table.
 class RoutingTable {
 public:
     RoutingTable() = default;
--- a/src/adapters/event_log.cpp
+++ b/src/adapters/event_log.cpp
@@ -33,7 +33,7 @@
     return line;
 }
 
-/// Lines of one kind within one second.
+/// Line budget of one event name within one second.
 struct Budget {
     std::chrono::steady_clock::time_point secondEnds;
     std::uint32_t written = 0;
--- a/src/adapters/http_platform.cpp
+++ b/src/adapters/http_platform.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr Millis callLimit { 2'000 };
-/// Beyond the time that a watch may wait.
+/// Added to the wait time of a watch.
 constexpr Millis watchSlack { 2'000 };
 constexpr std::size_t mostAnswerBytes = 8 * 1024 * 1024;
 constexpr std::size_t mostValueBytes = 1024 * 1024;
 
-/// Sends calls over one connection, which is opened again when it was closed. A call
-/// that may have left is never sent again.
+/// Sends calls over one connection and reconnects when it was closed. Never resends a call that
+/// may have been sent.
 class Caller {
 public:
     explicit Caller(HttpAddress address)
@@ -25,7 +25,7 @@
     {
     }
 
-    /// \returns The whole answer, or nothing; then `lastResult()` says why.
+    /// \returns The complete answer; nothing on failure, with the reason in `lastResult()`.
     [[nodiscard]] std::optional<HttpResponse> call(const HttpRequest& request, Millis limit)
     {
         if (!m_connection.isReusable())
@@ -197,7 +197,7 @@
     static constexpr unsigned notModified = 304;
 
     Caller m_caller;
-    Instances m_list; ///< As last read; it came with `m_listTag`.
+    Instances m_list; ///< The last list read; its entity tag is `m_listTag`.
     std::string m_listTag;
     PlatformFault m_lastFault = PlatformFault::Unreachable;
 };
--- a/src/client/command_line.cpp
+++ b/src/client/command_line.cpp
@@ -31,7 +31,7 @@
 
 namespace {
 
-/// A command's arguments after its options were read.
+/// The parsed options and operands of a command.
 struct Invocation {
     std::vector<std::string> operands;
     std::string settingsFile;
@@ -42,7 +42,7 @@
 /// One command of the binary.
 struct Command {
     std::string_view name;
-    std::string_view operands; ///< As the help shows them.
+    std::string_view operands; ///< As printed by the help.
     std::string_view help;
     std::size_t leastOperands;
     std::size_t mostOperands;
@@ -63,7 +63,7 @@
     return ExitCode::Refused;
 }
 
-/// Prints what an entry answered. \returns Whether it was a success.
+/// Prints an answer as text or JSON. \returns Refused for an error status.
 ExitCode show(const Invocation& invocation, const HttpResponse& response, const std::function<std::string(const std::string&)>& asText)
 {
     constexpr unsigned firstFailure = 300;
@@ -113,7 +113,7 @@
     return ExitCode::Done;
 }
 
-/// Settings name a platform; a configuration never does.
+/// Checks `text` as settings or as a configuration. Only settings name a platform or a front.
 std::vector<DocumentFault> faultsOf(const std::string& text)
 {
     if (jobs::isJobServiceSettings(text)) {
@@ -154,7 +154,7 @@
     return callAndShow(invocation, "GET", "/v1/configuration", [](const std::string& body) { return body; });
 }
 
-/// Without a base the change is made on what is in force at the entry asked.
+/// Without a revision operand the change is based on the revision in force at the entry instance.
 ExitCode apply(const Invocation& invocation)
 {
     const std::string& file = invocation.operands.front();
@@ -227,7 +227,7 @@
     return callAndShow(invocation, "DELETE", "/v1/jobs/" + operand, [](const std::string&) { return "cancelled"; });
 }
 
-/// Jobs have ids of their own form, so one command serves both.
+/// Job ids differ in format from instance ids, so one command accepts both.
 ExitCode explain(const Invocation& invocation)
 {
     const std::string& operand = invocation.operands.front();
@@ -277,8 +277,8 @@
                  "\n  --json             answer as JSON\n";
 }
 
-/// Reads a command's options. \returns Nothing if they are wrong or help was asked for;
-/// then `code` is the exit code.
+/// Parses a command's options. \returns Nothing if they are invalid or help was requested; `code`
+/// is then the exit code.
 std::optional<Invocation> readInvocation(const Command& command, int count, char** arguments, ExitCode& code)
 {
     static const std::array<option, 6> options { {
--- a/src/client/text_report.cpp
+++ b/src/client/text_report.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/// \returns The value as text, strings without quotes.
+/// \returns `value` as text, with strings unquoted.
 std::string plain(const Json& value)
 {
     if (value.is_string())
@@ -22,7 +22,7 @@
     return value.dump();
 }
 
-/// A table with a line of titles.
+/// A text table with a title row.
 class Table {
 public:
     explicit Table(std::vector<std::string> titles) { add(std::move(titles)); }
@@ -71,7 +71,7 @@
     return text;
 }
 
-/// \returns Why tasks of a step wait, by what placement met last.
+/// \returns Why tasks of a step wait, according to the last placement pass.
 std::string waitText(const Json& wait)
 {
     if (const std::string held = wait.value("heldByQuotaOf", std::string()); !held.empty())
@@ -105,7 +105,7 @@
     return text;
 }
 
-/// \returns What the job service says of a worker's health.
+/// \returns A worker's health as reported by the job service.
 std::string healthText(const Json& worker)
 {
     const std::string reason = worker["reason"].get<std::string>();
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -42,7 +42,7 @@
     return text + "\r\n" + request.body;
 }
 
-/// What ended a wait for bytes.
+/// Why a wait for bytes ended.
 enum class WaitEnd {
     Readable,
     DeadlinePassed,
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -25,7 +25,7 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// A request that is refused before it reaches the handler.
+/// A request refused before it reaches the handler.
 class RefusedRequest : public std::exception {
 public:
     RefusedRequest(unsigned status, const char* reason) noexcept
@@ -42,7 +42,7 @@
     const char* m_reason;
 };
 
-/// Checks how a request is framed. \returns Bytes of its body.
+/// Validates the framing of a request. \returns The length of its body in bytes.
 std::size_t checkFraming(const cxxtools::http::RequestHeader& header, std::size_t mostBytes)
 {
     std::optional<std::uint64_t> length;
@@ -85,7 +85,7 @@
     return chunk + "\r\n";
 }
 
-/// One request as the handler sees it.
+/// The exchange passed to the handler, on top of a cxxtools reply.
 class Exchange final : public HttpExchange {
 public:
     Exchange(HttpRequest request, cxxtools::net::TcpSocket& socket, std::ostream& out, cxxtools::http::Reply& reply)
@@ -131,7 +131,7 @@
         static_cast<void>(send("0\r\n\r\n"));
     }
 
-    /// Closes a streamed answer's connection: the library must add nothing to it.
+    /// Closes the connection of a streamed answer so that the library appends nothing to it.
     void finish()
     {
         if (m_streaming)
--- a/src/net/port_reservation.h
+++ b/src/net/port_reservation.h
@@ -1,17 +1,17 @@
 #pragma once
 /// \file
-/// A port chosen by the kernel, for libraries that can't tell which one they got.
+/// A port chosen by the kernel, for libraries that don't report which one they bound.
 
 #include <cstdint>
 #include <string>
 
 namespace lanemoor {
 
-/// \brief Holds a port, bound but not listening, so that only a listener with
-/// SO_REUSEADDR in this process's care takes it. Released on destruction.
+/// \brief Reserves a port with a bound socket that doesn't listen, so that only a listener with
+/// SO_REUSEADDR can bind it. The destructor releases the port.
 class PortReservation {
 public:
-    /// \throws std::system_error if no port can be had.
+    /// \throws std::system_error if no port can be bound.
     explicit PortReservation(const std::string& ip);
     ~PortReservation();
     PortReservation(const PortReservation&) = delete;
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -138,7 +138,7 @@
     if (!status)
         return ReadState::Malformed;
     if (*status < firstFinalStatus)
-        return ReadState::NeedsMore; // An interim answer: the final one follows.
+        return ReadState::NeedsMore; // An interim answer; the final one follows.
     HttpResponseHead head { *status, {} };
     m_keepAlive = text.substr(0, 8) == "HTTP/1.1";
     text.remove_prefix(firstEnd == std::string_view::npos ? text.size() : firstEnd + lineEnd.size());
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Frames the bytes of one HTTP/1.1 answer.
+/// Incremental parser of one HTTP/1.1 answer.
 
 #include "lanemoor/net/http_connection.h"
 
@@ -10,28 +10,28 @@
 
 namespace lanemoor {
 
-/// What a reader made of the bytes so far.
+/// The state of a reader after the bytes so far.
 enum class ReadState {
     NeedsMore,
     Complete,
     Malformed,
-    Refused, ///< The sink gave up.
+    Refused, ///< The sink stopped the exchange.
 };
 
-/// \brief Reads an answer from bytes as they come and hands it to a sink.
+/// \brief Parses an answer incrementally and passes it to a sink.
 class ResponseReader {
 public:
-    /// \param headRequest Whether the request was HEAD: the answer has no body.
+    /// \param headRequest Whether the request was HEAD, so that the answer has no body.
     ResponseReader(AnswerSink& sink, bool headRequest);
 
     [[nodiscard]] ReadState consume(std::string_view bytes);
 
-    /// \returns Complete if the peer's close ends the answer, else Malformed.
+    /// \returns Complete if the closed connection ends the answer, otherwise Malformed.
     [[nodiscard]] ReadState finishAtClose() noexcept;
 
     [[nodiscard]] bool headSeen() const noexcept { return m_phase != Phase::Head; }
 
-    /// \returns Whether the connection may carry another request after the answer.
+    /// \returns Whether the connection can be reused after the answer.
     [[nodiscard]] bool keepsAlive() const noexcept { return m_keepAlive && m_phase == Phase::Done && m_buffer.empty(); }
 
 private:
@@ -58,7 +58,7 @@
 
     AnswerSink& m_sink;
     std::string m_buffer;
-    std::uint64_t m_left = 0; ///< Bytes left of the body or of the chunk.
+    std::uint64_t m_left = 0; ///< Remaining bytes of the body or chunk.
     Phase m_phase = Phase::Head;
     bool m_headRequest;
     bool m_keepAlive = true;
--- a/src/serve/process/background.cpp
+++ b/src/serve/process/background.cpp
@@ -12,7 +12,7 @@
 constexpr Millis watchWait { 2'000 };
 constexpr Millis pauseAfterFault { 500 };
 constexpr Millis listInterval { 500 };
-/// A lease is renewed this often within its time.
+/// Renewals within one lease duration.
 constexpr int renewalsPerLease = 3;
 
 std::string seatLease(std::uint32_t number)
@@ -101,7 +101,7 @@
         m_state.metrics().count(EventCounter::StoreCalls);
         const std::optional<Lease> lease = m_store->acquire(seatLease(number), m_state.holder(), m_state.settings().leaseTime);
         if (!lease && m_store->lastFault() != StoreFault::Conflict)
-            return; // The store is away; the next round asks again.
+            return; // The store is unavailable; the next round retries.
         if (!lease)
             continue;
         const bool wasAnothers = lease->epoch > 1;
@@ -126,8 +126,8 @@
         loseSeat("another holder");
         return;
     }
-    // The store is out of reach. If a peer has reached it since the lease ran out, then
-    // the seat may be another's by now; if nobody has, nobody can have taken it.
+    // The store is unreachable. Another instance can have acquired the shard only if a peer
+    // has reached the store since the lease expired.
     m_state.metrics().count(EventCounter::StoreFaults);
     if (currentInstant() >= m_lease.expiresAt && m_state.storeReachedByAnyAt() > m_lease.expiresAt)
         loseSeat("cut off from the store");
--- a/src/serve/process/control_role.cpp
+++ b/src/serve/process/control_role.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Millis roundInterval { 500 };
-/// A new holder listens to the list and the peers this long before it decides.
+/// A new holder collects observations from the list and the peers for this long before it decides.
 constexpr Millis listenFirst { 1'500 };
-/// Nothing new is decided on a list older than this.
+/// A list older than this allows no new decisions.
 constexpr Millis listFreshFor { 10'000 };
 constexpr int renewalsPerLease = 3;
 
@@ -117,7 +117,7 @@
     m_state.metrics().count(EventCounter::StoreCalls);
     std::optional<std::uint64_t> version = m_store->put(std::string(ledgerKey), body, plan.next.version);
     if (!version && m_store->lastFault() == StoreFault::NoAnswer) {
-        // The write may have taken effect: what the store holds now tells.
+        // The write may have taken effect, so read it back.
         const std::optional<StoredValue> stored = m_store->get(std::string(ledgerKey));
         if (stored && stored->body == body)
             version = stored->version;
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -35,7 +35,7 @@
     return options;
 }
 
-/// The signals that ask for a planned stop; blocked in all threads, waited for in one.
+/// Blocks the signals that request a planned stop in all threads. \returns Them, for `sigwait`.
 sigset_t blockStopSignals()
 {
     std::signal(SIGPIPE, SIG_IGN);
@@ -47,7 +47,7 @@
     return signals;
 }
 
-/// The loops of an entry instance, each in a thread of its own.
+/// Runs each loop of an entry instance in its own thread.
 class BackgroundThreads {
 public:
     explicit BackgroundThreads(SharedState& state)
--- a/src/serve/process/endpoint_registry.cpp
+++ b/src/serve/process/endpoint_registry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// An endpoint that refused new work is left alone for this long.
+/// An endpoint that refused new work gets no requests for this long.
 constexpr Millis leavingFor = std::chrono::seconds(5);
 
 } // namespace
@@ -33,8 +33,8 @@
     while (!m_idle.empty()) {
         std::unique_ptr<HttpConnection> kept = std::move(m_idle.back());
         m_idle.pop_back();
-        // A request that may not be repeated gets a fresh connection, and the kept one
-        // is closed so that connections never outnumber requests.
+        // A non-repeatable request gets a new connection, and the idle one is closed so that
+        // connections never outnumber requests.
         if (!repeatable)
             break;
         if (kept->isReusable())
--- a/src/serve/process/operator_handler.cpp
+++ b/src/serve/process/operator_handler.cpp
@@ -31,7 +31,7 @@
     return { status, contentType("application/problem+json"), body.dump() };
 }
 
-/// \returns The revision a change was made on, or nothing if its header is missing or is something else.
+/// \returns The revision that a change is based on; nothing if its header is missing or invalid.
 std::optional<std::uint64_t> baseRevision(const HttpRequest& request)
 {
     const std::optional<std::string_view> none = request.headers.find("If-None-Match");
@@ -96,7 +96,7 @@
     const std::string wanted = "Bearer " + token;
     if (!given || given->size() != wanted.size())
         return false;
-    // Takes the same time whichever byte differs.
+    // Compares in constant time.
     unsigned difference = 0;
     for (std::size_t i = 0; i < wanted.size(); ++i)
         difference |= static_cast<unsigned char>(wanted[i]) ^ static_cast<unsigned char>((*given)[i]);
--- a/src/serve/process/order_claims.cpp
+++ b/src/serve/process/order_claims.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr std::array<std::string_view, 3> stateNames { "claimed", "ran", "not-run" };
-/// Read-backs of a write whose answer was lost.
+/// Attempts to read back a write whose answer was lost.
 constexpr int settleAttempts = 3;
-/// Endings kept for the background; the oldest is dropped beyond, which leaves "unknown".
+/// Max queued endings. Above it the oldest is dropped, which leaves its outcome unknown.
 constexpr std::size_t mostEndings = 10'000;
 constexpr Millis endingRetry { 1'000 };
 constexpr int endingAttempts = 5;
 
-/// The store's key of an order: any bytes are safe in it.
+/// \returns The store key of an order, hex-encoded so that any bytes are valid.
 std::string storeKey(const std::string& team, const std::string& idempotencyKey)
 {
     std::string key = "orders-";
@@ -40,7 +40,7 @@
             return std::nullopt;
         const std::optional<OrderClaim> found = decodeClaim(stored->body);
         if (!found)
-            return ClaimAttempt(OrderClaim {}); // Not readable: nobody can tell whether it ran.
+            return ClaimAttempt(OrderClaim {}); // Unreadable, so it is unknown whether the order ran.
         if (found->claimant == claimant)
             return ClaimAttempt(HeldClaim { .key = key, .version = stored->version, .claimant = claimant });
         return ClaimAttempt(*found);
@@ -48,7 +48,7 @@
     return ClaimAttempt(ClaimUnavailable {});
 }
 
-/// Claims a key again whose order did not run.
+/// Claims the key of an order that did not run.
 ClaimAttempt claimAgain(Store& store, const std::string& key, const std::string& claimant)
 {
     const std::optional<StoredValue> stored = store.get(key);
@@ -198,7 +198,7 @@
         for (int attempt = 0; attempt < endingAttempts; ++attempt) {
             lock.unlock();
             const bool written = store->put(ending.claim.key, encodeClaim(ending.result), ending.claim.version).has_value();
-            // A conflict means that the write took effect before: nobody else writes a held claim.
+            // A conflict means that an earlier attempt took effect, since only the holder writes a claim.
             const bool settled = written || store->lastFault() == StoreFault::Conflict;
             m_metrics.count(EventCounter::StoreCalls);
             lock.lock();
--- a/src/serve/process/peer_keys.cpp
+++ b/src/serve/process/peer_keys.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr std::size_t keyBytes = 40; ///< Of Z85 text.
+constexpr std::size_t keyBytes = 40; ///< In Z85 encoding.
 constexpr std::size_t binaryKeyBytes = 32;
 constexpr std::chrono::milliseconds stopCheck { 100 };
 constexpr const char* zapAddress = "inproc://zeromq.zap.01";
-/// Parts of a ZAP request by number: version, id, domain, address, identity, mechanism, key.
+/// Frame indices of a ZAP request: version, id, domain, address, identity, mechanism, key.
 constexpr std::size_t zapRequestId = 1;
 constexpr std::size_t zapMechanism = 5;
 constexpr std::size_t zapKey = 6;
--- a/src/serve/process/peer_link.cpp
+++ b/src/serve/process/peer_link.cpp
@@ -18,25 +18,25 @@
 
 constexpr Millis sendInterval { 500 };
 constexpr Millis heardFor { 3'000 };
-/// A peer not heard for this long is forgotten, unless the settings name it.
+/// A peer without messages for this long is removed, unless the settings name it.
 constexpr Millis forgottenAfter { 60'000 };
-/// A peer that is behind for this long is sent the documents: else it has them from the store.
+/// A peer that lags for this long is sent the documents; normally it reads them from the store.
 constexpr Millis behindFor { 1'200 };
-constexpr int mostQueued = 16; ///< Messages for one peer; more are dropped.
+constexpr int mostQueued = 16; ///< Max queued messages for one peer; further ones are dropped.
 constexpr std::size_t mostPeers = 64;
 constexpr std::size_t mostMessageBytes = 4 * 1024 * 1024;
 
-/// What is known of one peer.
+/// Connection and last reported state of one peer.
 struct Peer {
     std::string address;
     std::unique_ptr<zmq::socket_t> socket;
-    std::string name; ///< Empty until heard.
+    std::string name; ///< Empty until the first message.
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     std::uint64_t configurationRevision = 0;
     std::uint64_t ledgerVersion = 0;
     Instant heardAt;
-    Instant behindSince; ///< Epoch: it was not seen with older documents.
+    Instant behindSince; ///< The clock's epoch if the peer doesn't lag.
     bool fromSettings = false;
 };
 
@@ -181,7 +181,7 @@
         for (const std::string& address : state.known_peers())
             know(address, false);
         m_state.onPeerSigns(peer.name, setOf(state.failing_instances()), setOf(state.leaving_instances()));
-        // Clocks may differ a little; a peer can't have reached the store in the future.
+        // Clocks may differ slightly; a time in the future is capped to now.
         m_state.onStoreReachedByPeer(std::min(Instant(Millis(state.store_reached_ms())), currentInstant()));
         if (state.has_configuration())
             m_state.acceptConfiguration(state.configuration().version(), state.configuration().body());
--- a/src/serve/process/pool_gate.cpp
+++ b/src/serve/process/pool_gate.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often a waiting request looks whether its caller has gone.
+/// Interval at which a waiting request checks whether its caller has disconnected.
 constexpr Millis callerCheck { 50 };
 
 } // namespace
@@ -90,7 +90,7 @@
         const Route& route = routes.routes[*chosen];
         if (route.endpoint->takeSlot(route.slots))
             return &route;
-        candidates[*chosen].tried = true; // Another thread was faster.
+        candidates[*chosen].tried = true; // Another thread took the last slot.
     }
     return nullptr;
 }
--- a/src/serve/process/readiness.cpp
+++ b/src/serve/process/readiness.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Within this time a change of configuration must be in force everywhere.
+/// A configuration change must be in force everywhere within this time.
 constexpr Millis freshFor = std::chrono::seconds(5);
 
 } // namespace
--- a/src/serve/process/reports.cpp
+++ b/src/serve/process/reports.cpp
@@ -88,7 +88,7 @@
     return json;
 }
 
-/// What the control role would decide now; conditions and refusals are read from it.
+/// \returns The decision that the control role would make now, with pool conditions.
 ControlPlan planNow(const FleetView& view)
 {
     const Controller controller(std::make_unique<StickyMembershipPlanner>());
--- a/src/serve/request/answer_relay.cpp
+++ b/src/serve/request/answer_relay.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Answers up to this size are sent whole.
+/// Answers up to this size are buffered and sent as a whole.
 constexpr std::uint64_t mostKeptBytes = 64 * 1024;
 
 HttpHeaders headersForCaller(const HttpHeaders& headers, const std::string& entry)
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view healthPath = "/healthz";
 constexpr std::string_view readyPath = "/readyz";
 
-/// Counts a request while it is handled.
+/// Counts a request as in flight during its lifetime.
 class InFlight {
 public:
     InFlight(std::atomic<std::size_t>& count, Metrics& metrics) noexcept
@@ -42,15 +42,15 @@
     Metrics& m_metrics;
 };
 
-/// How the sending of a request ended.
+/// The result of sending a request.
 struct Sending {
     RequestOutcome outcome = RequestOutcome::NotRun;
-    std::optional<RequestRefusal> refusal; ///< Nothing: the answer was passed on.
-    unsigned status = 0; ///< The endpoint's.
-    bool answered = false; ///< Whether the caller has its final answer, or is gone.
+    std::optional<RequestRefusal> refusal; ///< Nothing if the answer was forwarded.
+    unsigned status = 0; ///< HTTP status from the endpoint.
+    bool answered = false; ///< Whether the caller has received its final answer or has disconnected.
 };
 
-/// \returns What is known of a request after an exchange that brought no whole answer.
+/// \returns The outcome of a request after an exchange without a complete answer.
 RequestOutcome outcomeOf(const ExchangeResult& result, bool saysNotRun) noexcept
 {
     return !result.anySent || saysNotRun ? RequestOutcome::NotRun : RequestOutcome::Unknown;
@@ -136,7 +136,7 @@
         return std::nullopt;
     }
 
-    /// A team's quota holds over all entries: each seat has its share of it, one at least.
+    /// A team's quota applies to all entry instances together; each shard has a share of at least one.
     [[nodiscard]] std::uint32_t quotaShare(const Team* team) const
     {
         const Seat seat = m_state.seat();
@@ -177,7 +177,7 @@
         return sending;
     }
 
-    /// Sends a request to one endpoint after another, as long as that is safe.
+    /// Sends a request, and retries on other endpoints as long as that is safe.
     Sending send(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, PoolGate& gate)
     {
         TriedEndpoints tried;
@@ -261,7 +261,7 @@
         finish(exchange, context, measure, sending, currentInstant() + comeBackSoon);
     }
 
-    /// Takes a place at the endpoint with the fewest listeners.
+    /// Acquires a listener slot of the endpoint with the fewest listeners.
     const Route* takeListenerRoute(const PoolRoutes& routes)
     {
         const std::vector<std::string> ejected = m_state.endpoints().ejected(routes.members);
@@ -274,7 +274,7 @@
         return best && best->endpoint->takeListener(best->listeners) ? best : nullptr;
     }
 
-    /// Answers the caller if it has no final answer yet, and measures the request.
+    /// Answers the caller if it has no final answer yet, and records the request's metrics.
     void finish(HttpExchange& exchange, const RequestContext& context, RequestMeasure& measure, const Sending& sending, Instant retryAt)
     {
         if (!sending.answered) {
--- a/src/serve/version/routing_table.cpp
+++ b/src/serve/version/routing_table.cpp
@@ -29,7 +29,7 @@
     for (const LedgerEntry& entry : snapshot.ledger->entries) {
         const Instance* instance = findInstance(*snapshot.instances, entry.instance);
         const auto* pool = find(entry.pool);
-        // Failing instances stay in: they are ejected request by request, within a bound.
+        // Failing instances stay in the table; ejection excludes them per request, within a limit.
         if (!pool || !instance || instance->state != InstanceState::Live || instance->drained || entry.grant)
             continue;
         PoolRoutes& routes = m_pools[static_cast<std::size_t>(pool - m_pools.data())];
--- a/tests/process/answer_test.cpp
+++ b/tests/process/answer_test.cpp
@@ -1,4 +1,4 @@
-// Conditions 3 and 4: whole answers to the right caller, and a true "not run".
+// Conditions 3 and 4: each caller gets its own complete answer, and the outcome "not run" is correct.
 
 #include "support/raw_socket.h"
 #include "support/small_cluster.h"
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -45,7 +45,7 @@
 {
     SmallCluster cluster(2, 2, 1);
     cluster.setFaults(R"({"answersToLose":1})");
-    // The answer lost may be that of a lease or ledger; ask until one change was hit.
+    // The lost answer may belong to a lease or ledger call instead; the change is accepted either way.
     const Answer answer = change(cluster, "a", 0, "\"1\"");
     CHECK(answer.response.status == 200);
     CHECK(answer.response.headers.find("ETag") == "\"2\"");
@@ -63,7 +63,7 @@
     CHECK(eventually([&] { return cluster.revisionAt("late") == 2; }));
     for (const char* name : { "a", "b" })
         CHECK(ask(cluster.front(name), requestOf("GET", "/counter/check")).response.status == 200);
-    // No seat can be had while the store is away, so the late one takes no callers yet.
+    // No shard lease can be acquired while the store is unavailable, so the new entry is not ready.
     CHECK(ask(cluster.front("late"), requestOf("GET", "/readyz")).response.status == 503);
     cluster.setFaults("{}");
     CHECK(eventually([&] { return ask(cluster.front("late"), requestOf("GET", "/readyz")).response.status == 200; }));
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -1,5 +1,5 @@
-// Conditions 1 and 2 with real processes: the holder of the control role killed and
-// frozen in the middle of a wave, and the link between entries with keys.
+// Conditions 1 and 2 with real processes: the holder of the control role is killed or paused
+// during a wave. Also the authentication of the peer link.
 
 #include "support/small_cluster.h"
 
@@ -34,7 +34,7 @@
     return nlohmann::json::parse(ask(cluster.entry(entry).operators, requestOf("GET", "/v1/waves")).response.body);
 }
 
-/// Whether the pool keeps its minimum as read now.
+/// \returns Whether all pools currently have at least their minimum in service.
 bool budgetHolds(Cluster& cluster, const std::string& entry)
 {
     const nlohmann::json pools = nlohmann::json::parse(ask(cluster.entry(entry).operators, requestOf("GET", "/v1/pools")).response.body);
@@ -42,7 +42,7 @@
     return std::all_of(pools["pools"].begin(), pools["pools"].end(), holds);
 }
 
-/// Checks that the wave ends and that the budget holds whenever it is read meanwhile.
+/// Checks that the wave ends and that the budget holds at every poll until then.
 void checkWaveEnds(Cluster& cluster, const std::string& entry)
 {
     bool held = true;
@@ -91,7 +91,7 @@
     cluster.addEntry("b");
     CHECK(eventually([&] { return std::stod(metric(cluster, "a", "lanemoor_peer_messages_received_total")) > 2; }));
 
-    // A stranger has keys of its own; "a" has to turn it away, not only fail to read it.
+    // The stranger has other keys; "a" must reject its connection, not only fail to decrypt it.
     Cluster stranger({ .buildFolder = LANEMOOR_BUILD_FOLDER, .secure = true });
     stranger.addEntry("x", { cluster.entry("a").peerPort });
     const auto received = [&] { return std::stod(metric(cluster, "a", "lanemoor_peer_messages_received_total")); };
--- a/tests/process/hostile_test.cpp
+++ b/tests/process/hostile_test.cpp
@@ -1,4 +1,4 @@
-// Hostile input on every port: refused, and the next caller notices nothing.
+// Hostile input on every port is refused and doesn't affect the next caller.
 
 #include "support/raw_socket.h"
 #include "support/small_cluster.h"
--- a/tests/process/order_test.cpp
+++ b/tests/process/order_test.cpp
@@ -1,4 +1,4 @@
-// Condition 5: a request that may not be repeated runs at most once.
+// Condition 5: a non-repeatable request runs at most once.
 
 #include "support/small_cluster.h"
 
@@ -113,7 +113,7 @@
 TEST_CASE("a connection that the endpoint closes does not run an order twice")
 {
     SmallCluster cluster(1, 2, 1);
-    // Leaves kept connections behind, as a client that resends by itself would use.
+    // Creates idle connections. A client that silently resends requests would resend on them.
     for (int i = 0; i < 4; ++i)
         REQUIRE(ask(cluster.front("a"), requestOf("GET", "/counter/check")).response.status == 200);
     const Answer answer = ask(cluster.front("a"), requestOf("POST", "/counter/close", { { "Idempotency-Key", "closed" } }, "x"));
--- a/tests/process/stop_test.cpp
+++ b/tests/process/stop_test.cpp
@@ -1,4 +1,4 @@
-// Conditions 6 and 7: leaving endpoints get no new work, planned stops cut nothing.
+// Conditions 6 and 7: leaving endpoints get no new work, and planned stops interrupt no request.
 
 #include "support/small_cluster.h"
 
@@ -74,7 +74,7 @@
     for (int i = 0; i < 20; ++i)
         CHECK(ask(cluster.front(i % 2 == 0 ? "a" : "b"), requestOf("GET", "/counter/check")).response.status == 200);
     CHECK(cluster.countAt("w0", "served") == before);
-    CHECK(cluster.countAt("w0", "refused") == refusedBefore); // It is not even asked.
+    CHECK(cluster.countAt("w0", "refused") == refusedBefore); // No request reaches it at all.
     for (std::thread& caller : callers)
         caller.join();
     for (const Answer& answer : held)
@@ -92,5 +92,5 @@
         CHECK(ask(cluster.front(i % 2 == 0 ? "a" : "b"), requestOf("GET", "/counter/check")).response.status == 200);
     CHECK(cluster.countAt("w0", "served") == 0);
     CHECK(cluster.countAt("w1", "served") == 20);
-    CHECK(cluster.countAt("w0", "refused") <= 2); // Each entry finds out once.
+    CHECK(cluster.countAt("w0", "refused") <= 2); // Each of the two entries is refused at most once.
 }
--- a/tests/process/whole_path_test.cpp
+++ b/tests/process/whole_path_test.cpp
@@ -1,4 +1,4 @@
-// The whole path with real processes.
+// The request path from caller to endpoint and back with real processes.
 
 #include "support/cluster.h"
 
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t mostAnswerBytes = 64 * 1024 * 1024;
 const std::string loopback = "127.0.0.1";
 
-/// Reads the port of a stand-in from its first line, `listening PORT`.
+/// Reads the port of a stand-in from its output line `listening PORT`.
 std::uint16_t portOf(ChildProcess& process)
 {
     const std::string prefix = "listening ";
@@ -69,10 +69,10 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "lanemoor-XXXXXX").string();
     if (!::mkdtemp(pattern.data()))
-        throw std::runtime_error("no folder");
+        throw std::runtime_error("cannot create a temporary directory");
     m_folder = pattern;
     if (m_options.secure && command({ "keygen", keyFile() }).code != 0)
-        throw std::runtime_error("no keys");
+        throw std::runtime_error("keygen failed");
     m_platform = std::make_unique<ChildProcess>(m_options.buildFolder + "/platform_standin", std::vector<std::string> { std::to_string(m_options.listLagMs) });
     m_platformAddress = { loopback, portOf(*m_platform) };
 }
@@ -201,7 +201,7 @@
 {
     ChildProcess process(m_options.buildFolder + "/lanemoor", arguments);
     CommandResult result;
-    // The output ends with the process: no line is ever accepted.
+    // Waits for the end of the output, since no line is accepted.
     static_cast<void>(process.waitForLine([](const std::string&) { return false; }));
     result.code = process.waitForExit().value_or(-1);
     for (const std::string& line : process.lines())
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A whole cluster of real processes on loopback: platform, workers, entry instances.
+/// A cluster of real processes on loopback: platform, workers and entry instances.
 
 #include "lanemoor/net/http_connection.h"
 #include "support/process.h"
@@ -15,35 +15,35 @@
 
 namespace lanemoor::test {
 
-/// An answer and how the exchange went.
+/// An answer and the result of its exchange.
 struct Answer {
     ExchangeResult result;
     HttpResponse response;
 
-    /// \returns The outcome that lanemoor told, or an empty text.
+    /// \returns The outcome header of the answer, or an empty string.
     [[nodiscard]] std::string outcome() const;
 };
 
-/// \brief Sends one request and waits for its whole answer.
+/// \brief Sends one request and waits for its complete answer.
 [[nodiscard]] Answer ask(const HttpAddress& address, const HttpRequest& request, std::chrono::milliseconds limit = std::chrono::seconds(20));
 
-/// \returns A request with headers given as pairs of name and value.
+/// \returns A request with the given header fields.
 [[nodiscard]] HttpRequest requestOf(const std::string& method, const std::string& target, const std::vector<HttpHeader>& headers = {}, const std::string& body = {});
 
-/// \brief Waits until `condition` holds. \returns False if it does not within `limit`.
+/// \brief Polls until `condition` holds. \returns False if it doesn't hold within `limit`.
 [[nodiscard]] bool eventually(const std::function<bool()>& condition, std::chrono::seconds limit = std::chrono::seconds(30));
 
-/// Where the programs are, and how the cluster behaves.
+/// Location of the binaries, and options of the cluster.
 struct ClusterOptions {
     std::string buildFolder;
     unsigned listLagMs = 100;
     unsigned rebootMs = 300;
     unsigned seats = 3;
     unsigned leaseMs = 1500;
-    bool secure = false; ///< Keys on the peer link.
+    bool secure = false; ///< Whether the peer link uses keys.
 };
 
-/// A worker as the cluster registers it.
+/// Registration data of a worker.
 struct WorkerSpec {
     std::string id;
     std::string dataHall;
@@ -59,7 +59,7 @@
     std::uint16_t peerPort = 0;
 };
 
-/// \brief Starts and stops the processes. Everything is ended at destruction.
+/// \brief Starts and stops the processes. The destructor ends all of them.
 class Cluster {
 public:
     explicit Cluster(ClusterOptions options);
@@ -68,17 +68,17 @@
     Cluster& operator=(const Cluster&) = delete;
 
     void addWorker(const WorkerSpec& spec);
-    /// \param morePeers Ports of peers beside the entries of this cluster.
+    /// \param morePeers Peer ports in addition to the entries of this cluster.
     void addEntry(const std::string& name, const std::vector<std::uint16_t>& morePeers = {});
 
     /// \brief Writes the first configuration through entry `name`.
     /// \returns Whether it was accepted.
     [[nodiscard]] bool configure(const std::string& name, const std::string& text);
 
-    /// \returns Whether every pool has `members` instances in service, as each entry sees it.
+    /// \returns Whether every entry is ready and reports `members` instances of `pool` in service.
     [[nodiscard]] bool poolHas(const std::string& pool, unsigned members);
 
-    /// \brief Sets the platform's faults; `{}` mends all.
+    /// \brief Sets the platform's faults; `{}` clears them.
     void setFaults(const std::string& json);
 
     [[nodiscard]] Entry& entry(const std::string& name) { return m_entries.at(name); }
@@ -87,13 +87,13 @@
     [[nodiscard]] const HttpAddress& workerAddress(const std::string& id) const { return m_workers.at(id).address; }
     [[nodiscard]] const HttpAddress& platform() const noexcept { return m_platformAddress; }
 
-    /// \brief Kills an entry and forgets it.
+    /// \brief Kills an entry and removes it.
     void killEntry(const std::string& name);
 
-    /// \returns How often order `key` has run, over all workers that are up.
+    /// \returns The number of runs of order `key` on all running workers.
     [[nodiscard]] int runsOf(const std::string& key) const;
 
-    /// \returns A count that worker `id` tells: served, refused or mostInFlight.
+    /// \returns A counter of worker `id`: served, refused or mostInFlight.
     [[nodiscard]] int countAt(const std::string& id, const std::string& name) const;
 
     /// \returns The revision in force at entry `name`.
@@ -102,14 +102,15 @@
     /// \returns The file with the peer link's keys, if the cluster is secure.
     [[nodiscard]] std::string keyFile() const { return m_folder + "/peer.keys"; }
 
-    /// \returns A command of the binary, its output and exit code.
+    /// The exit code and output of a command.
     struct CommandResult {
         int code = -1;
         std::string output;
     };
+    /// \brief Runs the lanemoor binary with `arguments` until it ends.
     [[nodiscard]] CommandResult command(const std::vector<std::string>& arguments) const;
 
-    /// \returns The folder for files of this cluster, removed at destruction.
+    /// \returns The directory for files of this cluster. The destructor removes it.
     [[nodiscard]] const std::string& folder() const noexcept { return m_folder; }
 
 private:
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -17,7 +17,7 @@
 {
     std::array<int, 2> ends {};
     if (::pipe2(ends.data(), O_CLOEXEC) != 0)
-        throw std::runtime_error("no pipe");
+        throw std::runtime_error("cannot create a pipe");
     return ends;
 }
 
@@ -33,7 +33,7 @@
     argv.push_back(nullptr);
     m_pid = ::fork();
     if (m_pid < 0)
-        throw std::runtime_error("no process");
+        throw std::runtime_error("cannot fork a process");
     if (m_pid == 0) {
         ::dup2(input[0], STDIN_FILENO);
         ::dup2(output[1], STDOUT_FILENO);
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -14,25 +14,28 @@
 
 namespace lanemoor::test {
 
-/// \brief A child process whose output lines are kept. Destruction kills and reaps it.
+/// \brief A child process with its recorded output lines. The destructor kills and reaps it.
 class ChildProcess {
 public:
-    /// \param program Path; \param arguments Without the program's name.
+    /// \param program Path of the binary.
+    /// \param arguments Arguments without the program name.
+    ///
     /// The child's standard input stays open until destruction.
     ChildProcess(const std::string& program, const std::vector<std::string>& arguments);
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
-    /// \returns The first line, of those before and to come, that `accepts` accepts; or
-    /// nothing if the output ends or `limit` passes.
+    /// \brief Waits for an output line, including lines already printed.
+    /// \returns The first line for which `accepts` returns true; nothing if the output ends or
+    /// `limit` passes.
     [[nodiscard]] std::optional<std::string> waitForLine(const std::function<bool(const std::string&)>& accepts, std::chrono::seconds limit = std::chrono::seconds(30));
 
     /// \brief Sends a signal to this child.
     void signal(int number) const;
 
-    /// \returns The exit code, or nothing if it is still running after `limit`. A child
-    /// ended by a signal gives 128 plus its number.
+    /// \returns The exit code, or 128 plus the signal number if a signal ended the child;
+    /// nothing if it is still running after `limit`.
     [[nodiscard]] std::optional<int> waitForExit(std::chrono::seconds limit = std::chrono::seconds(30));
 
     [[nodiscard]] std::vector<std::string> lines() const;
--- a/tests/support/raw_socket.cpp
+++ b/tests/support/raw_socket.cpp
@@ -25,7 +25,7 @@
     ::inet_pton(AF_INET, address.ip.c_str(), &target.sin_addr);
     ::setsockopt(m_descriptor, SOL_SOCKET, SO_RCVTIMEO, &readLimit, sizeof readLimit);
     if (::connect(m_descriptor, reinterpret_cast<const sockaddr*>(&target), sizeof target) != 0)
-        throw std::runtime_error("no connection");
+        throw std::runtime_error("cannot connect");
 }
 
 RawSocket::~RawSocket()
--- a/tests/support/raw_socket.h
+++ b/tests/support/raw_socket.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A bare socket, for bytes that no well-behaved client sends.
+/// A plain socket that sends arbitrary bytes, including malformed requests.
 
 #include "lanemoor/net/http_message.h"
 
@@ -17,13 +17,13 @@
     RawSocket(const RawSocket&) = delete;
     RawSocket& operator=(const RawSocket&) = delete;
 
-    /// \returns Whether all of `bytes` were taken.
+    /// \returns Whether all of `bytes` were sent.
     bool send(std::string_view bytes) const;
 
-    /// \returns Everything until the peer closes; what came so far after 20 s.
+    /// \returns All bytes until the peer closes the connection, or until 20 s pass without data.
     [[nodiscard]] std::string readAll() const;
 
-    /// \returns Whether the peer closes within 20 s.
+    /// \returns Whether the peer closes the connection; false after 20 s without data.
     [[nodiscard]] bool isClosed() const;
 
 private:
--- a/tests/support/small_cluster.h
+++ b/tests/support/small_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The cluster that most process tests run on: one pool on workers in racks of their own.
+/// The cluster of most process tests: one pool, with each worker in its own rack.
 
 #include "support/cluster.h"
 
@@ -8,12 +8,12 @@
 
 namespace lanemoor::test {
 
-/// \brief Starts entries `a`, `b`, … and workers `w0`, `w1`, … and waits until all serve.
+/// \brief Starts entries `a`, `b`, … and workers `w0`, `w1`, … and waits until all are in service.
 class SmallCluster : public Cluster {
 public:
     explicit SmallCluster(unsigned entries, unsigned workers, unsigned minimum = 2);
 
-    /// \returns A configuration of the one pool, `counter`, with its budget's minimum.
+    /// \returns A configuration with the pool `counter` and the given budget minimum.
     [[nodiscard]] static std::string configuration(unsigned minimum, const std::string& more = {});
 
     [[nodiscard]] const HttpAddress& front(const std::string& name) { return entry(name).front; }
