--- a/include/lanemoor/net/http_connection.h
+++ b/include/lanemoor/net/http_connection.h
@@ -49,7 +49,7 @@
 /// \brief Buffers an answer; a body above the size limit abandons the exchange.
 class BufferSink final : public AnswerSink {
 public:
-    explicit BufferSink(std::size_t mostBytes);
+    explicit BufferSink(std::size_t maxBytes);
 
     [[nodiscard]] bool begin(const HttpResponseHead& head) override;
     [[nodiscard]] bool write(std::string_view part) override;
@@ -58,7 +58,7 @@
 
 private:
     HttpResponse m_response;
-    std::size_t m_mostBytes;
+    std::size_t m_maxBytes;
 };
 
 /// \returns Whether the peer has closed the connection of socket `descriptor`.
--- a/include/lanemoor/net/http_message.h
+++ b/include/lanemoor/net/http_message.h
@@ -78,9 +78,9 @@
 [[nodiscard]] std::optional<std::uint64_t> parseDecimal(std::string_view text) noexcept;
 
 /// \param text For example `10.0.0.1:8080`; the part before the last colon is not validated.
-/// \param leastPort The smallest valid port; 0 where the kernel may choose the port.
+/// \param minPort The smallest valid port; 0 where the kernel may choose the port.
 /// \returns Nothing if `text` is not an address.
-[[nodiscard]] std::optional<HttpAddress> parseAddress(std::string_view text, std::uint16_t leastPort = 1);
+[[nodiscard]] std::optional<HttpAddress> parseAddress(std::string_view text, std::uint16_t minPort = 1);
 
 /// \returns A strong entity tag for `version`, for example `"7"`.
 [[nodiscard]] std::string formatEntityTag(std::uint64_t version);
--- a/include/lanemoor/net/http_server.h
+++ b/include/lanemoor/net/http_server.h
@@ -53,10 +53,10 @@
     std::uint16_t port = 0; ///< 0 lets the kernel choose.
     std::string certificateFile; ///< PEM; empty disables TLS.
     std::string keyFile;
-    std::size_t mostBodyBytes = 1024 * 1024;
+    std::size_t maxBodyBytes = 1024 * 1024;
     unsigned mostThreads = 64; ///< Requests handled concurrently; further ones wait.
-    std::chrono::milliseconds readLimit { 5'000 }; ///< For one complete body.
-    std::chrono::milliseconds idleLimit { 30'000 }; ///< For a connection between requests.
+    std::chrono::milliseconds readTimeout { 5'000 }; ///< For one complete body.
+    std::chrono::milliseconds idleTimeout { 30'000 }; ///< For a connection between requests.
 };
 
 /// \brief A server that listens from construction to destruction.
--- a/include/lanemoor/serve/process/background.h
+++ b/include/lanemoor/serve/process/background.h
@@ -14,12 +14,12 @@
 namespace lanemoor {
 
 /// Called with the version and body of a document.
-using DocumentTaker = std::function<void(std::uint64_t version, const std::string& body)>;
+using DocumentCallback = std::function<void(std::uint64_t version, const std::string& body)>;
 
 /// \brief Watches one key of the store and passes each newer document to a callback.
 class DocumentWatch {
 public:
-    DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentTaker taker);
+    DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentCallback callback);
 
     void run();
 
@@ -27,7 +27,7 @@
     SharedState& m_state;
     std::unique_ptr<Store> m_store;
     std::string m_key;
-    DocumentTaker m_taker;
+    DocumentCallback m_callback;
 };
 
 /// \brief Polls the instance list and merges all observations.
@@ -40,23 +40,23 @@
 private:
     SharedState& m_state;
     std::unique_ptr<Platform> m_platform;
-    bool m_listAway = false;
+    bool m_listUnavailable = false;
 };
 
 /// \brief Holds one of the entry shards by a lease.
 ///
 /// A shard taken over from another holder is used only after one more lease duration, so that
 /// the previous holder has detected the loss.
-class SeatKeeper {
+class ShardLeaseManager {
 public:
-    SeatKeeper(SharedState& state, std::unique_ptr<Store> store);
+    ShardLeaseManager(SharedState& state, std::unique_ptr<Store> store);
 
     void run();
 
 private:
-    void takeAny();
+    void acquireAnyShard();
     void renew();
-    void loseSeat(const char* reason);
+    void dropShard(const char* reason);
 
     SharedState& m_state;
     std::unique_ptr<Store> m_store;
--- a/include/lanemoor/serve/process/configuration_writer.h
+++ b/include/lanemoor/serve/process/configuration_writer.h
@@ -30,10 +30,10 @@
 };
 
 /// The store did not answer, so the outcome of the write is unknown.
-struct ChangeUnsettled { };
+struct ChangeOutcomeUnknown { };
 
 /// The outcome of a change.
-using ChangeResult = std::variant<ChangeAccepted, ChangeConflict, ChangeFaulty, ChangeUnsettled>;
+using ChangeResult = std::variant<ChangeAccepted, ChangeConflict, ChangeFaulty, ChangeOutcomeUnknown>;
 
 /// \brief Writes changes by compare-and-swap only.
 ///
@@ -52,7 +52,7 @@
 
 private:
     [[nodiscard]] ChangeResult write(Configuration configuration, std::uint64_t base);
-    [[nodiscard]] ChangeResult settle(const std::string& changeId);
+    [[nodiscard]] ChangeResult readBackOutcome(const std::string& changeId);
 
     Store& m_store;
     std::function<std::string()> m_changeIds;
--- a/include/lanemoor/serve/process/control_role.h
+++ b/include/lanemoor/serve/process/control_role.h
@@ -26,9 +26,9 @@
     void run();
 
 private:
-    void round();
+    void runRound();
     [[nodiscard]] bool holdsLease() const;
-    void keepLease();
+    void acquireOrRenewLease();
     void dropLease(const char* reason);
     [[nodiscard]] bool readLedger();
     [[nodiscard]] bool writeLedger(const ControlPlan& plan);
@@ -41,7 +41,7 @@
     Controller m_controller;
     BudgetInvariant m_invariant;
     std::optional<Lease> m_lease;
-    Instant m_actsFrom; ///< No decisions before this time, so that peers' observations can arrive.
+    Instant m_decidesFrom; ///< No decisions before this time, so that peers' observations can arrive.
     Instant m_nextRenewal;
 };
 
--- a/include/lanemoor/serve/process/endpoint_registry.h
+++ b/include/lanemoor/serve/process/endpoint_registry.h
@@ -28,13 +28,13 @@
 
     /// \brief Acquires one of `most` request slots.
     /// \returns False if all slots are in use.
-    [[nodiscard]] bool takeSlot(std::uint32_t most) noexcept { return take(m_inFlight, most); }
-    void giveSlot() noexcept { m_inFlight.fetch_sub(1, std::memory_order_acq_rel); }
+    [[nodiscard]] bool acquireSlot(std::uint32_t limit) noexcept { return acquire(m_inFlight, limit); }
+    void releaseSlot() noexcept { m_inFlight.fetch_sub(1, std::memory_order_acq_rel); }
 
     /// \brief Acquires one of `most` listener slots.
     /// \returns False if all slots are in use.
-    [[nodiscard]] bool takeListener(std::uint32_t most) noexcept { return take(m_listeners, most); }
-    void giveListener() noexcept { m_listeners.fetch_sub(1, std::memory_order_acq_rel); }
+    [[nodiscard]] bool acquireListener(std::uint32_t limit) noexcept { return acquire(m_listeners, limit); }
+    void releaseListener() noexcept { m_listeners.fetch_sub(1, std::memory_order_acq_rel); }
 
     [[nodiscard]] std::uint32_t inFlight() const noexcept { return m_inFlight.load(std::memory_order_acquire); }
     [[nodiscard]] std::uint32_t listeners() const noexcept { return m_listeners.load(std::memory_order_acquire); }
@@ -46,7 +46,7 @@
     void keep(std::unique_ptr<HttpConnection> connection);
 
 private:
-    [[nodiscard]] static bool take(std::atomic<std::uint32_t>& count, std::uint32_t most) noexcept;
+    [[nodiscard]] static bool acquire(std::atomic<std::uint32_t>& count, std::uint32_t limit) noexcept;
 
     std::string m_id;
     HttpAddress m_address;
--- a/include/lanemoor/serve/process/order_claims.h
+++ b/include/lanemoor/serve/process/order_claims.h
@@ -83,9 +83,9 @@
         OrderClaim result;
     };
 
-    [[nodiscard]] bool takeRate();
-    [[nodiscard]] std::unique_ptr<Store> takeStore();
-    void keepStore(std::unique_ptr<Store> store);
+    [[nodiscard]] bool consumeRateToken();
+    [[nodiscard]] std::unique_ptr<Store> acquireStore();
+    void returnStore(std::unique_ptr<Store> store);
     void writeEndings();
 
     const StoreFactory& m_factory;
@@ -97,8 +97,8 @@
     std::vector<std::unique_ptr<Store>> m_idleStores;
     std::deque<Ending> m_endings;
     std::uint64_t m_attempts = 0;
-    double m_saved = 0;
-    Instant m_savedAt;
+    double m_rateTokens = 0;
+    Instant m_rateRefilledAt;
     bool m_stopping = false;
     std::thread m_writer;
 };
--- a/include/lanemoor/serve/process/peer_keys.h
+++ b/include/lanemoor/serve/process/peer_keys.h
@@ -32,12 +32,12 @@
 ///
 /// Runs in its own thread from construction to destruction. Must be constructed before the
 /// guarded sockets of `context` are bound.
-class PeerGatekeeper {
+class PeerAuthenticator {
 public:
-    PeerGatekeeper(zmq::context_t& context, const std::string& publicKey);
-    ~PeerGatekeeper();
-    PeerGatekeeper(const PeerGatekeeper&) = delete;
-    PeerGatekeeper& operator=(const PeerGatekeeper&) = delete;
+    PeerAuthenticator(zmq::context_t& context, const std::string& publicKey);
+    ~PeerAuthenticator();
+    PeerAuthenticator(const PeerAuthenticator&) = delete;
+    PeerAuthenticator& operator=(const PeerAuthenticator&) = delete;
 
 private:
     class Impl;
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -25,7 +25,7 @@
 };
 
 /// The caller disconnected while its request waited.
-struct CallerGone { };
+struct CallerDisconnected { };
 
 /// \brief The admission queue of a pool. Requests wait in it with blocked threads.
 ///
@@ -37,11 +37,11 @@
     /// \brief Waits until a request is admitted.
     /// \param descriptor The caller's socket.
     /// \returns The ticket number, or the reason for the refusal.
-    [[nodiscard]] std::variant<std::uint64_t, AdmissionRefusal, CallerGone> enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor);
+    [[nodiscard]] std::variant<std::uint64_t, AdmissionRefusal, CallerDisconnected> enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor);
 
     /// \brief Acquires an endpoint slot for an admitted request.
     /// \returns The route, or null if every endpoint is full, ejected or tried.
-    [[nodiscard]] const Route* takeEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried);
+    [[nodiscard]] const Route* acquireEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried);
 
     /// \brief Ends an admitted request.
     /// \param ran Whether the request ran, so that its duration counts in the service time estimate.
@@ -54,11 +54,11 @@
         std::optional<AdmissionRefusal> refusal;
     };
 
-    void startWaiting(Instant now);
+    void admitWaiting(Instant now);
     void expireWaiting(Instant now);
 
     std::mutex m_mutex;
-    std::uint32_t m_mostWaiting;
+    std::uint32_t m_maxWaiting;
     AdmissionQueue m_queue;
     std::map<std::uint64_t, Waiter*> m_waiters;
     std::uint64_t m_nextTicket = 1;
--- a/include/lanemoor/serve/process/shared_state.h
+++ b/include/lanemoor/serve/process/shared_state.h
@@ -30,18 +30,18 @@
 ///@}
 
 /// The last accepted version of a store document, kept to send it to peers.
-struct KeptDocument {
+struct AcceptedDocument {
     std::uint64_t version = 0;
     std::string body;
 };
 
 /// The last reported status of another entry instance.
-struct PeerStanding {
+struct PeerStatus {
     std::string name;
     std::string address;
     std::uint64_t configurationRevision = 0;
     std::uint64_t ledgerVersion = 0;
-    Instant heardAt;
+    Instant lastReportAt;
 };
 
 /// \brief State of the process, shared by its threads. Thread-safe.
@@ -69,19 +69,19 @@
     void acceptLedger(std::uint64_t version, const std::string& body);
 
     void onList(Instances listed);
-    void onPeerSigns(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving);
+    void onPeerReport(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving);
 
     /// \brief Merges all observations again and publishes the result.
     void refreshObservations();
 
-    void setSeat(Seat seat);
-    [[nodiscard]] Seat seat() const;
+    void setShard(EntryShard shard);
+    [[nodiscard]] EntryShard shard() const;
 
     /// \returns Instances that this entry instance, not a peer, found leaving.
-    [[nodiscard]] std::set<std::string> leavingFoundHere() const;
+    [[nodiscard]] std::set<std::string> locallyObservedLeaving() const;
 
-    [[nodiscard]] KeptDocument configurationDocument() const;
-    [[nodiscard]] KeptDocument ledgerDocument() const;
+    [[nodiscard]] AcceptedDocument configurationDocument() const;
+    [[nodiscard]] AcceptedDocument ledgerDocument() const;
     ///@}
 
     /// \name Contact with the store, the platform and peers
@@ -95,8 +95,8 @@
     [[nodiscard]] Instant listReadAt() const noexcept { return m_listReadAt.load(std::memory_order_acquire); }
     /// \param known The number of all known peers.
     /// \param heard The number of peers that reported within the last seconds.
-    void setPeers(std::size_t known, std::size_t heard, std::vector<PeerStanding> standings);
-    [[nodiscard]] std::vector<PeerStanding> peers() const;
+    void setPeers(std::size_t known, std::size_t reporting, std::vector<PeerStatus> statuses);
+    [[nodiscard]] std::vector<PeerStatus> peers() const;
     [[nodiscard]] Readiness readiness() const;
     ///@}
 
@@ -127,15 +127,15 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_quitChanged;
     ObservationMerger m_merger;
-    KeptDocument m_configuration;
-    KeptDocument m_ledger;
-    Seat m_seat;
-    std::vector<PeerStanding> m_peers;
+    AcceptedDocument m_configuration;
+    AcceptedDocument m_ledger;
+    EntryShard m_shard;
+    std::vector<PeerStatus> m_peers;
     std::atomic<Instant> m_storeReachedAt { Instant {} };
     std::atomic<Instant> m_storeReachedByPeerAt { Instant {} };
     std::atomic<Instant> m_listReadAt { Instant {} };
     std::atomic<std::size_t> m_peersKnown { 0 };
-    std::atomic<std::size_t> m_peersHeard { 0 };
+    std::atomic<std::size_t> m_peersReporting { 0 };
     std::atomic<bool> m_stopping { false };
     std::atomic<bool> m_quitting { false };
 };
--- a/include/lanemoor/serve/request/answer_relay.h
+++ b/include/lanemoor/serve/request/answer_relay.h
@@ -29,7 +29,7 @@
     [[nodiscard]] bool isStreaming() const noexcept { return m_streaming; }
 
     /// \returns Whether the endpoint reported that it did not run the request.
-    [[nodiscard]] bool saysNotRun() const noexcept { return m_notRun; }
+    [[nodiscard]] bool reportsNotRun() const noexcept { return m_notRun; }
 
     [[nodiscard]] unsigned status() const noexcept { return m_response.status; }
 
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -30,18 +30,18 @@
 };
 
 /// The share of the fleet's capacity that this entry instance may use, as one of equal shards.
-struct Seat {
+struct EntryShard {
     std::uint32_t number = 0;
     std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
 
-    [[nodiscard]] bool operator==(const Seat&) const = default;
+    [[nodiscard]] bool operator==(const EntryShard&) const = default;
 };
 
 /// \brief The routes of all pools. Immutable; each version of the state has its own table.
 class RoutingTable {
 public:
     RoutingTable() = default;
-    RoutingTable(const Snapshot& snapshot, Seat seat, EndpointRegistry& registry);
+    RoutingTable(const Snapshot& snapshot, EntryShard shard, EndpointRegistry& registry);
 
     /// \returns The routes of `pool`, or null if it is not configured.
     [[nodiscard]] const PoolRoutes* find(std::string_view pool) const noexcept;
--- a/src/adapters/event_log.cpp
+++ b/src/adapters/event_log.cpp
@@ -59,16 +59,16 @@
     {
         if (m_options.discard)
             return;
-        tellDropped();
+        reportDropped();
         m_logger->info("{}", m_options.asJson ? jsonLine(event, fields) : textLine(event, fields));
     }
 
-    void decide(std::string_view event, std::initializer_list<LogField> fields)
+    void writeDecision(std::string_view event, std::initializer_list<LogField> fields)
     {
         if (m_options.discard)
             return;
         std::uint64_t omittedBefore = 0;
-        if (!spend(event, omittedBefore))
+        if (!consumeBudget(event, omittedBefore))
             return;
         if (omittedBefore > 0)
             write("decisions-omitted", { { "kind", std::string(event) }, { "count", static_cast<std::int64_t>(omittedBefore) } });
@@ -84,7 +84,7 @@
     }
 
 private:
-    bool spend(std::string_view event, std::uint64_t& omittedBefore)
+    bool consumeBudget(std::string_view event, std::uint64_t& omittedBefore)
     {
         const std::lock_guard lock(m_mutex);
         const auto found = m_budgets.find(event);
@@ -103,14 +103,14 @@
         return false;
     }
 
-    void tellDropped()
+    void reportDropped()
     {
         const std::uint64_t now = dropped();
         const std::lock_guard lock(m_mutex);
-        if (now == m_toldDropped)
+        if (now == m_reportedDropped)
             return;
-        m_logger->info("{}", jsonLine("log-lines-dropped", { { "count", static_cast<std::int64_t>(now - m_toldDropped) } }));
-        m_toldDropped = now;
+        m_logger->info("{}", jsonLine("log-lines-dropped", { { "count", static_cast<std::int64_t>(now - m_reportedDropped) } }));
+        m_reportedDropped = now;
     }
 
     EventLogOptions m_options;
@@ -119,7 +119,7 @@
     mutable std::mutex m_mutex;
     std::map<std::string, Budget, std::less<>> m_budgets;
     std::uint64_t m_omitted = 0;
-    std::uint64_t m_toldDropped = 0;
+    std::uint64_t m_reportedDropped = 0;
 };
 
 EventLog::EventLog(EventLogOptions options)
@@ -136,7 +136,7 @@
 
 void EventLog::decision(std::string_view event, std::initializer_list<LogField> fields)
 {
-    m_impl->decide(event, fields);
+    m_impl->writeDecision(event, fields);
 }
 
 std::uint64_t EventLog::dropped() const
--- a/src/adapters/http_platform.cpp
+++ b/src/adapters/http_platform.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr Millis callLimit { 2'000 };
+constexpr Millis callTimeout { 2'000 };
 /// Added to the wait time of a watch.
-constexpr Millis watchSlack { 2'000 };
-constexpr std::size_t mostAnswerBytes = 8 * 1024 * 1024;
-constexpr std::size_t mostValueBytes = 1024 * 1024;
+constexpr Millis watchTimeoutMargin { 2'000 };
+constexpr std::size_t maxAnswerBytes = 8 * 1024 * 1024;
+constexpr std::size_t maxValueBytes = 1024 * 1024;
 
 /// Sends calls over one connection and reconnects when it was closed. Never resends a call that
 /// may have been sent.
-class Caller {
+class CallConnection {
 public:
-    explicit Caller(HttpAddress address)
+    explicit CallConnection(HttpAddress address)
         : m_address(std::move(address))
         , m_connection(m_address)
     {
@@ -30,7 +30,7 @@
     {
         if (!m_connection.isReusable())
             m_connection = HttpConnection(m_address);
-        BufferSink sink(mostAnswerBytes);
+        BufferSink sink(maxAnswerBytes);
         m_lastResult = m_connection.exchange(request, sink, { .deadline = currentInstant() + limit });
         if (m_lastResult.fault != ExchangeFault::None)
             return std::nullopt;
@@ -62,24 +62,24 @@
 class HttpStore final : public Store {
 public:
     explicit HttpStore(const HttpAddress& address)
-        : m_caller(address)
+        : m_callConnection(address)
     {
     }
 
     [[nodiscard]] std::optional<StoredValue> get(const std::string& key) override
     {
-        return read(requestOf("GET", "/v1/kv/" + key), callLimit);
+        return read(requestOf("GET", "/v1/kv/" + key), callTimeout);
     }
 
     [[nodiscard]] std::optional<StoredValue> watch(const std::string& key, std::uint64_t after, Millis wait) override
     {
         const std::string target = "/v1/kv/" + key + "?after=" + std::to_string(after) + "&waitMs=" + std::to_string(wait.count());
-        return read(requestOf("GET", target), wait + watchSlack);
+        return read(requestOf("GET", target), wait + watchTimeoutMargin);
     }
 
     [[nodiscard]] std::optional<std::uint64_t> put(const std::string& key, const std::string& body, std::uint64_t expected) override
     {
-        if (body.size() > mostValueBytes) {
+        if (body.size() > maxValueBytes) {
             m_lastFault = StoreFault::TooLarge;
             return std::nullopt;
         }
@@ -88,7 +88,7 @@
             request.headers.add("If-None-Match", "*");
         else
             request.headers.add("If-Match", formatEntityTag(expected));
-        const std::optional<HttpResponse> response = call(request, callLimit);
+        const std::optional<HttpResponse> response = call(request, callTimeout);
         return response ? versionOf(response->headers) : std::nullopt;
     }
 
@@ -96,7 +96,7 @@
     {
         const Instant before = currentInstant();
         const nlohmann::json body { { "holder", holder }, { "ttlMs", time.count() } };
-        const std::optional<HttpResponse> response = call(requestOf("POST", "/v1/leases/" + name, body.dump()), callLimit);
+        const std::optional<HttpResponse> response = call(requestOf("POST", "/v1/leases/" + name, body.dump()), callTimeout);
         if (!response)
             return std::nullopt;
         const nlohmann::json answer = nlohmann::json::parse(response->body, nullptr, false);
@@ -109,7 +109,7 @@
 
     void release(const std::string& name, const std::string& holder) override
     {
-        static_cast<void>(call(requestOf("DELETE", "/v1/leases/" + name + "?holder=" + holder), callLimit));
+        static_cast<void>(call(requestOf("DELETE", "/v1/leases/" + name + "?holder=" + holder), callTimeout));
     }
 
     [[nodiscard]] StoreFault lastFault() const noexcept override { return m_lastFault; }
@@ -130,9 +130,9 @@
 
     [[nodiscard]] std::optional<HttpResponse> call(const HttpRequest& request, Millis limit)
     {
-        std::optional<HttpResponse> response = m_caller.call(request, limit);
+        std::optional<HttpResponse> response = m_callConnection.call(request, limit);
         if (!response) {
-            m_lastFault = m_caller.lastResult().anySent ? StoreFault::NoAnswer : StoreFault::Unreachable;
+            m_lastFault = m_callConnection.lastResult().anySent ? StoreFault::NoAnswer : StoreFault::Unreachable;
             return std::nullopt;
         }
         if (response->status < 300)
@@ -152,14 +152,14 @@
         return StoreFault::Refused;
     }
 
-    Caller m_caller;
+    CallConnection m_callConnection;
     StoreFault m_lastFault = StoreFault::Unreachable;
 };
 
 class HttpPlatform final : public Platform {
 public:
     explicit HttpPlatform(const HttpAddress& address)
-        : m_caller(address)
+        : m_callConnection(address)
     {
     }
 
@@ -168,7 +168,7 @@
         HttpRequest request = requestOf("GET", "/v1/instances");
         if (!m_listTag.empty())
             request.headers.add("If-None-Match", m_listTag);
-        const std::optional<HttpResponse> response = m_caller.call(request, callLimit);
+        const std::optional<HttpResponse> response = m_callConnection.call(request, callTimeout);
         m_lastFault = response ? PlatformFault::Refused : PlatformFault::Unreachable;
         if (response && response->status == notModified)
             return m_list;
@@ -186,7 +186,7 @@
     [[nodiscard]] bool perform(const Action& action) override
     {
         const std::string target = "/v1/instances/" + action.instance + '/' + std::string(nameOf(action.kind)) + "?grant=" + std::to_string(action.grant) + "&epoch=" + std::to_string(action.epoch);
-        const std::optional<HttpResponse> response = m_caller.call(requestOf("POST", target), callLimit);
+        const std::optional<HttpResponse> response = m_callConnection.call(requestOf("POST", target), callTimeout);
         m_lastFault = response ? PlatformFault::Refused : PlatformFault::Unreachable;
         return response && response->status < 300;
     }
@@ -196,7 +196,7 @@
 private:
     static constexpr unsigned notModified = 304;
 
-    Caller m_caller;
+    CallConnection m_callConnection;
     Instances m_list; ///< The last list read; its entity tag is `m_listTag`.
     std::string m_listTag;
     PlatformFault m_lastFault = PlatformFault::Unreachable;
--- a/src/client/command_line.cpp
+++ b/src/client/command_line.cpp
@@ -44,8 +44,8 @@
     std::string_view name;
     std::string_view operands; ///< As printed by the help.
     std::string_view help;
-    std::size_t leastOperands;
-    std::size_t mostOperands;
+    std::size_t minOperands;
+    std::size_t maxOperands;
     std::function<ExitCode(const Invocation&)> run;
 };
 
@@ -57,32 +57,32 @@
     return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-ExitCode complain(const std::string& text)
+ExitCode printError(const std::string& text)
 {
     std::cerr << "lanemoor: " << text << '\n';
     return ExitCode::Refused;
 }
 
 /// Prints an answer as text or JSON. \returns Refused for an error status.
-ExitCode show(const Invocation& invocation, const HttpResponse& response, const std::function<std::string(const std::string&)>& asText)
+ExitCode printResponse(const Invocation& invocation, const HttpResponse& response, const std::function<std::string(const std::string&)>& asText)
 {
     constexpr unsigned firstFailure = 300;
     if (response.status >= firstFailure) {
         if (invocation.asJson)
             std::cout << response.body << '\n';
-        return complain(problemText(response.body));
+        return printError(problemText(response.body));
     }
     std::cout << (invocation.asJson ? response.body : asText(response.body)) << '\n';
     return ExitCode::Done;
 }
 
-ExitCode callAndShow(const Invocation& invocation, std::string_view method, const std::string& target, const std::function<std::string(const std::string&)>& asText)
+ExitCode callAndPrint(const Invocation& invocation, std::string_view method, const std::string& target, const std::function<std::string(const std::string&)>& asText)
 {
     OperatorClient client(invocation.client);
     const std::optional<HttpResponse> response = client.call(method, target);
     if (!response)
-        return complain(client.lastReason());
-    return show(invocation, *response, asText);
+        return printError(client.lastReason());
+    return printResponse(invocation, *response, asText);
 }
 
 ExitCode serve(const Invocation& invocation)
@@ -93,7 +93,7 @@
     }
     const std::optional<std::string> text = readFile(invocation.settingsFile);
     if (!text)
-        return complain(invocation.settingsFile + ": can't be read");
+        return printError(invocation.settingsFile + ": can't be read");
     const auto run = [&](auto reader, const auto& daemon) {
         const auto settings = reader.read(*text);
         for (const DocumentFault& fault : reader.faults())
@@ -109,7 +109,7 @@
 {
     const std::string& file = invocation.operands.front();
     if (!writePeerKeys(file))
-        return complain(file + ": can't be written, or exists already");
+        return printError(file + ": can't be written, or exists already");
     return ExitCode::Done;
 }
 
@@ -138,7 +138,7 @@
     for (const std::string& file : invocation.operands) {
         const std::optional<std::string> text = readFile(file);
         if (!text) {
-            code = complain(file + ": can't be read");
+            code = printError(file + ": can't be read");
             continue;
         }
         for (const DocumentFault& fault : faultsOf(*text)) {
@@ -151,7 +151,7 @@
 
 ExitCode get(const Invocation& invocation)
 {
-    return callAndShow(invocation, "GET", "/v1/configuration", [](const std::string& body) { return body; });
+    return callAndPrint(invocation, "GET", "/v1/configuration", [](const std::string& body) { return body; });
 }
 
 /// Without a revision operand the change is based on the revision in force at the entry instance.
@@ -160,7 +160,7 @@
     const std::string& file = invocation.operands.front();
     const std::optional<std::string> text = readFile(file);
     if (!text)
-        return complain(file + ": can't be read");
+        return printError(file + ": can't be read");
     const std::vector<DocumentFault> faults = faultsOf(*text);
     for (const DocumentFault& fault : faults)
         std::cerr << formatFault(file, fault) << '\n';
@@ -171,13 +171,13 @@
     if (base.empty()) {
         const std::optional<HttpResponse> current = client.call("GET", "/v1/configuration");
         if (!current)
-            return complain(client.lastReason());
+            return printError(client.lastReason());
         base = std::string(current->headers.find("ETag").value_or("\"0\""));
     }
     const std::optional<HttpResponse> response = client.call("PUT", "/v1/configuration", *text, base == "\"0\"" ? "*" : base);
     if (!response)
-        return complain(client.lastReason());
-    return show(invocation, *response, acceptedText);
+        return printError(client.lastReason());
+    return printResponse(invocation, *response, acceptedText);
 }
 
 ExitCode diff(const Invocation& invocation)
@@ -185,18 +185,18 @@
     const std::string& file = invocation.operands.front();
     const std::optional<std::string> text = readFile(file);
     if (!text)
-        return complain(file + ": can't be read");
+        return printError(file + ": can't be read");
     ConfigurationReader reader;
-    const std::optional<Configuration> mine = reader.read(*text, 1);
+    const std::optional<Configuration> proposed = reader.read(*text, 1);
     for (const DocumentFault& fault : reader.faults())
         std::cerr << formatFault(file, fault) << '\n';
-    if (!mine)
+    if (!proposed)
         return ExitCode::Refused;
     OperatorClient client(invocation.client);
     const std::optional<HttpResponse> current = client.call("GET", "/v1/configuration");
     if (!current)
-        return complain(client.lastReason());
-    const nlohmann::json patch = nlohmann::json::diff(nlohmann::json::parse(current->body), nlohmann::json::parse(formatConfiguration(*mine)));
+        return printError(client.lastReason());
+    const nlohmann::json patch = nlohmann::json::diff(nlohmann::json::parse(current->body), nlohmann::json::parse(formatConfiguration(*proposed)));
     std::cout << (invocation.asJson ? patch.dump() : patchText(patch.dump()));
     return ExitCode::Done;
 }
@@ -204,12 +204,12 @@
 ExitCode waves(const Invocation& invocation)
 {
     if (invocation.operands.empty())
-        return callAndShow(invocation, "GET", "/v1/waves", wavesText);
+        return callAndPrint(invocation, "GET", "/v1/waves", wavesText);
     if (invocation.operands.front() != "start") {
         std::cerr << "lanemoor waves: the operand can be start only\n";
         return ExitCode::WrongUsage;
     }
-    return callAndShow(invocation, "POST", "/v1/waves", acceptedText);
+    return callAndPrint(invocation, "POST", "/v1/waves", acceptedText);
 }
 
 ExitCode listOrChangeJobs(const Invocation& invocation)
@@ -217,14 +217,14 @@
     const std::string verb = invocation.operands.empty() ? "list" : invocation.operands.front();
     const std::string operand = invocation.operands.size() > 1 ? invocation.operands[1] : std::string();
     if (verb == "list")
-        return callAndShow(invocation, "GET", operand.empty() ? "/v1/jobs" : "/v1/jobs?queue=" + operand, jobsText);
+        return callAndPrint(invocation, "GET", operand.empty() ? "/v1/jobs" : "/v1/jobs?queue=" + operand, jobsText);
     if (operand.empty() || (verb != "show" && verb != "cancel")) {
         std::cerr << "usage: lanemoor jobs [list [QUEUE] | show ID | cancel ID]\n";
         return ExitCode::WrongUsage;
     }
     if (verb == "show")
-        return callAndShow(invocation, "GET", "/v1/jobs/" + operand, jobText);
-    return callAndShow(invocation, "DELETE", "/v1/jobs/" + operand, [](const std::string&) { return "cancelled"; });
+        return callAndPrint(invocation, "GET", "/v1/jobs/" + operand, jobText);
+    return callAndPrint(invocation, "DELETE", "/v1/jobs/" + operand, [](const std::string&) { return "cancelled"; });
 }
 
 /// Job ids differ in format from instance ids, so one command accepts both.
@@ -232,8 +232,8 @@
 {
     const std::string& operand = invocation.operands.front();
     if (jobs::isJobId(operand))
-        return callAndShow(invocation, "GET", "/v1/jobs/" + operand, jobText);
-    return callAndShow(invocation, "GET", "/v1/instances/" + operand, instanceText);
+        return callAndPrint(invocation, "GET", "/v1/jobs/" + operand, jobText);
+    return callAndPrint(invocation, "GET", "/v1/instances/" + operand, instanceText);
 }
 
 const std::vector<Command>& commands()
@@ -245,17 +245,17 @@
         { "apply", "FILE [REVISION]", "replace the configuration, made on REVISION or on the one in force", 1, 2, apply },
         { "get", "", "print the configuration in force", 0, 0, get },
         { "diff", "FILE", "print what applying FILE would change", 1, 1, diff },
-        { "pools", "", "show pools, budgets and conditions", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/pools", poolsText); } },
-        { "instances", "", "show instances, their pools and grants; of the job service, by the owner's metrics address, their health", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/instances", instancesText); } },
+        { "pools", "", "show pools, budgets and conditions", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/pools", poolsText); } },
+        { "instances", "", "show instances, their pools and grants; of the job service, by the owner's metrics address, their health", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/instances", instancesText); } },
         { "waves", "[start]", "show or start a maintenance wave", 0, 1, waves },
-        { "drain", "INSTANCE", "take an instance out of service when its budget permits", 1, 1, [](const Invocation& invocation) { return callAndShow(invocation, "POST", "/v1/instances/" + invocation.operands.front() + "/drain", acceptedText); } },
-        { "undrain", "INSTANCE", "let an instance serve again", 1, 1, [](const Invocation& invocation) { return callAndShow(invocation, "POST", "/v1/instances/" + invocation.operands.front() + "/undrain", acceptedText); } },
-        { "status", "", "show an entry instance, its peers and what is in force on each", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/status", statusText); } },
+        { "drain", "INSTANCE", "take an instance out of service when its budget permits", 1, 1, [](const Invocation& invocation) { return callAndPrint(invocation, "POST", "/v1/instances/" + invocation.operands.front() + "/drain", acceptedText); } },
+        { "undrain", "INSTANCE", "let an instance serve again", 1, 1, [](const Invocation& invocation) { return callAndPrint(invocation, "POST", "/v1/instances/" + invocation.operands.front() + "/undrain", acceptedText); } },
+        { "status", "", "show an entry instance, its peers and what is in force on each", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/status", statusText); } },
         { "explain", "INSTANCE|JOB", "tell why an instance is in its pool and whether it may be taken, or why a job's tasks run or wait where they do", 1, 1, explain },
         { "jobs", "[list [QUEUE] | show ID | cancel ID]", "show or cancel jobs of the job service, by its metrics address", 0, 2, listOrChangeJobs },
-        { "organisations", "", "show what organisations of the job service have running against their quotas, by the owner's metrics address", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/organisations", organisationsText); } },
-        { "evacuations", "", "show data halls that are evacuated or lost and what remains there, by the owner's metrics address", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/evacuations", evacuationsText); } },
-        { "shards", "", "show the job service's shards and their owners", 0, 0, [](const Invocation& invocation) { return callAndShow(invocation, "GET", "/v1/shards", shardsText); } },
+        { "organisations", "", "show what organisations of the job service have running against their quotas, by the owner's metrics address", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/organisations", organisationsText); } },
+        { "evacuations", "", "show data halls that are evacuated or lost and what remains there, by the owner's metrics address", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/evacuations", evacuationsText); } },
+        { "shards", "", "show the job service's shards and their owners", 0, 0, [](const Invocation& invocation) { return callAndPrint(invocation, "GET", "/v1/shards", shardsText); } },
     };
     return all;
 }
@@ -328,7 +328,7 @@
         }
     }
     invocation.operands.assign(arguments + optind, arguments + count);
-    if (invocation.operands.size() < command.leastOperands || invocation.operands.size() > command.mostOperands) {
+    if (invocation.operands.size() < command.minOperands || invocation.operands.size() > command.maxOperands) {
         std::cerr << "usage: lanemoor " << command.name << ' ' << command.operands << '\n';
         return std::nullopt;
     }
--- a/src/client/operator_client.cpp
+++ b/src/client/operator_client.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Millis callLimit { 10'000 };
-constexpr std::size_t mostAnswerBytes = 64 * 1024 * 1024;
+constexpr Millis callTimeout { 10'000 };
+constexpr std::size_t maxAnswerBytes = 64 * 1024 * 1024;
 
 } // namespace
 
@@ -32,8 +32,8 @@
     if (!m_options.token.empty())
         request.headers.add("Authorization", "Bearer " + m_options.token);
     HttpConnection connection(m_options.address);
-    BufferSink sink(mostAnswerBytes);
-    const ExchangeResult result = connection.exchange(request, sink, { .deadline = currentInstant() + callLimit });
+    BufferSink sink(maxAnswerBytes);
+    const ExchangeResult result = connection.exchange(request, sink, { .deadline = currentInstant() + callTimeout });
     if (result.fault == ExchangeFault::None)
         return sink.response();
     m_lastReason = m_options.address.ip + ':' + std::to_string(m_options.address.port) + ": " + describe(result.fault);
--- a/src/client/text_report.cpp
+++ b/src/client/text_report.cpp
@@ -11,7 +11,7 @@
 using Json = nlohmann::ordered_json;
 
 /// \returns `value` as text, with strings unquoted.
-std::string plain(const Json& value)
+std::string toText(const Json& value)
 {
     if (value.is_string())
         return value.get<std::string>();
@@ -58,7 +58,7 @@
 {
     std::string text;
     for (const auto& [key, value] : json.items())
-        text += key + ": " + plain(value) + '\n';
+        text += key + ": " + toText(value) + '\n';
     text.erase(text.find_last_not_of('\n') + 1);
     return text;
 }
@@ -67,7 +67,7 @@
 {
     std::string text;
     for (const Json& condition : conditions)
-        text += (text.empty() ? "" : "; ") + plain(condition["text"]) + " (" + plain(condition["instances"]) + ')';
+        text += (text.empty() ? "" : "; ") + toText(condition["text"]) + " (" + toText(condition["instances"]) + ')';
     return text;
 }
 
@@ -75,33 +75,33 @@
 std::string waitText(const Json& wait)
 {
     if (const std::string held = wait.value("heldByQuotaOf", std::string()); !held.empty())
-        return "    " + plain(wait["tasks"]) + " tasks wait: the quota of " + held + " is used up, see lanemoor organisations";
-    std::string text = "    " + plain(wait["tasks"]) + " wait: of " + plain(wait["workers"]) + " workers " + plain(wait["open"]) + " take work, " + plain(wait["withRoom"]) + " of them have room";
+        return "    " + toText(wait["tasks"]) + " tasks wait: the quota of " + held + " is used up, see lanemoor organisations";
+    std::string text = "    " + toText(wait["tasks"]) + " wait: of " + toText(wait["workers"]) + " workers " + toText(wait["open"]) + " take work, " + toText(wait["withRoom"]) + " of them have room";
     if (!wait.value("label", std::string()).empty())
-        text += "; needs label " + plain(wait["label"]) + ": " + plain(wait["labelled"]) + " of them have it, " + plain(wait["labelledWithRoom"]) + " with room";
+        text += "; needs label " + toText(wait["label"]) + ": " + toText(wait["labelled"]) + " of them have it, " + toText(wait["labelledWithRoom"]) + " with room";
     if (!wait.value("rack", std::string()).empty())
-        text += "; its data is in rack " + plain(wait["rack"]) + ", where " + plain(wait["near"]) + " of them are";
+        text += "; its data is in rack " + toText(wait["rack"]) + ", where " + toText(wait["near"]) + " of them are";
     if (wait["belowSpread"] != wait["workers"])
-        text += ", " + plain(wait["belowSpread"]) + " run fewer tasks of the step than may share one";
+        text += ", " + toText(wait["belowSpread"]) + " run fewer tasks of the step than may share one";
     return text;
 }
 
 std::string stepText(const Json& step)
 {
-    std::string text = "  step " + plain(step["occurrence"]) + '/' + plain(step["step"]) + ": " + plain(step["succeeded"]) + " of " + plain(step["tasks"]) + " tasks succeeded";
+    std::string text = "  step " + toText(step["occurrence"]) + '/' + toText(step["step"]) + ": " + toText(step["succeeded"]) + " of " + toText(step["tasks"]) + " tasks succeeded";
     if (step["blocked"].get<bool>())
         text += ", blocked by a step it depends on";
     for (const Json& attempt : step["attempts"])
-        text += "\n    task " + plain(attempt["task"]) + ", attempt " + plain(attempt["attempt"]) + ": " + plain(attempt["phase"]) + " on " + plain(attempt["worker"]);
+        text += "\n    task " + toText(attempt["task"]) + ", attempt " + toText(attempt["attempt"]) + ": " + toText(attempt["phase"]) + " on " + toText(attempt["worker"]);
     for (const Json& suspect : step.value("suspects", Json::array())) {
-        text += "\n    task " + plain(suspect["task"]) + ": " + plain(suspect["workersLost"]) + " workers in a row were lost soon after they had started it";
+        text += "\n    task " + toText(suspect["task"]) + ": " + toText(suspect["workersLost"]) + " workers in a row were lost soon after they had started it";
         text += suspect["givenUp"].get<bool>() ? "; it was given up" : "";
-        text += " (" + plain(suspect["confirmedCrashes"]) + " confirmed)";
+        text += " (" + toText(suspect["confirmedCrashes"]) + " confirmed)";
     }
     if (step.contains("wait"))
         text += '\n' + waitText(step["wait"]);
     for (const Json& hall : step.value("closedHalls", Json::array()))
-        text += "\n    data hall " + plain(hall["dataHall"]) + " is " + plain(hall["state"]) + ": nothing starts there; " + plain(hall["tasks"]) + " tasks of the step are there, see lanemoor evacuations";
+        text += "\n    data hall " + toText(hall["dataHall"]) + " is " + toText(hall["state"]) + ": nothing starts there; " + toText(hall["tasks"]) + " tasks of the step are there, see lanemoor evacuations";
     return text;
 }
 
@@ -110,7 +110,7 @@
 {
     const std::string reason = worker["reason"].get<std::string>();
     if (worker["ejected"].get<bool>())
-        return "ejected for " + plain(worker["ejectedForMillis"]) + " ms: " + reason;
+        return "ejected for " + toText(worker["ejectedForMillis"]) + " ms: " + reason;
     if (worker["probing"].get<bool>())
         return "probing: " + reason;
     if (worker["silent"].get<bool>())
@@ -123,11 +123,11 @@
 std::string workersText(const Json& json)
 {
     if (!json["ownedHere"].get<bool>())
-        return "the health of workers is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : plain(json["owner"]));
+        return "the health of workers is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : toText(json["owner"]));
     Table table({ "INSTANCE", "POOL", "DATA HALL", "RACK", "ATTEMPTS", "OPEN", "HEALTH", "UNANSWERED", "LATE ENDS", "FAILURES" });
     for (const Json& worker : json["workers"]) {
-        table.add({ plain(worker["id"]), plain(worker["pool"]), plain(worker["dataHall"]), plain(worker["rack"]), plain(worker["attempts"]), plain(worker["open"]), healthText(worker), plain(worker["unanswered"]) + " of " + plain(worker["calls"]),
-            plain(worker["lateEnds"]) + " of " + plain(worker["ends"]), plain(worker["failures"]) });
+        table.add({ toText(worker["id"]), toText(worker["pool"]), toText(worker["dataHall"]), toText(worker["rack"]), toText(worker["attempts"]), toText(worker["open"]), healthText(worker), toText(worker["unanswered"]) + " of " + toText(worker["calls"]),
+            toText(worker["lateEnds"]) + " of " + toText(worker["ends"]), toText(worker["failures"]) });
     }
     return table.text();
 }
@@ -139,15 +139,15 @@
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("title"))
         return "the entry refused the call";
-    std::string text = plain(json["title"]);
+    std::string text = toText(json["title"]);
     for (const Json& fault : json.value("faults", Json::array()))
-        text += "\n  " + plain(fault["line"]) + ':' + plain(fault["column"]) + ": " + plain(fault["field"]) + ": " + plain(fault["text"]) + " (" + plain(fault["detail"]) + ')';
+        text += "\n  " + toText(fault["line"]) + ':' + toText(fault["column"]) + ": " + toText(fault["field"]) + ": " + toText(fault["text"]) + " (" + toText(fault["detail"]) + ')';
     return text;
 }
 
 std::string acceptedText(const std::string& body)
 {
-    return "accepted as revision " + plain(Json::parse(body)["revision"]);
+    return "accepted as revision " + toText(Json::parse(body)["revision"]);
 }
 
 std::string poolsText(const std::string& body)
@@ -155,8 +155,8 @@
     const Json json = Json::parse(body);
     Table table({ "POOL", "MEMBERS", "TARGET", "IN SERVICE", "MINIMUM", "SLACK", "GRANTS", "CONDITIONS" });
     for (const Json& pool : json["pools"])
-        table.add({ plain(pool["name"]), plain(pool["members"]), plain(pool["target"]), plain(pool["inService"]), plain(pool["minimum"]), plain(pool["slack"]), plain(pool["granted"]), conditionsText(pool["conditions"]) });
-    return table.text() + "\nspare instances: " + plain(json["spare"]);
+        table.add({ toText(pool["name"]), toText(pool["members"]), toText(pool["target"]), toText(pool["inService"]), toText(pool["minimum"]), toText(pool["slack"]), toText(pool["granted"]), conditionsText(pool["conditions"]) });
+    return table.text() + "\nspare instances: " + toText(json["spare"]);
 }
 
 std::string instancesText(const std::string& body)
@@ -166,8 +166,8 @@
     if (json.contains("workers"))
         return workersText(json);
     for (const Json& instance : json["instances"]) {
-        const std::string grant = instance.contains("grant") ? plain(instance["grant"]["reason"]) + ", " + plain(instance["grant"]["phase"]) : "-";
-        table.add({ plain(instance["id"]), plain(instance["pool"]), plain(instance.value("dataHall", Json())), plain(instance.value("rack", Json())), plain(instance["state"]), plain(instance["inService"]), grant, plain(instance["maintainedAt"]) });
+        const std::string grant = instance.contains("grant") ? toText(instance["grant"]["reason"]) + ", " + toText(instance["grant"]["phase"]) : "-";
+        table.add({ toText(instance["id"]), toText(instance["pool"]), toText(instance.value("dataHall", Json())), toText(instance.value("rack", Json())), toText(instance["state"]), toText(instance["inService"]), grant, toText(instance["maintainedAt"]) });
     }
     return table.text();
 }
@@ -184,7 +184,7 @@
     json.erase("peers");
     Table table({ "PEER", "ADDRESS", "REVISION", "LEDGER", "HEARD AT" });
     for (const Json& peer : peers)
-        table.add({ plain(peer["name"]), plain(peer["address"]), plain(peer["configurationRevision"]), plain(peer["ledgerVersion"]), plain(peer["heardAt"]) });
+        table.add({ toText(peer["name"]), toText(peer["address"]), toText(peer["configurationRevision"]), toText(peer["ledgerVersion"]), toText(peer["heardAt"]) });
     return keyValueText(json) + "\n\n" + table.text();
 }
 
@@ -198,7 +198,7 @@
     const Json json = Json::parse(body);
     Table table({ "JOB", "QUEUE", "STATUS", "STEPS", "TASKS" });
     for (const Json& job : json["jobs"])
-        table.add({ plain(job["id"]), plain(job["queue"]), plain(job["status"]), plain(job["steps"]), plain(job["tasks"]) });
+        table.add({ toText(job["id"]), toText(job["queue"]), toText(job["status"]), toText(job["steps"]), toText(job["tasks"]) });
     return table.text() + (json["more"].get<bool>() ? "\n(there are more: name a queue)" : "");
 }
 
@@ -220,15 +220,15 @@
 {
     const Json json = Json::parse(body);
     if (!json["ownedHere"].get<bool>())
-        return "what organisations have running is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : plain(json["owner"]));
-    const auto against = [](const Json& organisation, const char* resource) {
+        return "what organisations have running is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : toText(json["owner"]));
+    const auto usedOfQuota = [](const Json& organisation, const char* resource) {
         const Json& limit = organisation["quota"][resource];
-        return plain(organisation["used"][resource]) + " of " + (limit == 0 ? std::string("-") : plain(limit));
+        return toText(organisation["used"][resource]) + " of " + (limit == 0 ? std::string("-") : toText(limit));
     };
     Table table({ "ORGANISATION", "MILLI CPU", "MEMORY MB", "ACCELERATORS", "WEIGHT", "HELD TASKS", "BEYOND RATE" });
     for (const Json& organisation : json["organisations"]) {
-        table.add({ plain(organisation["name"]), against(organisation, "milliCpu"), against(organisation, "memoryMb"), against(organisation, "accelerators"), plain(organisation["weight"]), plain(organisation["heldTasks"]),
-            plain(organisation["beyondRate"]) });
+        table.add({ toText(organisation["name"]), usedOfQuota(organisation, "milliCpu"), usedOfQuota(organisation, "memoryMb"), usedOfQuota(organisation, "accelerators"), toText(organisation["weight"]), toText(organisation["heldTasks"]),
+            toText(organisation["beyondRate"]) });
     }
     return table.text();
 }
@@ -237,17 +237,17 @@
 {
     const Json json = Json::parse(body);
     if (!json["ownedHere"].get<bool>())
-        return "what remains in data halls is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : plain(json["owner"]));
-    std::string text = "requests read " + plain(json["ageMillis"]) + " ms ago" + (json["confirmed"].get<bool>() ? "" : ": too old, nothing starts anywhere");
+        return "what remains in data halls is known to the owner only: " + (json["owner"].get<std::string>().empty() ? std::string("nobody owns now") : toText(json["owner"]));
+    std::string text = "requests read " + toText(json["ageMillis"]) + " ms ago" + (json["confirmed"].get<bool>() ? "" : ": too old, nothing starts anywhere");
     if (json["halls"].empty())
         return text + "\nno data hall is evacuated or lost";
     Table table({ "DATA HALL", "STATE", "FOR MS", "POOL", "WORKERS", "BATCH", "LONG", "HELD BY BUDGET", "STOPPING", "UNREACHABLE", "EMPTY IN MS" });
     for (const Json& hall : json["halls"]) {
-        const std::string emptyIn = plain(hall.value("emptyInMillis", Json()));
+        const std::string emptyIn = toText(hall.value("emptyInMillis", Json()));
         if (hall["pools"].empty())
-            table.add({ plain(hall["dataHall"]), plain(hall["state"]), plain(hall["forMillis"]), "-", "0", "0", "0", "0", "0", "0", emptyIn });
+            table.add({ toText(hall["dataHall"]), toText(hall["state"]), toText(hall["forMillis"]), "-", "0", "0", "0", "0", "0", "0", emptyIn });
         for (const Json& pool : hall["pools"]) {
-            table.add({ plain(hall["dataHall"]), plain(hall["state"]), plain(hall["forMillis"]), plain(pool["pool"]), plain(pool["workers"]), plain(pool["batchTasks"]), plain(pool["longTasks"]), plain(pool["heldByBudget"]), plain(pool["stopping"]), plain(pool["unreachable"]),
+            table.add({ toText(hall["dataHall"]), toText(hall["state"]), toText(hall["forMillis"]), toText(pool["pool"]), toText(pool["workers"]), toText(pool["batchTasks"]), toText(pool["longTasks"]), toText(pool["heldByBudget"]), toText(pool["stopping"]), toText(pool["unreachable"]),
                 emptyIn });
         }
     }
@@ -259,7 +259,7 @@
     const Json json = Json::parse(body);
     Table table({ "SHARD", "OWNER", "TERM", "HERE", "COPY AGE MS" });
     for (const Json& shard : json["shards"])
-        table.add({ plain(shard["shard"]), shard["owner"].get<std::string>().empty() ? "-" : plain(shard["owner"]), plain(shard["term"]), plain(shard["ownedHere"]), plain(shard["copyAgeMillis"]) });
+        table.add({ toText(shard["shard"]), shard["owner"].get<std::string>().empty() ? "-" : toText(shard["owner"]), toText(shard["term"]), toText(shard["ownedHere"]), toText(shard["copyAgeMillis"]) });
     return table.text();
 }
 
@@ -268,7 +268,7 @@
     std::string text;
     const Json json = Json::parse(patch);
     for (const Json& change : json)
-        text += plain(change["op"]) + ' ' + plain(change["path"]) + (change.contains("value") ? ' ' + change["value"].dump() : std::string()) + '\n';
+        text += toText(change["op"]) + ' ' + toText(change["path"]) + (change.contains("value") ? ' ' + change["value"].dump() : std::string()) + '\n';
     return text.empty() ? "no difference\n" : text;
 }
 
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -16,15 +16,15 @@
 using Clock = std::chrono::system_clock;
 
 constexpr std::size_t readBytes = 16 * 1024;
-constexpr int longestWait = 60'000; ///< Milliseconds.
+constexpr int maxWaitMillis = 60'000; ///< Limit of a single poll.
 
 int millisecondsUntil(Clock::time_point deadline)
 {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline - Clock::now()).count();
-    return static_cast<int>(std::clamp<std::int64_t>(left, 0, longestWait));
+    return static_cast<int>(std::clamp<std::int64_t>(left, 0, maxWaitMillis));
 }
 
-bool hasToken(const HttpHeaders& headers, std::string_view name)
+bool hasHeader(const HttpHeaders& headers, std::string_view name)
 {
     return headers.find(name).has_value();
 }
@@ -32,12 +32,12 @@
 std::string serialize(const HttpRequest& request, const HttpAddress& address)
 {
     std::string text = request.method + ' ' + request.target + " HTTP/1.1\r\n";
-    if (!hasToken(request.headers, "Host"))
+    if (!hasHeader(request.headers, "Host"))
         text += "Host: " + address.ip + ':' + std::to_string(address.port) + "\r\n";
     for (const HttpHeader& header : request.headers.all())
         text += header.name + ": " + header.value + "\r\n";
     const bool carriesBody = !request.body.empty() || request.method == "POST" || request.method == "PUT";
-    if (carriesBody && !hasToken(request.headers, "Content-Length"))
+    if (carriesBody && !hasHeader(request.headers, "Content-Length"))
         text += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
     return text + "\r\n" + request.body;
 }
@@ -95,8 +95,8 @@
     return ::poll(&watched, 1, 0) > 0 && (watched.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0;
 }
 
-BufferSink::BufferSink(std::size_t mostBytes)
-    : m_mostBytes(mostBytes)
+BufferSink::BufferSink(std::size_t maxBytes)
+    : m_maxBytes(maxBytes)
 {
 }
 
@@ -109,7 +109,7 @@
 
 bool BufferSink::write(std::string_view part)
 {
-    if (m_response.body.size() + part.size() > m_mostBytes)
+    if (m_response.body.size() + part.size() > m_maxBytes)
         return false;
     m_response.body.append(part.data(), part.size());
     return true;
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -22,7 +22,7 @@
 
 std::optional<std::uint64_t> parseDecimal(std::string_view text) noexcept
 {
-    constexpr auto most = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
+    constexpr auto largest = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
     if (text.empty())
         return std::nullopt;
     std::uint64_t number = 0;
@@ -30,20 +30,20 @@
         if (c < '0' || c > '9')
             return std::nullopt;
         const auto digit = static_cast<std::uint64_t>(c - '0');
-        if (number > (most - digit) / 10)
+        if (number > (largest - digit) / 10)
             return std::nullopt;
         number = number * 10 + digit;
     }
     return number;
 }
 
-std::optional<HttpAddress> parseAddress(std::string_view text, std::uint16_t leastPort)
+std::optional<HttpAddress> parseAddress(std::string_view text, std::uint16_t minPort)
 {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos || colon == 0)
         return std::nullopt;
     const std::optional<std::uint64_t> port = parseDecimal(text.substr(colon + 1));
-    if (!port || *port < leastPort || *port > std::numeric_limits<std::uint16_t>::max())
+    if (!port || *port < minPort || *port > std::numeric_limits<std::uint16_t>::max())
         return std::nullopt;
     return HttpAddress { std::string(text.substr(0, colon)), static_cast<std::uint16_t>(*port) };
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -43,7 +43,7 @@
 };
 
 /// Validates the framing of a request. \returns The length of its body in bytes.
-std::size_t checkFraming(const cxxtools::http::RequestHeader& header, std::size_t mostBytes)
+std::size_t checkFraming(const cxxtools::http::RequestHeader& header, std::size_t maxBytes)
 {
     std::optional<std::uint64_t> length;
     for (const auto& field : header) {
@@ -57,7 +57,7 @@
         if (!length)
             throw RefusedRequest(400, "Content-Length is not a number");
     }
-    if (length.value_or(0) > mostBytes)
+    if (length.value_or(0) > maxBytes)
         throw RefusedRequest(413, "the body is too large");
     return static_cast<std::size_t>(length.value_or(0));
 }
@@ -172,8 +172,8 @@
     {
         m_socket = &socket;
         m_body.clear();
-        m_deadline = SteadyClock::now() + m_options.readLimit;
-        m_left = checkFraming(request.header(), m_options.mostBodyBytes);
+        m_deadline = SteadyClock::now() + m_options.readTimeout;
+        m_remaining = checkFraming(request.header(), m_options.maxBodyBytes);
     }
 
     std::size_t readBody(std::istream& in) override
@@ -182,11 +182,11 @@
             throw RefusedRequest(408, "the body came too slowly");
         const std::streamsize available = in.rdbuf()->in_avail();
         const auto wanted = static_cast<std::size_t>(std::max<std::streamsize>(available, 0));
-        const std::size_t bytes = std::min(wanted, m_left);
+        const std::size_t bytes = std::min(wanted, m_remaining);
         const std::size_t before = m_body.size();
         m_body.resize(before + bytes);
         in.read(m_body.data() + before, static_cast<std::streamsize>(bytes));
-        m_left -= bytes;
+        m_remaining -= bytes;
         return bytes;
     }
 
@@ -223,7 +223,7 @@
     HttpHandler& m_handler;
     cxxtools::net::TcpSocket* m_socket = nullptr;
     std::string m_body;
-    std::size_t m_left = 0;
+    std::size_t m_remaining = 0;
     SteadyClock::time_point m_deadline;
 };
 
@@ -260,8 +260,8 @@
         , m_service(m_options, handler)
         , m_server(m_loop)
     {
-        m_server.readTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.readLimit.count())));
-        m_server.keepAliveTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.idleLimit.count())));
+        m_server.readTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.readTimeout.count())));
+        m_server.keepAliveTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.idleTimeout.count())));
         m_server.maxThreads(m_options.mostThreads);
         m_server.addService(cxxtools::Regex(".*"), m_service);
         listen();
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t mostHeadBytes = 64 * 1024;
-constexpr std::size_t mostLineBytes = 1024;
+constexpr std::size_t maxHeadBytes = 64 * 1024;
+constexpr std::size_t maxLineBytes = 1024;
 constexpr std::string_view lineEnd = "\r\n";
 constexpr std::string_view headEnd = "\r\n\r\n";
 constexpr unsigned firstFinalStatus = 200;
@@ -47,8 +47,8 @@
 
 std::optional<std::uint64_t> parseHexadecimal(std::string_view text) noexcept
 {
-    constexpr std::size_t mostDigits = 15;
-    if (text.empty() || text.size() > mostDigits)
+    constexpr std::size_t maxDigits = 15;
+    if (text.empty() || text.size() > maxDigits)
         return std::nullopt;
     std::uint64_t number = 0;
     for (const char c : text) {
@@ -113,7 +113,7 @@
     case Phase::Trailer:
         return readTrailer(progressed);
     case Phase::UntilClose:
-        return passOnAll(progressed);
+        return readUntilClose(progressed);
     case Phase::Done:
         break;
     }
@@ -124,7 +124,7 @@
 {
     const std::size_t end = m_buffer.find(headEnd);
     if (end == std::string::npos)
-        return m_buffer.size() > mostHeadBytes ? ReadState::Malformed : ReadState::NeedsMore;
+        return m_buffer.size() > maxHeadBytes ? ReadState::Malformed : ReadState::NeedsMore;
     const std::string text = m_buffer.substr(0, end);
     m_buffer.erase(0, end + headEnd.size());
     progressed = true;
@@ -171,7 +171,7 @@
         const std::optional<std::uint64_t> bytes = parseDecimal(*length);
         if (!bytes)
             return ReadState::Malformed;
-        m_left = *bytes;
+        m_remaining = *bytes;
         m_phase = *bytes == 0 ? Phase::Done : Phase::Length;
     } else {
         m_keepAlive = false;
@@ -184,15 +184,15 @@
 
 ReadState ResponseReader::readCounted(bool& progressed, Phase after)
 {
-    const auto bytes = static_cast<std::size_t>(std::min<std::uint64_t>(m_left, m_buffer.size()));
+    const auto bytes = static_cast<std::size_t>(std::min<std::uint64_t>(m_remaining, m_buffer.size()));
     if (bytes == 0)
         return ReadState::NeedsMore;
     if (!m_sink.write(std::string_view(m_buffer).substr(0, bytes)))
         return ReadState::Refused;
     m_buffer.erase(0, bytes);
-    m_left -= bytes;
+    m_remaining -= bytes;
     progressed = true;
-    if (m_left > 0)
+    if (m_remaining > 0)
         return ReadState::NeedsMore;
     m_phase = after;
     return after == Phase::Done ? ReadState::Complete : ReadState::NeedsMore;
@@ -202,13 +202,13 @@
 {
     const std::size_t end = m_buffer.find(lineEnd);
     if (end == std::string::npos)
-        return m_buffer.size() > mostLineBytes ? ReadState::Malformed : ReadState::NeedsMore;
+        return m_buffer.size() > maxLineBytes ? ReadState::Malformed : ReadState::NeedsMore;
     const std::string_view line = std::string_view(m_buffer).substr(0, end);
     const std::optional<std::uint64_t> size = parseHexadecimal(trimmed(line.substr(0, line.find(';'))));
     if (!size)
         return ReadState::Malformed;
     m_buffer.erase(0, end + lineEnd.size());
-    m_left = *size;
+    m_remaining = *size;
     m_phase = *size == 0 ? Phase::Trailer : Phase::ChunkData;
     progressed = true;
     return ReadState::NeedsMore;
@@ -230,7 +230,7 @@
 {
     const std::size_t end = m_buffer.find(lineEnd);
     if (end == std::string::npos)
-        return m_buffer.size() > mostHeadBytes ? ReadState::Malformed : ReadState::NeedsMore;
+        return m_buffer.size() > maxHeadBytes ? ReadState::Malformed : ReadState::NeedsMore;
     m_buffer.erase(0, end + lineEnd.size());
     progressed = true;
     if (end > 0)
@@ -239,7 +239,7 @@
     return ReadState::Complete;
 }
 
-ReadState ResponseReader::passOnAll(bool& progressed)
+ReadState ResponseReader::readUntilClose(bool& progressed)
 {
     if (m_buffer.empty())
         return ReadState::NeedsMore;
--- a/src/net/response_reader.h
+++ b/src/net/response_reader.h
@@ -54,11 +54,11 @@
     [[nodiscard]] ReadState readChunkSize(bool& progressed);
     [[nodiscard]] ReadState readLineEnd(bool& progressed);
     [[nodiscard]] ReadState readTrailer(bool& progressed);
-    [[nodiscard]] ReadState passOnAll(bool& progressed);
+    [[nodiscard]] ReadState readUntilClose(bool& progressed);
 
     AnswerSink& m_sink;
     std::string m_buffer;
-    std::uint64_t m_left = 0; ///< Remaining bytes of the body or chunk.
+    std::uint64_t m_remaining = 0; ///< Remaining bytes of the body or chunk.
     Phase m_phase = Phase::Head;
     bool m_headRequest;
     bool m_keepAlive = true;
--- a/src/serve/process/background.cpp
+++ b/src/serve/process/background.cpp
@@ -15,18 +15,18 @@
 /// Renewals within one lease duration.
 constexpr int renewalsPerLease = 3;
 
-std::string seatLease(std::uint32_t number)
+std::string shardLeaseName(std::uint32_t number)
 {
     return "seat-" + std::to_string(number);
 }
 
 } // namespace
 
-DocumentWatch::DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentTaker taker)
+DocumentWatch::DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentCallback callback)
     : m_state(state)
     , m_store(std::move(store))
     , m_key(std::move(key))
-    , m_taker(std::move(taker))
+    , m_callback(std::move(callback))
 {
 }
 
@@ -39,7 +39,7 @@
         if (value) {
             m_state.onStoreReached();
             seen = std::max(seen, value->version);
-            m_taker(value->version, value->body);
+            m_callback(value->version, value->body);
         } else if (m_store->lastFault() == StoreFault::NotFound) {
             m_state.onStoreReached();
         } else {
@@ -59,10 +59,10 @@
 {
     do {
         std::optional<Instances> listed = m_platform->list();
-        const bool away = !listed;
-        if (away != m_listAway)
-            m_state.log().change(away ? "list-away" : "list-back");
-        m_listAway = away;
+        const bool unavailable = !listed;
+        if (unavailable != m_listUnavailable)
+            m_state.log().change(unavailable ? "list-away" : "list-back");
+        m_listUnavailable = unavailable;
         if (listed) {
             m_state.onList(std::move(*listed));
         } else {
@@ -72,72 +72,72 @@
     } while (m_state.pause(listInterval));
 }
 
-SeatKeeper::SeatKeeper(SharedState& state, std::unique_ptr<Store> store)
+ShardLeaseManager::ShardLeaseManager(SharedState& state, std::unique_ptr<Store> store)
     : m_state(state)
     , m_store(std::move(store))
 {
 }
 
-void SeatKeeper::run()
+void ShardLeaseManager::run()
 {
     const Millis interval = m_state.settings().leaseTime / renewalsPerLease;
     do {
         if (m_number)
             renew();
         else
-            takeAny();
+            acquireAnyShard();
         if (m_number && currentInstant() >= m_usableFrom)
-            m_state.setSeat({ .number = *m_number, .seats = m_state.settings().seats });
+            m_state.setShard({ .number = *m_number, .seats = m_state.settings().seats });
     } while (m_state.pause(m_number && currentInstant() >= m_usableFrom ? interval : interval / renewalsPerLease));
-    m_state.setSeat({});
+    m_state.setShard({});
     if (m_number)
-        m_store->release(seatLease(*m_number), m_state.holder());
+        m_store->release(shardLeaseName(*m_number), m_state.holder());
 }
 
-void SeatKeeper::takeAny()
+void ShardLeaseManager::acquireAnyShard()
 {
     const std::uint32_t seats = m_state.settings().seats;
     for (std::uint32_t number = 0; number < seats; ++number) {
         m_state.metrics().count(EventCounter::StoreCalls);
-        const std::optional<Lease> lease = m_store->acquire(seatLease(number), m_state.holder(), m_state.settings().leaseTime);
+        const std::optional<Lease> lease = m_store->acquire(shardLeaseName(number), m_state.holder(), m_state.settings().leaseTime);
         if (!lease && m_store->lastFault() != StoreFault::Conflict)
             return; // The store is unavailable; the next round retries.
         if (!lease)
             continue;
-        const bool wasAnothers = lease->epoch > 1;
+        const bool hadOtherHolder = lease->epoch > 1;
         m_number = number;
         m_lease = *lease;
-        m_usableFrom = currentInstant() + (wasAnothers ? m_state.settings().leaseTime : Millis(0));
+        m_usableFrom = currentInstant() + (hadOtherHolder ? m_state.settings().leaseTime : Millis(0));
         m_state.log().change("seat-taken", { { "seat", std::int64_t { number } } });
         return;
     }
 }
 
-void SeatKeeper::renew()
+void ShardLeaseManager::renew()
 {
     m_state.metrics().count(EventCounter::StoreCalls);
-    const std::optional<Lease> lease = m_store->acquire(seatLease(*m_number), m_state.holder(), m_state.settings().leaseTime);
+    const std::optional<Lease> lease = m_store->acquire(shardLeaseName(*m_number), m_state.holder(), m_state.settings().leaseTime);
     if (lease && lease->epoch == m_lease.epoch) {
         m_state.onStoreReached();
         m_lease = *lease;
         return;
     }
     if (lease || m_store->lastFault() == StoreFault::Conflict) {
-        loseSeat("another holder");
+        dropShard("another holder");
         return;
     }
     // The store is unreachable. Another instance can have acquired the shard only if a peer
     // has reached the store since the lease expired.
     m_state.metrics().count(EventCounter::StoreFaults);
     if (currentInstant() >= m_lease.expiresAt && m_state.storeReachedByAnyAt() > m_lease.expiresAt)
-        loseSeat("cut off from the store");
+        dropShard("cut off from the store");
 }
 
-void SeatKeeper::loseSeat(const char* reason)
+void ShardLeaseManager::dropShard(const char* reason)
 {
     m_state.log().change("seat-lost", { { "seat", std::int64_t { *m_number } }, { "reason", std::string(reason) } });
     m_number.reset();
-    m_state.setSeat({});
+    m_state.setShard({});
 }
 
 } // namespace lanemoor
--- a/src/serve/process/configuration_writer.cpp
+++ b/src/serve/process/configuration_writer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr int mostEdits = 5;
-constexpr int settleAttempts = 3;
+constexpr int maxEditAttempts = 5;
+constexpr int readBackAttempts = 3;
 
 } // namespace
 
@@ -30,11 +30,11 @@
 
 ChangeResult ConfigurationWriter::edit(const std::function<void(Configuration&)>& edit)
 {
-    ChangeResult result = ChangeUnsettled {};
-    for (int attempt = 0; attempt < mostEdits; ++attempt) {
+    ChangeResult result = ChangeOutcomeUnknown {};
+    for (int attempt = 0; attempt < maxEditAttempts; ++attempt) {
         const std::optional<StoredValue> stored = m_store.get(std::string(configurationKey));
         if (!stored)
-            return ChangeUnsettled {};
+            return ChangeOutcomeUnknown {};
         ConfigurationReader reader;
         std::optional<Configuration> configuration = reader.read(stored->body, stored->version);
         if (!configuration)
@@ -54,13 +54,13 @@
     if (const std::optional<std::uint64_t> revision = m_store.put(std::string(configurationKey), body, base))
         return ChangeAccepted { *revision };
     if (m_store.lastFault() == StoreFault::Unreachable)
-        return ChangeUnsettled {};
-    return settle(configuration.changeId);
+        return ChangeOutcomeUnknown {};
+    return readBackOutcome(configuration.changeId);
 }
 
-ChangeResult ConfigurationWriter::settle(const std::string& changeId)
+ChangeResult ConfigurationWriter::readBackOutcome(const std::string& changeId)
 {
-    for (int attempt = 0; attempt < settleAttempts; ++attempt) {
+    for (int attempt = 0; attempt < readBackAttempts; ++attempt) {
         const std::optional<StoredValue> stored = m_store.get(std::string(configurationKey));
         if (!stored)
             continue;
@@ -70,7 +70,7 @@
             return ChangeAccepted { stored->version };
         return ChangeConflict { stored->version };
     }
-    return ChangeUnsettled {};
+    return ChangeOutcomeUnknown {};
 }
 
 } // namespace lanemoor
--- a/src/serve/process/control_role.cpp
+++ b/src/serve/process/control_role.cpp
@@ -12,9 +12,9 @@
 
 constexpr Millis roundInterval { 500 };
 /// A new holder collects observations from the list and the peers for this long before it decides.
-constexpr Millis listenFirst { 1'500 };
+constexpr Millis observationTime { 1'500 };
 /// A list older than this allows no new decisions.
-constexpr Millis listFreshFor { 10'000 };
+constexpr Millis maxListAge { 10'000 };
 constexpr int renewalsPerLease = 3;
 
 } // namespace
@@ -30,9 +30,9 @@
 void ControlRole::run()
 {
     do {
-        keepLease();
-        if (holdsLease() && currentInstant() >= m_actsFrom)
-            round();
+        acquireOrRenewLease();
+        if (holdsLease() && currentInstant() >= m_decidesFrom)
+            runRound();
     } while (m_state.pause(roundInterval));
     if (m_lease)
         m_store->release(std::string(controlLease), m_state.holder());
@@ -43,7 +43,7 @@
     return m_lease && currentInstant() < m_lease->expiresAt;
 }
 
-void ControlRole::keepLease()
+void ControlRole::acquireOrRenewLease()
 {
     const Instant now = currentInstant();
     if (m_lease && now < m_nextRenewal)
@@ -60,17 +60,17 @@
     const std::optional<Lease> lease = m_store->acquire(std::string(controlLease), m_state.holder(), time);
     m_nextRenewal = now + time / renewalsPerLease;
     if (!lease) {
-        const bool another = m_store->lastFault() == StoreFault::Conflict;
-        if (m_lease && (another || !holdsLease()))
-            dropLease(another ? "another holder" : "lapsed");
+        const bool hasOtherHolder = m_store->lastFault() == StoreFault::Conflict;
+        if (m_lease && (hasOtherHolder || !holdsLease()))
+            dropLease(hasOtherHolder ? "another holder" : "lapsed");
         return;
     }
     m_state.onStoreReached();
-    const bool fresh = !m_lease || m_lease->epoch != lease->epoch;
+    const bool isNewEpoch = !m_lease || m_lease->epoch != lease->epoch;
     m_lease = lease;
-    if (!fresh)
+    if (!isNewEpoch)
         return;
-    m_actsFrom = now + listenFirst;
+    m_decidesFrom = now + observationTime;
     m_state.metrics().set(StateGauge::HoldsControl, 1);
     m_state.log().change("control-taken", { { "epoch", static_cast<std::int64_t>(lease->epoch) } });
 }
@@ -92,11 +92,11 @@
     return true;
 }
 
-void ControlRole::round()
+void ControlRole::runRound()
 {
     const std::shared_ptr<const Snapshot> snapshot = m_state.snapshot();
     const Instant now = currentInstant();
-    if (snapshot->configuration->revision == 0 || now >= m_state.listReadAt() + listFreshFor)
+    if (snapshot->configuration->revision == 0 || now >= m_state.listReadAt() + maxListAge)
         return;
     if (snapshot->ledger->version == 0 && !readLedger())
         return;
@@ -153,7 +153,7 @@
         m_state.metrics().onBreach(breach.code);
         m_state.log().change("invariant-broken", { { "invariant", std::string(describe(breach.code)) }, { "subject", breach.subject } });
     }
-    const auto below = std::count_if(all.begin(), all.end(), [](const PoolStanding& standing) { return standing.inService < standing.minimum; });
+    const auto below = std::count_if(all.begin(), all.end(), [](const PoolStanding& poolStatus) { return poolStatus.inService < poolStatus.minimum; });
     m_state.metrics().set(StateGauge::PoolsBelowBudget, static_cast<double>(below));
     m_state.metrics().set(StateGauge::WaveDue, waveProgress(view).due);
 }
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr unsigned operatorThreads = 8;
-constexpr Millis stopCheck { 20 };
+constexpr Millis stopCheckInterval { 20 };
 
 HttpServerOptions serverOptions(const ListenSettings& listen, unsigned mostThreads)
 {
@@ -82,7 +82,7 @@
     state.log().change("stopping");
     state.pause(state.settings().unreadyBeforeStop);
     while (front.inFlight() > 0)
-        state.pause(stopCheck);
+        state.pause(stopCheckInterval);
 }
 
 } // namespace
@@ -102,7 +102,7 @@
         DocumentWatch configuration(state, stores.make(), std::string(configurationKey), [&](std::uint64_t version, const std::string& body) { state.acceptConfiguration(version, body); });
         DocumentWatch ledger(state, stores.make(), std::string(ledgerKey), [&](std::uint64_t version, const std::string& body) { state.acceptLedger(version, body); });
         ListPoller list(state, makeHttpPlatform(platform));
-        SeatKeeper seat(state, stores.make());
+        ShardLeaseManager shardLease(state, stores.make());
         ControlRole control(state, stores.make(), makeHttpPlatform(platform));
         FrontHandler front(state, claims);
         OperatorHandler operators(state, stores);
@@ -111,7 +111,7 @@
         threads.start(configuration);
         threads.start(ledger);
         threads.start(list);
-        threads.start(seat);
+        threads.start(shardLease);
         threads.start(control);
         const HttpServer frontServer(serverOptions(settings.front, settings.mostThreads), front);
         const HttpServer operatorServer(serverOptions(settings.operators, operatorThreads), operators);
--- a/src/serve/process/endpoint_registry.cpp
+++ b/src/serve/process/endpoint_registry.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// An endpoint that refused new work gets no requests for this long.
-constexpr Millis leavingFor = std::chrono::seconds(5);
+constexpr Millis leavingDuration = std::chrono::seconds(5);
 
 } // namespace
 
@@ -17,11 +17,11 @@
 {
 }
 
-bool Endpoint::take(std::atomic<std::uint32_t>& count, std::uint32_t most) noexcept
+bool Endpoint::acquire(std::atomic<std::uint32_t>& count, std::uint32_t limit) noexcept
 {
-    std::uint32_t taken = count.load(std::memory_order_acquire);
-    while (taken < most) {
-        if (count.compare_exchange_weak(taken, taken + 1, std::memory_order_acq_rel))
+    std::uint32_t inUse = count.load(std::memory_order_acquire);
+    while (inUse < limit) {
+        if (count.compare_exchange_weak(inUse, inUse + 1, std::memory_order_acq_rel))
             return true;
     }
     return false;
@@ -31,14 +31,14 @@
 {
     const std::lock_guard lock(m_mutex);
     while (!m_idle.empty()) {
-        std::unique_ptr<HttpConnection> kept = std::move(m_idle.back());
+        std::unique_ptr<HttpConnection> idle = std::move(m_idle.back());
         m_idle.pop_back();
         // A non-repeatable request gets a new connection, and the idle one is closed so that
         // connections never outnumber requests.
         if (!repeatable)
             break;
-        if (kept->isReusable())
-            return kept;
+        if (idle->isReusable())
+            return idle;
     }
     return std::make_unique<HttpConnection>(m_address);
 }
@@ -76,7 +76,7 @@
 void EndpointRegistry::onLeaving(const std::string& id)
 {
     const std::lock_guard lock(m_mutex);
-    m_leavingUntil[id] = currentInstant() + leavingFor;
+    m_leavingUntil[id] = currentInstant() + leavingDuration;
 }
 
 std::vector<std::string> EndpointRegistry::ejected(const std::vector<std::string>& members) const
--- a/src/serve/process/order_claims.cpp
+++ b/src/serve/process/order_claims.cpp
@@ -12,10 +12,10 @@
 
 constexpr std::array<std::string_view, 3> stateNames { "claimed", "ran", "not-run" };
 /// Attempts to read back a write whose answer was lost.
-constexpr int settleAttempts = 3;
+constexpr int readBackAttempts = 3;
 /// Max queued endings. Above it the oldest is dropped, which leaves its outcome unknown.
-constexpr std::size_t mostEndings = 10'000;
-constexpr Millis endingRetry { 1'000 };
+constexpr std::size_t maxEndings = 10'000;
+constexpr Millis endingRetryDelay { 1'000 };
 constexpr int endingAttempts = 5;
 
 /// \returns The store key of an order, hex-encoded so that any bytes are valid.
@@ -30,9 +30,9 @@
     return key;
 }
 
-std::optional<ClaimAttempt> settle(Store& store, const std::string& key, const std::string& claimant)
+std::optional<ClaimAttempt> readBackOutcome(Store& store, const std::string& key, const std::string& claimant)
 {
-    for (int attempt = 0; attempt < settleAttempts; ++attempt) {
+    for (int attempt = 0; attempt < readBackAttempts; ++attempt) {
         const std::optional<StoredValue> stored = store.get(key);
         if (!stored && store.lastFault() != StoreFault::NotFound)
             continue;
@@ -49,7 +49,7 @@
 }
 
 /// Claims the key of an order that did not run.
-ClaimAttempt claimAgain(Store& store, const std::string& key, const std::string& claimant)
+ClaimAttempt reclaim(Store& store, const std::string& key, const std::string& claimant)
 {
     const std::optional<StoredValue> stored = store.get(key);
     const std::optional<OrderClaim> found = stored ? decodeClaim(stored->body) : std::nullopt;
@@ -58,7 +58,7 @@
     const std::string body = encodeClaim({ .claimant = claimant });
     if (const std::optional<std::uint64_t> version = store.put(key, body, stored->version))
         return HeldClaim { .key = key, .version = *version, .claimant = claimant };
-    return settle(store, key, claimant).value_or(ClaimUnavailable {});
+    return readBackOutcome(store, key, claimant).value_or(ClaimUnavailable {});
 }
 
 } // namespace
@@ -95,10 +95,10 @@
         return HeldClaim { .key = key, .version = *version, .claimant = claimant };
     if (store.lastFault() == StoreFault::Unreachable)
         return ClaimUnavailable {};
-    ClaimAttempt found = settle(store, key, claimant).value_or(ClaimUnavailable {});
-    const auto* others = std::get_if<OrderClaim>(&found);
-    if (others && others->state == ClaimState::NotRun)
-        return claimAgain(store, key, claimant);
+    ClaimAttempt found = readBackOutcome(store, key, claimant).value_or(ClaimUnavailable {});
+    const auto* existing = std::get_if<OrderClaim>(&found);
+    if (existing && existing->state == ClaimState::NotRun)
+        return reclaim(store, key, claimant);
     return found;
 }
 
@@ -107,8 +107,8 @@
     , m_claimantPrefix(std::move(claimantPrefix))
     , m_claimsPerSecond(claimsPerSecond)
     , m_metrics(metrics)
-    , m_saved(claimsPerSecond)
-    , m_savedAt(currentInstant())
+    , m_rateTokens(claimsPerSecond)
+    , m_rateRefilledAt(currentInstant())
     , m_writer([this] { writeEndings(); })
 {
 }
@@ -123,20 +123,20 @@
     m_writer.join();
 }
 
-bool OrderClaims::takeRate()
+bool OrderClaims::consumeRateToken()
 {
     const std::lock_guard lock(m_mutex);
     const Instant now = currentInstant();
-    const double earned = std::chrono::duration<double>(now - m_savedAt).count() * m_claimsPerSecond;
-    m_saved = std::min<double>(m_claimsPerSecond, m_saved + std::max(0.0, earned));
-    m_savedAt = now;
-    if (m_saved < 1)
+    const double refilled = std::chrono::duration<double>(now - m_rateRefilledAt).count() * m_claimsPerSecond;
+    m_rateTokens = std::min<double>(m_claimsPerSecond, m_rateTokens + std::max(0.0, refilled));
+    m_rateRefilledAt = now;
+    if (m_rateTokens < 1)
         return false;
-    m_saved -= 1;
+    m_rateTokens -= 1;
     return true;
 }
 
-std::unique_ptr<Store> OrderClaims::takeStore()
+std::unique_ptr<Store> OrderClaims::acquireStore()
 {
     const std::lock_guard lock(m_mutex);
     if (m_idleStores.empty())
@@ -146,7 +146,7 @@
     return store;
 }
 
-void OrderClaims::keepStore(std::unique_ptr<Store> store)
+void OrderClaims::returnStore(std::unique_ptr<Store> store)
 {
     const std::lock_guard lock(m_mutex);
     m_idleStores.push_back(std::move(store));
@@ -154,16 +154,16 @@
 
 ClaimAttempt OrderClaims::claim(const std::string& team, const std::string& idempotencyKey)
 {
-    if (!takeRate())
+    if (!consumeRateToken())
         return ClaimUnavailable {};
     std::string claimant;
     {
         const std::lock_guard lock(m_mutex);
         claimant = m_claimantPrefix + '-' + std::to_string(++m_attempts);
     }
-    std::unique_ptr<Store> store = takeStore();
+    std::unique_ptr<Store> store = acquireStore();
     ClaimAttempt attempt = claimOrder(*store, team, idempotencyKey, claimant);
-    keepStore(std::move(store));
+    returnStore(std::move(store));
     m_metrics.count(EventCounter::StoreCalls);
     m_metrics.count(std::holds_alternative<HeldClaim>(attempt) ? EventCounter::ClaimsMade : EventCounter::ClaimsRefused);
     return attempt;
@@ -178,7 +178,7 @@
     ending.result.claimant = ending.claim.claimant;
     {
         const std::lock_guard lock(m_mutex);
-        if (m_endings.size() >= mostEndings)
+        if (m_endings.size() >= maxEndings)
             m_endings.pop_front();
         m_endings.push_back(std::move(ending));
     }
@@ -204,7 +204,7 @@
             lock.lock();
             if (settled || (m_stopping && attempt > 0))
                 break;
-            m_changed.wait_for(lock, endingRetry, [this] { return m_stopping; });
+            m_changed.wait_for(lock, endingRetryDelay, [this] { return m_stopping; });
         }
     }
 }
--- a/src/serve/process/peer_keys.cpp
+++ b/src/serve/process/peer_keys.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t keyBytes = 40; ///< In Z85 encoding.
 constexpr std::size_t binaryKeyBytes = 32;
-constexpr std::chrono::milliseconds stopCheck { 100 };
+constexpr std::chrono::milliseconds stopCheckInterval { 100 };
 constexpr const char* zapAddress = "inproc://zeromq.zap.01";
 /// Frame indices of a ZAP request: version, id, domain, address, identity, mechanism, key.
 constexpr std::size_t zapRequestId = 1;
@@ -49,7 +49,7 @@
     return ::close(descriptor) == 0 && written;
 }
 
-class PeerGatekeeper::Impl {
+class PeerAuthenticator::Impl {
 public:
     Impl(zmq::context_t& context, const std::string& publicKey)
         : m_socket(context, zmq::socket_type::rep)
@@ -75,7 +75,7 @@
     {
         while (!m_stopping) {
             zmq::pollitem_t item { m_socket.handle(), 0, ZMQ_POLLIN, 0 };
-            zmq::poll(&item, 1, stopCheck);
+            zmq::poll(&item, 1, stopCheckInterval);
             if ((item.revents & ZMQ_POLLIN) != 0)
                 answer();
         }
@@ -105,11 +105,11 @@
     std::thread m_thread;
 };
 
-PeerGatekeeper::PeerGatekeeper(zmq::context_t& context, const std::string& publicKey)
+PeerAuthenticator::PeerAuthenticator(zmq::context_t& context, const std::string& publicKey)
     : m_impl(std::make_unique<Impl>(context, publicKey))
 {
 }
 
-PeerGatekeeper::~PeerGatekeeper() = default;
+PeerAuthenticator::~PeerAuthenticator() = default;
 
 } // namespace lanemoor
--- a/src/serve/process/peer_link.cpp
+++ b/src/serve/process/peer_link.cpp
@@ -17,14 +17,14 @@
 namespace {
 
 constexpr Millis sendInterval { 500 };
-constexpr Millis heardFor { 3'000 };
+constexpr Millis reportValidity { 3'000 };
 /// A peer without messages for this long is removed, unless the settings name it.
-constexpr Millis forgottenAfter { 60'000 };
+constexpr Millis peerRemovalTimeout { 60'000 };
 /// A peer that lags for this long is sent the documents; normally it reads them from the store.
-constexpr Millis behindFor { 1'200 };
-constexpr int mostQueued = 16; ///< Max queued messages for one peer; further ones are dropped.
-constexpr std::size_t mostPeers = 64;
-constexpr std::size_t mostMessageBytes = 4 * 1024 * 1024;
+constexpr Millis lagTolerance { 1'200 };
+constexpr int maxQueuedMessages = 16; ///< Max queued messages for one peer; further ones are dropped.
+constexpr std::size_t maxPeers = 64;
+constexpr std::size_t maxMessageBytes = 4 * 1024 * 1024;
 
 /// Connection and last reported state of one peer.
 struct Peer {
@@ -35,8 +35,8 @@
     std::uint64_t sequence = 0;
     std::uint64_t configurationRevision = 0;
     std::uint64_t ledgerVersion = 0;
-    Instant heardAt;
-    Instant behindSince; ///< The clock's epoch if the peer doesn't lag.
+    Instant lastReportAt;
+    Instant laggingSince; ///< The clock's epoch if the peer doesn't lag.
     bool fromSettings = false;
 };
 
@@ -47,8 +47,8 @@
 
 bool isPeerAddress(const std::string& text)
 {
-    constexpr std::size_t mostAddressBytes = 64;
-    return text.rfind("tcp://", 0) == 0 && text.size() < mostAddressBytes && text.find('*') == std::string::npos;
+    constexpr std::size_t maxAddressBytes = 64;
+    return text.rfind("tcp://", 0) == 0 && text.size() < maxAddressBytes && text.find('*') == std::string::npos;
 }
 
 template <typename Strings>
@@ -67,7 +67,7 @@
         , m_incarnation(static_cast<std::uint64_t>(currentInstant().time_since_epoch().count()))
     {
         m_receiver.set(zmq::sockopt::linger, 0);
-        m_receiver.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(mostMessageBytes));
+        m_receiver.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(maxMessageBytes));
         const PeerListenSettings& listen = state.settings().peer;
         if (!listen.keyFile.empty())
             useKeys(listen.keyFile);
@@ -78,7 +78,7 @@
         }
         m_address = m_receiver.get(zmq::sockopt::last_endpoint);
         for (const PeerAddress& peer : state.settings().peers)
-            know(addressOf(peer), true);
+            addPeer(addressOf(peer), true);
     }
 
     [[nodiscard]] const std::string& address() const noexcept { return m_address; }
@@ -94,7 +94,7 @@
             if (currentInstant() < nextSend)
                 continue;
             nextSend = currentInstant() + sendInterval;
-            forgetSilent();
+            removeStalePeers();
             sendAll();
         }
     }
@@ -105,24 +105,24 @@
         m_keys = readPeerKeys(file);
         if (!m_keys)
             throw std::runtime_error("peer keys: " + file + " can't be read");
-        m_gatekeeper = std::make_unique<PeerGatekeeper>(m_context, m_keys->publicKey);
+        m_authenticator = std::make_unique<PeerAuthenticator>(m_context, m_keys->publicKey);
         m_receiver.set(zmq::sockopt::curve_server, true);
         m_receiver.set(zmq::sockopt::curve_secretkey, m_keys->secretKey);
         m_receiver.set(zmq::sockopt::zap_domain, "peers");
     }
 
-    void know(const std::string& address, bool fromSettings)
+    void addPeer(const std::string& address, bool fromSettings)
     {
-        const bool usable = isPeerAddress(address) && address != m_address && m_peers.size() < mostPeers;
+        const bool usable = isPeerAddress(address) && address != m_address && m_peers.size() < maxPeers;
         if (!usable || m_peers.contains(address))
             return;
         Peer peer;
         peer.address = address;
         peer.fromSettings = fromSettings;
-        peer.heardAt = currentInstant();
+        peer.lastReportAt = currentInstant();
         peer.socket = std::make_unique<zmq::socket_t>(m_context, zmq::socket_type::push);
         peer.socket->set(zmq::sockopt::linger, 0);
-        peer.socket->set(zmq::sockopt::sndhwm, mostQueued);
+        peer.socket->set(zmq::sockopt::sndhwm, maxQueuedMessages);
         if (m_keys) {
             peer.socket->set(zmq::sockopt::curve_serverkey, m_keys->publicKey);
             peer.socket->set(zmq::sockopt::curve_publickey, m_keys->publicKey);
@@ -137,16 +137,16 @@
         m_peers.emplace(address, std::move(peer));
     }
 
-    void forgetSilent()
+    void removeStalePeers()
     {
         const Instant now = currentInstant();
-        std::erase_if(m_peers, [&](const auto& known) { return !known.second.fromSettings && now >= known.second.heardAt + forgottenAfter; });
+        std::erase_if(m_peers, [&](const auto& known) { return !known.second.fromSettings && now >= known.second.lastReportAt + peerRemovalTimeout; });
         const auto isNamed = [](const auto& known) { return !known.second.name.empty(); };
-        const auto isHeard = [&](const auto& known) { return isNamed(known) && now < known.second.heardAt + heardFor; };
-        std::vector<PeerStanding> standings;
+        const auto isReporting = [&](const auto& known) { return isNamed(known) && now < known.second.lastReportAt + reportValidity; };
+        std::vector<PeerStatus> statuses;
         for (const auto& [address, peer] : m_peers)
-            standings.push_back({ .name = peer.name, .address = address, .configurationRevision = peer.configurationRevision, .ledgerVersion = peer.ledgerVersion, .heardAt = peer.heardAt });
-        m_state.setPeers(m_peers.size(), static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), isHeard)), std::move(standings));
+            statuses.push_back({ .name = peer.name, .address = address, .configurationRevision = peer.configurationRevision, .ledgerVersion = peer.ledgerVersion, .lastReportAt = peer.lastReportAt });
+        m_state.setPeers(m_peers.size(), static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), isReporting)), std::move(statuses));
     }
 
     [[nodiscard]] bool receiveOne()
@@ -164,7 +164,7 @@
 
     void accept(const wire::PeerState& state)
     {
-        know(state.peer_address(), false);
+        addPeer(state.peer_address(), false);
         const auto known = m_peers.find(state.peer_address());
         if (known == m_peers.end())
             return;
@@ -177,10 +177,10 @@
         peer.sequence = state.sequence();
         peer.configurationRevision = state.configuration_revision();
         peer.ledgerVersion = state.ledger_version();
-        peer.heardAt = currentInstant();
+        peer.lastReportAt = currentInstant();
         for (const std::string& address : state.known_peers())
-            know(address, false);
-        m_state.onPeerSigns(peer.name, setOf(state.failing_instances()), setOf(state.leaving_instances()));
+            addPeer(address, false);
+        m_state.onPeerReport(peer.name, setOf(state.failing_instances()), setOf(state.leaving_instances()));
         // Clocks may differ slightly; a time in the future is capped to now.
         m_state.onStoreReachedByPeer(std::min(Instant(Millis(state.store_reached_ms())), currentInstant()));
         if (state.has_configuration())
@@ -196,8 +196,8 @@
         state.set_incarnation(m_incarnation);
         state.set_sequence(++m_sequence);
         state.set_peer_address(m_address);
-        const KeptDocument configuration = m_state.configurationDocument();
-        const KeptDocument ledger = m_state.ledgerDocument();
+        const AcceptedDocument configuration = m_state.configurationDocument();
+        const AcceptedDocument ledger = m_state.ledgerDocument();
         state.set_configuration_revision(configuration.version);
         state.set_ledger_version(ledger.version);
         state.set_store_reached_ms(m_state.storeReachedByAnyAt().time_since_epoch().count());
@@ -207,26 +207,26 @@
         }
         for (const std::string& id : m_state.endpoints().failing())
             state.add_failing_instances(id);
-        for (const std::string& id : m_state.leavingFoundHere())
+        for (const std::string& id : m_state.locallyObservedLeaving())
             state.add_leaving_instances(id);
         for (auto& [address, peer] : m_peers)
             sendTo(peer, state, configuration, ledger);
     }
 
-    void sendTo(Peer& peer, wire::PeerState state, const KeptDocument& configuration, const KeptDocument& ledger)
+    void sendTo(Peer& peer, wire::PeerState state, const AcceptedDocument& configuration, const AcceptedDocument& ledger)
     {
         const Instant now = currentInstant();
-        const bool behind = !peer.name.empty() && (peer.configurationRevision < configuration.version || peer.ledgerVersion < ledger.version);
-        if (!behind)
-            peer.behindSince = Instant {};
-        else if (peer.behindSince == Instant {})
-            peer.behindSince = now;
-        const bool helped = behind && now >= peer.behindSince + behindFor;
-        if (helped && peer.configurationRevision < configuration.version) {
+        const bool isLagging = !peer.name.empty() && (peer.configurationRevision < configuration.version || peer.ledgerVersion < ledger.version);
+        if (!isLagging)
+            peer.laggingSince = Instant {};
+        else if (peer.laggingSince == Instant {})
+            peer.laggingSince = now;
+        const bool needsDocuments = isLagging && now >= peer.laggingSince + lagTolerance;
+        if (needsDocuments && peer.configurationRevision < configuration.version) {
             state.mutable_configuration()->set_version(configuration.version);
             state.mutable_configuration()->set_body(configuration.body);
         }
-        if (helped && peer.ledgerVersion < ledger.version) {
+        if (needsDocuments && peer.ledgerVersion < ledger.version) {
             state.mutable_ledger()->set_version(ledger.version);
             state.mutable_ledger()->set_body(ledger.body);
         }
@@ -240,7 +240,7 @@
     SharedState& m_state;
     zmq::context_t m_context;
     std::optional<PeerKeys> m_keys;
-    std::unique_ptr<PeerGatekeeper> m_gatekeeper;
+    std::unique_ptr<PeerAuthenticator> m_authenticator;
     zmq::socket_t m_receiver;
     std::string m_address;
     std::uint64_t m_incarnation;
--- a/src/serve/process/pool_gate.cpp
+++ b/src/serve/process/pool_gate.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 /// Interval at which a waiting request checks whether its caller has disconnected.
-constexpr Millis callerCheck { 50 };
+constexpr Millis callerCheckInterval { 50 };
 
 } // namespace
 
 PoolGate::PoolGate(std::uint32_t mostWaiting)
-    : m_mostWaiting(mostWaiting)
+    : m_maxWaiting(mostWaiting)
     , m_queue({ .slots = 0, .mostWaiting = mostWaiting })
 {
 }
 
-void PoolGate::startWaiting(Instant now)
+void PoolGate::admitWaiting(Instant now)
 {
     while (const std::optional<std::uint64_t> ticket = m_queue.start(now)) {
         Waiter& waiter = *m_waiters.at(*ticket);
@@ -38,10 +38,10 @@
     }
 }
 
-std::variant<std::uint64_t, AdmissionRefusal, CallerGone> PoolGate::enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor)
+std::variant<std::uint64_t, AdmissionRefusal, CallerDisconnected> PoolGate::enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor)
 {
     std::unique_lock lock(m_mutex);
-    m_queue.setLimits({ .slots = routes.slots, .mostWaiting = m_mostWaiting });
+    m_queue.setLimits({ .slots = routes.slots, .mostWaiting = m_maxWaiting });
     m_queue.setQuota(context.team, teamQuota);
     const std::uint64_t ticket = m_nextTicket++;
     const Ticket offered { .id = ticket, .requestClass = context.requestClass, .team = context.team, .deadline = context.deadline };
@@ -49,15 +49,15 @@
         return *refusal;
     Waiter waiter;
     m_waiters.emplace(ticket, &waiter);
-    startWaiting(currentInstant());
+    admitWaiting(currentInstant());
     while (!waiter.started && !waiter.refusal) {
-        waiter.changed.wait_until(lock, std::min<Instant>(context.deadline, currentInstant() + callerCheck));
+        waiter.changed.wait_until(lock, std::min<Instant>(context.deadline, currentInstant() + callerCheckInterval));
         if (!waiter.started && !waiter.refusal)
             expireWaiting(currentInstant());
         if (!waiter.started && !waiter.refusal && isClosedByPeer(descriptor)) {
             m_queue.cancel(ticket);
             m_waiters.erase(ticket);
-            return CallerGone {};
+            return CallerDisconnected {};
         }
     }
     m_waiters.erase(ticket);
@@ -66,7 +66,7 @@
     return ticket;
 }
 
-const Route* PoolGate::takeEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried)
+const Route* PoolGate::acquireEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried)
 {
     const std::vector<std::string> ejected = registry.ejected(routes.members);
     std::vector<EndpointCandidate> candidates;
@@ -88,7 +88,7 @@
     }
     while (const std::optional<std::size_t> chosen = chooseEndpoint(candidates, turn)) {
         const Route& route = routes.routes[*chosen];
-        if (route.endpoint->takeSlot(route.slots))
+        if (route.endpoint->acquireSlot(route.slots))
             return &route;
         candidates[*chosen].tried = true; // Another thread took the last slot.
     }
@@ -102,7 +102,7 @@
         m_queue.finish(ticket, currentInstant());
     else
         m_queue.cancel(ticket);
-    startWaiting(currentInstant());
+    admitWaiting(currentInstant());
 }
 
 } // namespace lanemoor
--- a/src/serve/process/readiness.cpp
+++ b/src/serve/process/readiness.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// A configuration change must be in force everywhere within this time.
-constexpr Millis freshFor = std::chrono::seconds(5);
+constexpr Millis maxStoreContactAge = std::chrono::seconds(5);
 
 } // namespace
 
@@ -16,9 +16,9 @@
         return "ready";
     case Readiness::NoConfiguration:
         return "no configuration was received yet";
-    case Readiness::NoSeat:
+    case Readiness::NoShard:
         return "no seat among the entry instances is free";
-    case Readiness::CutOff:
+    case Readiness::Partitioned:
         return "neither the store nor most other entry instances can be reached";
     case Readiness::Stopping:
         return "being stopped";
@@ -26,17 +26,17 @@
     return "unknown";
 }
 
-Readiness judgeReadiness(const StandingFacts& facts, Instant now) noexcept
+Readiness evaluateReadiness(const ReadinessInputs& inputs, Instant now) noexcept
 {
-    if (facts.stopping)
+    if (inputs.stopping)
         return Readiness::Stopping;
-    if (facts.configurationRevision == 0)
+    if (inputs.configurationRevision == 0)
         return Readiness::NoConfiguration;
-    if (!facts.hasSeat)
-        return Readiness::NoSeat;
-    const bool storeFresh = now < facts.storeReachedAt + freshFor;
-    const bool hearsMost = 2 * (facts.peersHeard + 1) > facts.peersKnown + 1;
-    return storeFresh || hearsMost ? Readiness::Ready : Readiness::CutOff;
+    if (!inputs.hasShard)
+        return Readiness::NoShard;
+    const bool isStoreReachable = now < inputs.storeReachedAt + maxStoreContactAge;
+    const bool reachesMajority = 2 * (inputs.peersReporting + 1) > inputs.peersKnown + 1;
+    return isStoreReachable || reachesMajority ? Readiness::Ready : Readiness::Partitioned;
 }
 
 } // namespace lanemoor
--- a/src/serve/process/reports.cpp
+++ b/src/serve/process/reports.cpp
@@ -113,19 +113,19 @@
     std::map<std::string_view, std::uint32_t> members = membersByPool(view);
     Json json { { "pools", Json::array() }, { "spare", members[{}] } };
     for (std::size_t pool = 0; pool < all.size(); ++pool) {
-        const PoolStanding& standing = all[pool];
+        const PoolStanding& poolStatus = all[pool];
         Json one {
-            { "name", standing.pool },
-            { "members", members[standing.pool] },
+            { "name", poolStatus.pool },
+            { "members", members[poolStatus.pool] },
             { "target", index.size(pool).target },
-            { "inService", standing.inService },
-            { "minimum", standing.minimum },
-            { "slack", standing.slack },
-            { "granted", standing.granted },
+            { "inService", poolStatus.inService },
+            { "minimum", poolStatus.minimum },
+            { "slack", poolStatus.slack },
+            { "granted", poolStatus.granted },
             { "conditions", Json::array() },
         };
         for (const PoolCondition& condition : plan.conditions) {
-            if (condition.pool == standing.pool)
+            if (condition.pool == poolStatus.pool)
                 one["conditions"].push_back({ { "text", describe(condition.code) }, { "instances", condition.instances } });
         }
         json["pools"].push_back(std::move(one));
@@ -160,25 +160,25 @@
 std::string reportStatus(const SharedState& state)
 {
     const std::shared_ptr<const Snapshot> snapshot = state.snapshot();
-    const Seat seat = state.seat();
+    const EntryShard shard = state.shard();
     Json json {
         { "entry", state.settings().name },
         { "dataHall", state.settings().dataHall },
         { "readiness", describe(state.readiness()) },
-        { "seat", seat.seats > 0 ? Json(seat.number) : Json() },
+        { "seat", shard.seats > 0 ? Json(shard.number) : Json() },
         { "configurationRevision", snapshot->configuration->revision },
         { "ledgerVersion", snapshot->ledger->version },
         { "storeReachedAt", formatInstant(state.storeReachedAt()) },
         { "listReadAt", formatInstant(state.listReadAt()) },
         { "peers", Json::array() },
     };
-    for (const PeerStanding& peer : state.peers()) {
+    for (const PeerStatus& peer : state.peers()) {
         json["peers"].push_back({
             { "name", peer.name },
             { "address", peer.address },
             { "configurationRevision", peer.configurationRevision },
             { "ledgerVersion", peer.ledgerVersion },
-            { "heardAt", peer.name.empty() ? Json() : Json(formatInstant(peer.heardAt)) },
+            { "heardAt", peer.name.empty() ? Json() : Json(formatInstant(peer.lastReportAt)) },
         });
     }
     return json.dump(indent);
--- a/src/serve/process/shared_state.cpp
+++ b/src/serve/process/shared_state.cpp
@@ -62,7 +62,7 @@
     refreshObservations();
 }
 
-void SharedState::onPeerSigns(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving)
+void SharedState::onPeerReport(const std::string& peer, std::set<std::string> failing, std::set<std::string> leaving)
 {
     const std::lock_guard lock(m_mutex);
     m_merger.onSigns(peer, std::move(failing), std::move(leaving), currentInstant());
@@ -81,28 +81,28 @@
     publishRoutes();
 }
 
-void SharedState::setSeat(Seat seat)
+void SharedState::setShard(EntryShard shard)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_seat == seat)
+    if (m_shard == shard)
         return;
-    m_seat = seat;
+    m_shard = shard;
     publishRoutes();
 }
 
-Seat SharedState::seat() const
+EntryShard SharedState::shard() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_seat;
+    return m_shard;
 }
 
-KeptDocument SharedState::configurationDocument() const
+AcceptedDocument SharedState::configurationDocument() const
 {
     const std::lock_guard lock(m_mutex);
     return m_configuration;
 }
 
-KeptDocument SharedState::ledgerDocument() const
+AcceptedDocument SharedState::ledgerDocument() const
 {
     const std::lock_guard lock(m_mutex);
     return m_ledger;
@@ -119,21 +119,21 @@
     return std::max(storeReachedAt(), m_storeReachedByPeerAt.load(std::memory_order_acquire));
 }
 
-void SharedState::setPeers(std::size_t known, std::size_t heard, std::vector<PeerStanding> standings)
+void SharedState::setPeers(std::size_t known, std::size_t reporting, std::vector<PeerStatus> statuses)
 {
     m_peersKnown.store(known, std::memory_order_release);
-    m_peersHeard.store(heard, std::memory_order_release);
+    m_peersReporting.store(reporting, std::memory_order_release);
     const std::lock_guard lock(m_mutex);
-    m_peers = std::move(standings);
+    m_peers = std::move(statuses);
 }
 
-std::vector<PeerStanding> SharedState::peers() const
+std::vector<PeerStatus> SharedState::peers() const
 {
     const std::lock_guard lock(m_mutex);
     return m_peers;
 }
 
-std::set<std::string> SharedState::leavingFoundHere() const
+std::set<std::string> SharedState::locallyObservedLeaving() const
 {
     std::set<std::string> leaving = m_endpoints.leaving();
     const std::lock_guard lock(m_mutex);
@@ -143,15 +143,15 @@
 
 Readiness SharedState::readiness() const
 {
-    const StandingFacts facts {
+    const ReadinessInputs inputs {
         .configurationRevision = snapshot()->configuration->revision,
-        .hasSeat = seat().seats > 0,
+        .hasShard = shard().seats > 0,
         .stopping = isStopping(),
         .storeReachedAt = storeReachedAt(),
         .peersKnown = m_peersKnown.load(std::memory_order_acquire),
-        .peersHeard = m_peersHeard.load(std::memory_order_acquire),
+        .peersReporting = m_peersReporting.load(std::memory_order_acquire),
     };
-    return judgeReadiness(facts, currentInstant());
+    return evaluateReadiness(inputs, currentInstant());
 }
 
 void SharedState::stop()
@@ -176,7 +176,7 @@
 
 void SharedState::publishRoutes()
 {
-    m_routes.store(std::make_shared<const RoutingTable>(*m_snapshots.load(), m_seat, m_endpoints), std::memory_order_release);
+    m_routes.store(std::make_shared<const RoutingTable>(*m_snapshots.load(), m_shard, m_endpoints), std::memory_order_release);
 }
 
 } // namespace lanemoor
--- a/src/serve/request/answer_relay.cpp
+++ b/src/serve/request/answer_relay.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Answers up to this size are buffered and sent as a whole.
-constexpr std::uint64_t mostKeptBytes = 64 * 1024;
+constexpr std::uint64_t maxBufferedBytes = 64 * 1024;
 
 HttpHeaders headersForCaller(const HttpHeaders& headers, const std::string& entry)
 {
@@ -40,8 +40,8 @@
     m_response.headers = headersForCaller(head.headers, m_entry);
     const std::optional<std::string_view> length = head.headers.find("Content-Length");
     const std::optional<std::uint64_t> bytes = length ? parseDecimal(*length) : std::nullopt;
-    const bool kept = m_notRun || head.status == 204 || head.status == 304 || (bytes && *bytes <= mostKeptBytes);
-    if (kept)
+    const bool isBuffered = m_notRun || head.status == 204 || head.status == 304 || (bytes && *bytes <= maxBufferedBytes);
+    if (isBuffered)
         return true;
     m_streaming = true;
     return m_exchange.beginStream({ m_response.status, m_response.headers });
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int mostAttempts = 3;
-constexpr Millis comeBackSoon { 1'000 };
+constexpr int maxAttempts = 3;
+constexpr Millis defaultRetryDelay { 1'000 };
 constexpr std::string_view healthPath = "/healthz";
 constexpr std::string_view readyPath = "/readyz";
 
@@ -43,7 +43,7 @@
 };
 
 /// The result of sending a request.
-struct Sending {
+struct SendResult {
     RequestOutcome outcome = RequestOutcome::NotRun;
     std::optional<RequestRefusal> refusal; ///< Nothing if the answer was forwarded.
     unsigned status = 0; ///< HTTP status from the endpoint.
@@ -51,9 +51,9 @@
 };
 
 /// \returns The outcome of a request after an exchange without a complete answer.
-RequestOutcome outcomeOf(const ExchangeResult& result, bool saysNotRun) noexcept
+RequestOutcome outcomeOf(const ExchangeResult& result, bool reportsNotRun) noexcept
 {
-    return !result.anySent || saysNotRun ? RequestOutcome::NotRun : RequestOutcome::Unknown;
+    return !result.anySent || reportsNotRun ? RequestOutcome::NotRun : RequestOutcome::Unknown;
 }
 
 double secondsSince(Instant instant) noexcept
@@ -111,7 +111,7 @@
         const Team* team = snapshot->configuration->findTeam(context.team);
         RequestMeasure measure { .requestClass = context.requestClass, .team = team ? team->name : std::string() };
         if (const std::optional<RequestRefusal> refusal = refuseEarly(context, routes)) {
-            finish(exchange, context, measure, { .refusal = refusal }, currentInstant() + comeBackSoon);
+            finish(exchange, context, measure, { .refusal = refusal }, currentInstant() + defaultRetryDelay);
             return;
         }
         if (context.requestClass == RequestClass::Listener)
@@ -139,10 +139,10 @@
     /// A team's quota applies to all entry instances together; each shard has a share of at least one.
     [[nodiscard]] std::uint32_t quotaShare(const Team* team) const
     {
-        const Seat seat = m_state.seat();
-        if (!team || seat.seats == 0)
+        const EntryShard shard = m_state.shard();
+        if (!team || shard.seats == 0)
             return 0;
-        return std::max<std::uint32_t>(1, shareOfSeat(team->name, team->quota, seat.number, seat.seats));
+        return std::max<std::uint32_t>(1, shareOfSeat(team->name, team->quota, shard.number, shard.seats));
     }
 
     void serveQueued(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, std::uint32_t quota, RequestMeasure& measure)
@@ -150,7 +150,7 @@
         PoolGate& gate = gateOf(context.pool);
         const auto entered = gate.enter(context, routes, quota, exchange.descriptor());
         measure.waitedSeconds = secondsSince(context.arrivedAt);
-        if (std::holds_alternative<CallerGone>(entered)) {
+        if (std::holds_alternative<CallerDisconnected>(entered)) {
             m_state.metrics().onRequest(measure);
             return;
         }
@@ -158,41 +158,41 @@
             finish(exchange, context, measure, { .refusal = refusal->reason }, refusal->retryAt);
             return;
         }
-        const Sending sending = context.idempotencyKey.empty() ? send(exchange, context, routes, gate) : sendOrder(exchange, context, routes, gate);
-        gate.leave(std::get<std::uint64_t>(entered), sending.outcome == RequestOutcome::Ran);
-        finish(exchange, context, measure, sending, currentInstant() + comeBackSoon);
+        const SendResult sendResult = context.idempotencyKey.empty() ? send(exchange, context, routes, gate) : sendOrder(exchange, context, routes, gate);
+        gate.leave(std::get<std::uint64_t>(entered), sendResult.outcome == RequestOutcome::Ran);
+        finish(exchange, context, measure, sendResult, currentInstant() + defaultRetryDelay);
     }
 
-    Sending sendOrder(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, PoolGate& gate)
+    SendResult sendOrder(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, PoolGate& gate)
     {
         ClaimAttempt attempt = m_claims.claim(context.team, context.idempotencyKey);
         if (std::holds_alternative<ClaimUnavailable>(attempt))
             return { .refusal = RequestRefusal::StoreAway };
-        if (const auto* others = std::get_if<OrderClaim>(&attempt)) {
-            const RequestOutcome outcome = others->state == ClaimState::Ran ? RequestOutcome::Ran : RequestOutcome::Unknown;
-            return { .outcome = outcome, .refusal = RequestRefusal::AlreadyAccepted, .status = others->status };
+        if (const auto* existing = std::get_if<OrderClaim>(&attempt)) {
+            const RequestOutcome outcome = existing->state == ClaimState::Ran ? RequestOutcome::Ran : RequestOutcome::Unknown;
+            return { .outcome = outcome, .refusal = RequestRefusal::AlreadyAccepted, .status = existing->status };
         }
-        Sending sending = send(exchange, context, routes, gate);
-        m_claims.end(std::move(std::get<HeldClaim>(attempt)), sending.outcome, sending.status);
-        return sending;
+        SendResult sendResult = send(exchange, context, routes, gate);
+        m_claims.end(std::move(std::get<HeldClaim>(attempt)), sendResult.outcome, sendResult.status);
+        return sendResult;
     }
 
     /// Sends a request, and retries on other endpoints as long as that is safe.
-    Sending send(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, PoolGate& gate)
+    SendResult send(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, PoolGate& gate)
     {
         TriedEndpoints tried;
-        Sending last { .refusal = RequestRefusal::NoEndpoint };
+        SendResult last { .refusal = RequestRefusal::NoEndpoint };
         m_retries.onFirstAttempt();
-        for (int attempt = 0; attempt < mostAttempts; ++attempt) {
+        for (int attempt = 0; attempt < maxAttempts; ++attempt) {
             if (attempt > 0 && !m_retries.take())
                 break;
-            const Route* route = gate.takeEndpoint(routes, m_state.endpoints(), tried);
+            const Route* route = gate.acquireEndpoint(routes, m_state.endpoints(), tried);
             if (!route)
                 break;
             if (attempt > 0)
                 m_state.metrics().count(EventCounter::Retries);
             last = sendTo(exchange, context, *route);
-            route->endpoint->giveSlot();
+            route->endpoint->releaseSlot();
             tried.endpoints.insert(route->endpoint->id());
             tried.racks.insert(route->rack);
             const bool mayRepeat = last.outcome == RequestOutcome::NotRun || context.repeatable;
@@ -202,27 +202,27 @@
         return last;
     }
 
-    Sending sendTo(HttpExchange& exchange, const RequestContext& context, const Route& route)
+    SendResult sendTo(HttpExchange& exchange, const RequestContext& context, const Route& route)
     {
         Endpoint& endpoint = *route.endpoint;
         std::unique_ptr<HttpConnection> connection = endpoint.connection(context.repeatable);
         AnswerRelay relay(exchange, m_state.settings().name);
         const ExchangeOptions options { context.deadline, exchange.descriptor() };
         const ExchangeResult result = connection->exchange(requestForEndpoint(exchange.request(), context), relay, options);
-        if (relay.saysNotRun()) {
+        if (relay.reportsNotRun()) {
             m_state.endpoints().onLeaving(endpoint.id());
             return { .outcome = RequestOutcome::NotRun, .refusal = RequestRefusal::NoEndpoint };
         }
         if (result.fault == ExchangeFault::None) {
-            learn(endpoint, relay.status());
+            recordStatus(endpoint, relay.status());
             endpoint.keep(std::move(connection));
             relay.complete();
             return { .outcome = RequestOutcome::Ran, .status = relay.status(), .answered = true };
         }
-        return failed(endpoint, result, relay);
+        return recordFailure(endpoint, result, relay);
     }
 
-    void learn(Endpoint& endpoint, unsigned status)
+    void recordStatus(Endpoint& endpoint, unsigned status)
     {
         constexpr unsigned firstServerError = 500;
         if (status >= firstServerError)
@@ -231,38 +231,38 @@
             m_state.endpoints().onSuccess(endpoint.id());
     }
 
-    Sending failed(Endpoint& endpoint, const ExchangeResult& result, const AnswerRelay& relay)
+    SendResult recordFailure(Endpoint& endpoint, const ExchangeResult& result, const AnswerRelay& relay)
     {
-        Sending sending { .outcome = outcomeOf(result, false), .refusal = RequestRefusal::EndpointFailed };
-        sending.answered = relay.isStreaming() || result.fault == ExchangeFault::Abandoned;
+        SendResult sendResult { .outcome = outcomeOf(result, false), .refusal = RequestRefusal::EndpointFailed };
+        sendResult.answered = relay.isStreaming() || result.fault == ExchangeFault::Abandoned;
         if (result.fault == ExchangeFault::AnswerCut)
-            sending.refusal = RequestRefusal::AnswerCut;
+            sendResult.refusal = RequestRefusal::AnswerCut;
         if (result.fault == ExchangeFault::DeadlinePassed)
-            sending.refusal = RequestRefusal::DeadlinePassed;
+            sendResult.refusal = RequestRefusal::DeadlinePassed;
         if (result.fault != ExchangeFault::Abandoned && result.fault != ExchangeFault::DeadlinePassed)
             m_state.endpoints().onFailure(endpoint.id());
-        return sending;
+        return sendResult;
     }
 
     void serveListener(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, RequestMeasure& measure)
     {
         if (m_listeners.fetch_add(1) >= m_state.settings().mostListeners) {
             --m_listeners;
-            finish(exchange, context, measure, { .refusal = RequestRefusal::QueueFull }, currentInstant() + comeBackSoon);
+            finish(exchange, context, measure, { .refusal = RequestRefusal::QueueFull }, currentInstant() + defaultRetryDelay);
             return;
         }
         m_state.metrics().set(StateGauge::Listeners, m_listeners.load());
-        Sending sending { .refusal = RequestRefusal::NoEndpoint };
-        if (const Route* route = takeListenerRoute(routes)) {
-            sending = sendTo(exchange, context, *route);
-            route->endpoint->giveListener();
+        SendResult sendResult { .refusal = RequestRefusal::NoEndpoint };
+        if (const Route* route = acquireListenerRoute(routes)) {
+            sendResult = sendTo(exchange, context, *route);
+            route->endpoint->releaseListener();
         }
         m_state.metrics().set(StateGauge::Listeners, --m_listeners);
-        finish(exchange, context, measure, sending, currentInstant() + comeBackSoon);
+        finish(exchange, context, measure, sendResult, currentInstant() + defaultRetryDelay);
     }
 
     /// Acquires a listener slot of the endpoint with the fewest listeners.
-    const Route* takeListenerRoute(const PoolRoutes& routes)
+    const Route* acquireListenerRoute(const PoolRoutes& routes)
     {
         const std::vector<std::string> ejected = m_state.endpoints().ejected(routes.members);
         const Route* best = nullptr;
@@ -271,18 +271,18 @@
             if (!out && (!best || route.endpoint->listeners() < best->endpoint->listeners()))
                 best = &route;
         }
-        return best && best->endpoint->takeListener(best->listeners) ? best : nullptr;
+        return best && best->endpoint->acquireListener(best->listeners) ? best : nullptr;
     }
 
     /// Answers the caller if it has no final answer yet, and records the request's metrics.
-    void finish(HttpExchange& exchange, const RequestContext& context, RequestMeasure& measure, const Sending& sending, Instant retryAt)
+    void finish(HttpExchange& exchange, const RequestContext& context, RequestMeasure& measure, const SendResult& sendResult, Instant retryAt)
     {
-        if (!sending.answered) {
-            const Problem problem { .refusal = sending.refusal.value_or(RequestRefusal::EndpointFailed), .outcome = sending.outcome, .entry = m_state.settings().name, .retryAt = retryAt, .endpointStatus = sending.status };
+        if (!sendResult.answered) {
+            const Problem problem { .refusal = sendResult.refusal.value_or(RequestRefusal::EndpointFailed), .outcome = sendResult.outcome, .entry = m_state.settings().name, .retryAt = retryAt, .endpointStatus = sendResult.status };
             exchange.respond(problemOf(problem));
         }
-        measure.outcome = sending.outcome;
-        measure.refusal = sending.refusal;
+        measure.outcome = sendResult.outcome;
+        measure.refusal = sendResult.refusal;
         measure.seconds = secondsSince(context.arrivedAt);
         m_state.metrics().onRequest(measure);
     }
--- a/src/serve/request/problem.cpp
+++ b/src/serve/request/problem.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool comingBackHelps(RequestRefusal refusal, RequestOutcome outcome) noexcept
+bool canRetrySucceed(RequestRefusal refusal, RequestOutcome outcome) noexcept
 {
     if (outcome != RequestOutcome::NotRun)
         return false;
@@ -57,7 +57,7 @@
     response.headers.add("Content-Type", "application/problem+json");
     response.headers.add(std::string(outcomeHeader), std::string(nameOf(problem.outcome)));
     response.headers.add(std::string(entryHeader), problem.entry);
-    if (comingBackHelps(problem.refusal, problem.outcome))
+    if (canRetrySucceed(problem.refusal, problem.outcome))
         response.headers.add("Retry-After", secondsUntil(problem.retryAt));
     nlohmann::json body {
         { "type", "/problems/" + std::string(nameOf(problem.refusal)) },
--- a/src/serve/request/request_context.cpp
+++ b/src/serve/request/request_context.cpp
@@ -11,7 +11,7 @@
 
 constexpr Millis listenerDeadline = std::chrono::hours(24);
 constexpr Millis batchDeadline = std::chrono::hours(1);
-constexpr std::size_t mostKeyBytes = 255;
+constexpr std::size_t maxKeyBytes = 255;
 
 constexpr std::array<std::string_view, 10> hopByHopHeaders {
     "Connection",
@@ -65,7 +65,7 @@
     context.team = std::string(request.headers.find(teamHeader).value_or(std::string_view()));
 
     const std::optional<std::string_view> key = request.headers.find(idempotencyHeader);
-    if (key && (key->empty() || key->size() > mostKeyBytes || request.headers.count(idempotencyHeader) > 1))
+    if (key && (key->empty() || key->size() > maxKeyBytes || request.headers.count(idempotencyHeader) > 1))
         return BadRequestHeader { idempotencyHeader };
     context.idempotencyKey = std::string(key.value_or(std::string_view()));
 
--- a/src/serve/version/routing_table.cpp
+++ b/src/serve/version/routing_table.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-Route routeTo(const Instance& instance, Seat seat, EndpointRegistry& registry)
+Route routeTo(const Instance& instance, EntryShard shard, EndpointRegistry& registry)
 {
-    const std::uint32_t slots = shareOfSeat(instance.id, instance.slots, seat.number, seat.seats);
-    const std::uint32_t connections = shareOfSeat(instance.id, instance.connections, seat.number, seat.seats);
+    const std::uint32_t slots = shareOfSeat(instance.id, instance.slots, shard.number, shard.seats);
+    const std::uint32_t connections = shareOfSeat(instance.id, instance.connections, shard.number, shard.seats);
     return {
         .endpoint = registry.at(instance.id, { instance.address, instance.port }),
         .rack = instance.rack,
@@ -22,7 +22,7 @@
 
 } // namespace
 
-RoutingTable::RoutingTable(const Snapshot& snapshot, Seat seat, EndpointRegistry& registry)
+RoutingTable::RoutingTable(const Snapshot& snapshot, EntryShard shard, EndpointRegistry& registry)
 {
     for (const Pool& pool : snapshot.configuration->pools)
         m_pools.push_back({ .pool = pool.name });
@@ -33,7 +33,7 @@
         if (!pool || !instance || instance->state != InstanceState::Live || instance->drained || entry.grant)
             continue;
         PoolRoutes& routes = m_pools[static_cast<std::size_t>(pool - m_pools.data())];
-        routes.routes.push_back(routeTo(*instance, seat, registry));
+        routes.routes.push_back(routeTo(*instance, shard, registry));
         routes.members.push_back(instance->id);
         routes.slots += routes.routes.back().slots;
     }
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -67,7 +67,7 @@
     HttpServerOptions options;
     options.port = static_cast<std::uint16_t>(count > 2 ? std::atoi(arguments[2]) : 0);
     options.mostThreads = mostThreads;
-    options.mostBodyBytes = 2 * 1024 * 1024;
+    options.maxBodyBytes = 2 * 1024 * 1024;
     const HttpServer server(options, handler);
     std::cout << "listening " << server.port() << std::endl;
     std::cin.ignore(std::numeric_limits<std::streamsize>::max());
--- a/tests/process/answer_test.cpp
+++ b/tests/process/answer_test.cpp
@@ -12,7 +12,7 @@
 using namespace lanemoor;
 using namespace lanemoor::test;
 
-TEST_CASE("every caller gets the answer to its own request, whatever the others do")
+TEST_CASE("every caller gets the answer to its own request while other callers run concurrently")
 {
     SmallCluster cluster(2, 3);
     std::atomic<int> wrong { 0 };
@@ -38,7 +38,7 @@
     CHECK(right == 8 * 20);
 }
 
-TEST_CASE("pipelined requests are answered each with its own answer")
+TEST_CASE("each pipelined request gets its own answer")
 {
     SmallCluster cluster(1, 2, 1);
     RawSocket socket(cluster.front("a"));
@@ -54,7 +54,7 @@
     CHECK(first < second);
 }
 
-TEST_CASE("a caller can tell that its answer was cut")
+TEST_CASE("a caller detects that its answer was truncated")
 {
     SmallCluster cluster(1, 2, 1);
     const Answer answer = ask(cluster.front("a"), requestOf("GET", "/counter/cut"));
@@ -70,7 +70,7 @@
     CHECK_FALSE(answer.response.headers.find("Retry-After"));
 }
 
-TEST_CASE("with every endpoint killed a request is not run, and told so with a time to come back")
+TEST_CASE("with every endpoint killed a request is answered as not run with a Retry-After")
 {
     SmallCluster cluster(1, 2, 1);
     for (const char* id : { "w0", "w1" }) {
@@ -83,7 +83,7 @@
     CHECK(answer.response.headers.find("Retry-After"));
 }
 
-TEST_CASE("a repeatable request survives the death of the endpoint it was sent to")
+TEST_CASE("a repeatable request succeeds after the endpoint it was sent to crashes")
 {
     SmallCluster cluster(1, 3, 1);
     std::atomic<int> good { 0 };
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -52,7 +52,7 @@
     CHECK(eventually([&] { return allAt(cluster, 2); }));
 }
 
-TEST_CASE("with the store away no change is accepted, and a new entry learns the newest from its peers")
+TEST_CASE("with the store unavailable no change is accepted, and a new entry gets the latest configuration from its peers")
 {
     SmallCluster cluster(2, 2, 1);
     REQUIRE(change(cluster, "b", 0, "\"1\"").response.status == 200);
@@ -70,7 +70,7 @@
     CHECK(allAt(cluster, 2));
 }
 
-TEST_CASE("the command line applies, refuses and tells")
+TEST_CASE("the command line applies, refuses and explains configurations")
 {
     SmallCluster cluster(1, 2, 1);
     const std::string entry = "127.0.0.1:" + std::to_string(cluster.entry("a").operators.port);
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -68,7 +68,7 @@
     checkWaveEnds(cluster, other);
 }
 
-TEST_CASE("a holder that is frozen past its lease and woken does not act beside its successor")
+TEST_CASE("a holder that is paused past its lease and resumed does not act concurrently with its successor")
 {
     SmallCluster cluster(3, 5, 3);
     const std::string holder = holderOf(cluster);
@@ -83,7 +83,7 @@
     CHECK(eventually([&] { return metric(cluster, holder, "lanemoor_holds_control") == "0"; }));
 }
 
-TEST_CASE("entries with keys hear each other, and one without the keys is not heard")
+TEST_CASE("entries with the same keys exchange messages, and one with other keys is rejected")
 {
     Cluster cluster({ .buildFolder = LANEMOOR_BUILD_FOLDER, .secure = true });
     cluster.addWorker({ .id = "w0", .dataHall = "h", .rack = "r", .service = "counter" });
--- a/tests/process/hostile_test.cpp
+++ b/tests/process/hostile_test.cpp
@@ -52,7 +52,7 @@
     CHECK(ask(cluster.front("a"), requestOf("GET", "/counter/check")).response.status == 200);
 }
 
-TEST_CASE("a body that trickles in is given up on")
+TEST_CASE("a body that arrives too slowly times out")
 {
     SmallCluster cluster(1, 2, 1);
     const RawSocket socket(cluster.front("a"));
--- a/tests/process/order_test.cpp
+++ b/tests/process/order_test.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-TEST_CASE("an order asked again is told that it ran, with its status")
+TEST_CASE("a repeated order is refused with the outcome ran and the status of the endpoint")
 {
     SmallCluster cluster(2, 2, 1);
     REQUIRE(order(cluster, "a", "k").response.status == 200);
@@ -48,7 +48,7 @@
     CHECK(cluster.runsOf("k") == 1);
 }
 
-TEST_CASE("an order is claimed though the store's answer is lost after the write took effect")
+TEST_CASE("an order is claimed when the store's answer is lost after the write took effect")
 {
     SmallCluster cluster(1, 2, 1);
     cluster.setFaults(R"({"answersToLose":1})");
@@ -57,7 +57,7 @@
     CHECK(cluster.runsOf("lost") == 1);
 }
 
-TEST_CASE("with the store away an order is not run and told so, and checks go on")
+TEST_CASE("with the store unavailable an order is answered as not run, and checks still succeed")
 {
     SmallCluster cluster(2, 2, 1);
     cluster.setFaults(R"({"storeAway":true})");
@@ -72,7 +72,7 @@
     CHECK(cluster.runsOf("away") == 1);
 }
 
-TEST_CASE("an order whose endpoint did not take it may be asked again")
+TEST_CASE("an order that its endpoint refused may be sent again")
 {
     SmallCluster cluster(1, 2, 1);
     for (const char* id : { "w0", "w1" })
@@ -97,7 +97,7 @@
     CHECK(cluster.runsOf("killed") == 1);
 }
 
-TEST_CASE("an order whose entry is frozen and woken runs once")
+TEST_CASE("an order whose entry is paused and resumed runs once")
 {
     SmallCluster cluster(2, 2, 1);
     std::thread caller([&] { static_cast<void>(order(cluster, "a", "frozen", "?ms=300")); });
--- a/tests/process/stop_test.cpp
+++ b/tests/process/stop_test.cpp
@@ -10,7 +10,7 @@
 using namespace lanemoor;
 using namespace lanemoor::test;
 
-TEST_CASE("a planned stop of two entries at once cuts no check, listener or batch")
+TEST_CASE("a planned stop of two entries at once interrupts no check, listener or batch")
 {
     SmallCluster cluster(3, 3);
     std::vector<std::thread> callers;
@@ -44,7 +44,7 @@
     CHECK(ask(cluster.front("c"), requestOf("GET", "/counter/check")).response.status == 200);
 }
 
-TEST_CASE("a stopping entry tells the balancer and refuses new work truthfully")
+TEST_CASE("a stopping entry reports itself unready and refuses new work as not run")
 {
     SmallCluster cluster(2, 2, 1);
     Answer held;
@@ -83,7 +83,7 @@
     CHECK(eventually([&] { return cluster.poolHas("counter", 4); }));
 }
 
-TEST_CASE("an endpoint that says itself that it leaves gets no new work, with store and list away")
+TEST_CASE("an endpoint that reports that it is leaving gets no new work while the store and the list are unavailable")
 {
     SmallCluster cluster(2, 2, 1);
     cluster.setFaults(R"({"storeAway":true,"listAway":true})");
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds conditionCheck { 20 };
-constexpr std::size_t mostAnswerBytes = 64 * 1024 * 1024;
+constexpr std::chrono::milliseconds conditionCheckInterval { 20 };
+constexpr std::size_t maxAnswerBytes = 64 * 1024 * 1024;
 const std::string loopback = "127.0.0.1";
 
 /// Reads the port of a stand-in from its output line `listening PORT`.
@@ -36,7 +36,7 @@
 Answer ask(const HttpAddress& address, const HttpRequest& request, std::chrono::milliseconds limit)
 {
     HttpConnection connection(address);
-    BufferSink sink(mostAnswerBytes);
+    BufferSink sink(maxAnswerBytes);
     Answer answer;
     answer.result = connection.exchange(request, sink, { std::chrono::system_clock::now() + limit });
     answer.response = sink.response();
@@ -59,7 +59,7 @@
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= deadline)
             return false;
-        std::this_thread::sleep_for(conditionCheck);
+        std::this_thread::sleep_for(conditionCheckInterval);
     }
     return true;
 }
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds exitCheck { 10 };
+constexpr std::chrono::milliseconds exitCheckInterval { 10 };
 
 std::array<int, 2> makePipe()
 {
@@ -109,7 +109,7 @@
         }
         if (std::chrono::steady_clock::now() >= deadline)
             break;
-        std::this_thread::sleep_for(exitCheck);
+        std::this_thread::sleep_for(exitCheckInterval);
     }
     return m_exitCode;
 }
--- a/tests/support/raw_socket.cpp
+++ b/tests/support/raw_socket.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr timeval readLimit { 20, 0 };
+constexpr timeval receiveTimeout { 20, 0 };
 
 } // namespace
 
@@ -23,7 +23,7 @@
     target.sin_family = AF_INET;
     target.sin_port = htons(address.port);
     ::inet_pton(AF_INET, address.ip.c_str(), &target.sin_addr);
-    ::setsockopt(m_descriptor, SOL_SOCKET, SO_RCVTIMEO, &readLimit, sizeof readLimit);
+    ::setsockopt(m_descriptor, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof receiveTimeout);
     if (::connect(m_descriptor, reinterpret_cast<const sockaddr*>(&target), sizeof target) != 0)
         throw std::runtime_error("cannot connect");
 }
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -71,6 +71,6 @@
     CHECK(std::get<ChangeConflict>(writer.replace("{}", 1)).newerRevision == 2);
     CHECK(std::holds_alternative<ChangeFaulty>(writer.replace("{\"x\":1}", 2)));
     data->away = true;
-    CHECK(std::holds_alternative<ChangeUnsettled>(writer.replace("{}", 2)));
+    CHECK(std::holds_alternative<ChangeOutcomeUnknown>(writer.replace("{}", 2)));
     CHECK(data->writes == 2);
 }
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -125,14 +125,14 @@
 
 TEST_CASE("an entry that hears neither the store nor most others takes no callers")
 {
-    const StandingFacts well { .configurationRevision = 3, .hasSeat = true, .storeReachedAt = noon, .peersKnown = 5, .peersHeard = 5 };
-    CHECK(judgeReadiness(well, noon) == Readiness::Ready);
-    CHECK(judgeReadiness(well, noon + std::chrono::seconds(60)) == Readiness::Ready);
-    StandingFacts cut = well;
-    cut.peersHeard = 2;
-    CHECK(judgeReadiness(cut, noon + std::chrono::seconds(4)) == Readiness::Ready);
-    CHECK(judgeReadiness(cut, noon + std::chrono::seconds(5)) == Readiness::CutOff);
-    StandingFacts fresh = well;
+    const ReadinessInputs well { .configurationRevision = 3, .hasShard = true, .storeReachedAt = noon, .peersKnown = 5, .peersReporting = 5 };
+    CHECK(evaluateReadiness(well, noon) == Readiness::Ready);
+    CHECK(evaluateReadiness(well, noon + std::chrono::seconds(60)) == Readiness::Ready);
+    ReadinessInputs cut = well;
+    cut.peersReporting = 2;
+    CHECK(evaluateReadiness(cut, noon + std::chrono::seconds(4)) == Readiness::Ready);
+    CHECK(evaluateReadiness(cut, noon + std::chrono::seconds(5)) == Readiness::Partitioned);
+    ReadinessInputs fresh = well;
     fresh.configurationRevision = 0;
-    CHECK(judgeReadiness(fresh, noon) == Readiness::NoConfiguration);
+    CHECK(evaluateReadiness(fresh, noon) == Readiness::NoConfiguration);
 }
