--- a/include/lanemoor/serve/process/endpoint_registry.h
+++ b/include/lanemoor/serve/process/endpoint_registry.h
@@ -26,12 +26,12 @@
     [[nodiscard]] const std::string& id() const noexcept { return m_id; }
     [[nodiscard]] const HttpAddress& address() const noexcept { return m_address; }
 
-    /// \brief Acquires one of `most` request slots.
+    /// \brief Acquires one of `limit` request slots.
     /// \returns False if all slots are in use.
     [[nodiscard]] bool acquireSlot(std::uint32_t limit) noexcept { return acquire(m_inFlight, limit); }
     void releaseSlot() noexcept { m_inFlight.fetch_sub(1, std::memory_order_acq_rel); }
 
-    /// \brief Acquires one of `most` listener slots.
+    /// \brief Acquires one of `limit` listener slots.
     /// \returns False if all slots are in use.
     [[nodiscard]] bool acquireListener(std::uint32_t limit) noexcept { return acquire(m_listeners, limit); }
     void releaseListener() noexcept { m_listeners.fetch_sub(1, std::memory_order_acq_rel); }
--- a/include/lanemoor/serve/process/shared_state.h
+++ b/include/lanemoor/serve/process/shared_state.h
@@ -94,7 +94,7 @@
     [[nodiscard]] Instant storeReachedByAnyAt() const noexcept;
     [[nodiscard]] Instant listReadAt() const noexcept { return m_listReadAt.load(std::memory_order_acquire); }
     /// \param known The number of all known peers.
-    /// \param heard The number of peers that reported within the last seconds.
+    /// \param reporting The number of peers that reported within the last seconds.
     void setPeers(std::size_t known, std::size_t reporting, std::vector<PeerStatus> statuses);
     [[nodiscard]] std::vector<PeerStatus> peers() const;
     [[nodiscard]] Readiness readiness() const;
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -29,7 +29,7 @@
     std::uint32_t slots = 0; ///< Sum over `routes`.
 };
 
-/// The share of the fleet's capacity that this entry instance may use, as one of equal shards.
+/// The shard of this entry instance. The shards divide slots and quotas equally among the entries.
 struct EntryShard {
     std::uint32_t number = 0;
     std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
