--- a/include/lanemoor/serve/process/background.h
+++ b/include/lanemoor/serve/process/background.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The background threads of an entry instance. Each class is one loop, run by one
-/// thread until `SharedState::isQuitting`.
+/// Background loops of an entry instance. Each class is a loop that one thread runs until
+/// `SharedState::isQuitting` returns true.
 
 #include "lanemoor/adapters/platform.h"
 #include "lanemoor/adapters/store.h"
@@ -13,13 +13,13 @@
 
 namespace lanemoor {
 
-/// Takes a document's version and body.
-using DocumentTaker = std::function<void(std::uint64_t version, const std::string& body)>;
+/// Called with the version and body of a document.
+using DocumentCallback = std::function<void(std::uint64_t version, const std::string& body)>;
 
-/// \brief Watches one key of the store and hands each newer document on.
+/// \brief Watches one key of the store and passes each newer document to a callback.
 class DocumentWatch {
 public:
-    DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentTaker taker);
+    DocumentWatch(SharedState& state, std::unique_ptr<Store> store, std::string key, DocumentCallback callback);
 
     void run();
 
@@ -27,10 +27,10 @@
     SharedState& m_state;
     std::unique_ptr<Store> m_store;
     std::string m_key;
-    DocumentTaker m_taker;
+    DocumentCallback m_callback;
 };
 
-/// \brief Reads the instance list again and again, and merges all observations.
+/// \brief Polls the instance list and merges all observations.
 class ListPoller {
 public:
     ListPoller(SharedState& state, std::unique_ptr<Platform> platform);
@@ -40,23 +40,23 @@
 private:
     SharedState& m_state;
     std::unique_ptr<Platform> m_platform;
-    bool m_listAway = false;
+    bool m_listUnavailable = false;
 };
 
-/// \brief Keeps a seat among the entry instances by a lease.
+/// \brief Holds one of the entry shards by a lease.
 ///
-/// A seat that was another's is used only one lease time after it was taken, so that
-/// the former holder has seen that it lost it.
-class SeatKeeper {
+/// A shard taken over from another holder is used only after one more lease duration, so that
+/// the previous holder has detected the loss.
+class ShardLeaseManager {
 public:
-    SeatKeeper(SharedState& state, std::unique_ptr<Store> store);
+    ShardLeaseManager(SharedState& state, std::unique_ptr<Store> store);
 
     void run();
 
 private:
-    void takeAny();
+    void acquireAnyShard();
     void renew();
-    void loseSeat(const char* reason);
+    void dropShard(const char* reason);
 
     SharedState& m_state;
     std::unique_ptr<Store> m_store;
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -1,5 +1,5 @@
-// Conditions 1 and 2 with real processes: the holder of the control role killed and
-// frozen in the middle of a wave, and the link between entries with keys.
+// Conditions 1 and 2 with real processes: the holder of the control role is killed or paused
+// during a wave. Also the authentication of the peer link.
 
 #include "support/small_cluster.h"
 
@@ -34,7 +34,7 @@
     return nlohmann::json::parse(ask(cluster.entry(entry).operators, requestOf("GET", "/v1/waves")).response.body);
 }
 
-/// Whether the pool keeps its minimum as read now.
+/// \returns Whether all pools currently have at least their minimum in service.
 bool budgetHolds(Cluster& cluster, const std::string& entry)
 {
     const nlohmann::json pools = nlohmann::json::parse(ask(cluster.entry(entry).operators, requestOf("GET", "/v1/pools")).response.body);
@@ -42,7 +42,7 @@
     return std::all_of(pools["pools"].begin(), pools["pools"].end(), holds);
 }
 
-/// Checks that the wave ends and that the budget holds whenever it is read meanwhile.
+/// Checks that the wave ends and that the budget holds at every poll until then.
 void checkWaveEnds(Cluster& cluster, const std::string& entry)
 {
     bool held = true;
@@ -68,7 +68,7 @@
     checkWaveEnds(cluster, other);
 }
 
-TEST_CASE("a holder that is frozen past its lease and woken does not act beside its successor")
+TEST_CASE("a holder that is paused past its lease and resumed does not act concurrently with its successor")
 {
     SmallCluster cluster(3, 5, 3);
     const std::string holder = holderOf(cluster);
@@ -83,7 +83,7 @@
     CHECK(eventually([&] { return metric(cluster, holder, "lanemoor_holds_control") == "0"; }));
 }
 
-TEST_CASE("entries with keys hear each other, and one without the keys is not heard")
+TEST_CASE("entries with the same keys exchange messages, and one with other keys is rejected")
 {
     Cluster cluster({ .buildFolder = LANEMOOR_BUILD_FOLDER, .secure = true });
     cluster.addWorker({ .id = "w0", .dataHall = "h", .rack = "r", .service = "counter" });
@@ -91,7 +91,7 @@
     cluster.addEntry("b");
     CHECK(eventually([&] { return std::stod(metric(cluster, "a", "lanemoor_peer_messages_received_total")) > 2; }));
 
-    // A stranger has keys of its own; "a" has to turn it away, not only fail to read it.
+    // The stranger has other keys; "a" must reject its connection, not only fail to decrypt it.
     Cluster stranger({ .buildFolder = LANEMOOR_BUILD_FOLDER, .secure = true });
     stranger.addEntry("x", { cluster.entry("a").peerPort });
     const auto received = [&] { return std::stod(metric(cluster, "a", "lanemoor_peer_messages_received_total")); };
--- a/tests/process/stop_test.cpp
+++ b/tests/process/stop_test.cpp
@@ -1,4 +1,4 @@
-// Conditions 6 and 7: leaving endpoints get no new work, planned stops cut nothing.
+// Conditions 6 and 7: leaving endpoints get no new work, and planned stops interrupt no request.
 
 #include "support/small_cluster.h"
 
@@ -10,7 +10,7 @@
 using namespace lanemoor;
 using namespace lanemoor::test;
 
-TEST_CASE("a planned stop of two entries at once cuts no check, listener or batch")
+TEST_CASE("a planned stop of two entries at once interrupts no check, listener or batch")
 {
     SmallCluster cluster(3, 3);
     std::vector<std::thread> callers;
@@ -44,7 +44,7 @@
     CHECK(ask(cluster.front("c"), requestOf("GET", "/counter/check")).response.status == 200);
 }
 
-TEST_CASE("a stopping entry tells the balancer and refuses new work truthfully")
+TEST_CASE("a stopping entry reports itself unready and refuses new work as not run")
 {
     SmallCluster cluster(2, 2, 1);
     Answer held;
@@ -74,7 +74,7 @@
     for (int i = 0; i < 20; ++i)
         CHECK(ask(cluster.front(i % 2 == 0 ? "a" : "b"), requestOf("GET", "/counter/check")).response.status == 200);
     CHECK(cluster.countAt("w0", "served") == before);
-    CHECK(cluster.countAt("w0", "refused") == refusedBefore); // It is not even asked.
+    CHECK(cluster.countAt("w0", "refused") == refusedBefore); // No request reaches it at all.
     for (std::thread& caller : callers)
         caller.join();
     for (const Answer& answer : held)
@@ -83,7 +83,7 @@
     CHECK(eventually([&] { return cluster.poolHas("counter", 4); }));
 }
 
-TEST_CASE("an endpoint that says itself that it leaves gets no new work, with store and list away")
+TEST_CASE("an endpoint that reports that it is leaving gets no new work while the store and the list are unavailable")
 {
     SmallCluster cluster(2, 2, 1);
     cluster.setFaults(R"({"storeAway":true,"listAway":true})");
@@ -92,5 +92,5 @@
         CHECK(ask(cluster.front(i % 2 == 0 ? "a" : "b"), requestOf("GET", "/counter/check")).response.status == 200);
     CHECK(cluster.countAt("w0", "served") == 0);
     CHECK(cluster.countAt("w1", "served") == 20);
-    CHECK(cluster.countAt("w0", "refused") <= 2); // Each entry finds out once.
+    CHECK(cluster.countAt("w0", "refused") <= 2); // Each of the two entries is refused at most once.
 }
--- a/tests/unit/claim_test.cpp
+++ b/tests/unit/claim_test.cpp
@@ -71,6 +71,6 @@
     CHECK(std::get<ChangeConflict>(writer.replace("{}", 1)).newerRevision == 2);
     CHECK(std::holds_alternative<ChangeFaulty>(writer.replace("{\"x\":1}", 2)));
     data->isUnavailable = true;
-    CHECK(std::holds_alternative<ChangeUnsettled>(writer.replace("{}", 2)));
+    CHECK(std::holds_alternative<ChangeOutcomeUnknown>(writer.replace("{}", 2)));
     CHECK(data->writes == 2);
 }
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -125,14 +125,14 @@
 
 TEST_CASE("an entry that reaches neither the store nor most of its peers is not ready")
 {
-    const StandingFacts healthy { .configurationRevision = 3, .hasSeat = true, .storeReachedAt = noon, .peersKnown = 5, .peersHeard = 5 };
-    CHECK(judgeReadiness(healthy, noon) == Readiness::Ready);
-    CHECK(judgeReadiness(healthy, noon + std::chrono::seconds(60)) == Readiness::Ready);
-    StandingFacts partitioned = healthy;
-    partitioned.peersHeard = 2;
-    CHECK(judgeReadiness(partitioned, noon + std::chrono::seconds(4)) == Readiness::Ready);
-    CHECK(judgeReadiness(partitioned, noon + std::chrono::seconds(5)) == Readiness::CutOff);
-    StandingFacts fresh = healthy;
+    const ReadinessInputs healthy { .configurationRevision = 3, .hasShard = true, .storeReachedAt = noon, .peersKnown = 5, .peersReporting = 5 };
+    CHECK(evaluateReadiness(healthy, noon) == Readiness::Ready);
+    CHECK(evaluateReadiness(healthy, noon + std::chrono::seconds(60)) == Readiness::Ready);
+    ReadinessInputs partitioned = healthy;
+    partitioned.peersReporting = 2;
+    CHECK(evaluateReadiness(partitioned, noon + std::chrono::seconds(4)) == Readiness::Ready);
+    CHECK(evaluateReadiness(partitioned, noon + std::chrono::seconds(5)) == Readiness::Partitioned);
+    ReadinessInputs fresh = healthy;
     fresh.configurationRevision = 0;
-    CHECK(judgeReadiness(fresh, noon) == Readiness::NoConfiguration);
+    CHECK(evaluateReadiness(fresh, noon) == Readiness::NoConfiguration);
 }
