--- a/include/lanemoor/aio/asio_event_loop.h
+++ b/include/lanemoor/aio/asio_event_loop.h
@@ -10,10 +10,10 @@
 
 namespace lanemoor::aio {
 
-/// The system's clock that event loops go by.
+/// The system clock of event loops.
 extern const clockid_t loopClock;
 
-/// Tells the time of a loop's clock.
+/// Reads a loop's clock.
 using LoopClock = std::function<jobs::MonotonicInstant()>;
 
 /// \returns The time on `loopClock`.
@@ -22,13 +22,13 @@
 /// \brief Runs all callbacks of a process on the thread that calls `run`.
 class AsioEventLoop final : public jobs::EventLoop {
 public:
-    /// \param clock Never goes back; tests pass one of their own.
+    /// \param clock Monotonic; tests pass their own.
     explicit AsioEventLoop(LoopClock clock = readLoopClock);
     ~AsioEventLoop() override;
     AsioEventLoop(const AsioEventLoop&) = delete;
     AsioEventLoop& operator=(const AsioEventLoop&) = delete;
 
-    /// \brief Runs until `stop`; may be called again afterwards.
+    /// \brief Runs callbacks until `stop` is called; may be called again afterwards.
     void run();
 
     void stop();
@@ -44,7 +44,7 @@
 
     class Impl;
 
-    /// \returns What the HTTP client and listener of this folder build on.
+    /// \returns The Asio state, for the other classes of this folder.
     [[nodiscard]] Impl& impl() noexcept { return *m_impl; }
 
 private:
--- a/include/lanemoor/aio/http_client.h
+++ b/include/lanemoor/aio/http_client.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// An HTTP client for many calls at once on one thread.
+/// A single-threaded HTTP client for concurrent calls.
 
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/net/http_message.h"
@@ -13,39 +13,39 @@
 
 namespace lanemoor::aio {
 
-/// How far a call came.
+/// How far a call got.
 enum class Delivery {
-    NotSent, ///< No byte of it left: there was no connection.
-    Unanswered, ///< It may have been read; no whole answer came in time.
-    Abandoned, ///< The answer began to arrive, and the caller did not want the rest.
+    NotSent, ///< No byte was sent: there was no usable connection in time.
+    Unanswered, ///< The server may have read the request; no complete response arrived in time.
+    Abandoned, ///< The response began to arrive, and the caller declined the rest.
     Answered,
 };
 
-/// A call.
+/// A request with its deadlines.
 struct HttpCall {
     HttpRequest request;
-    jobs::MonotonicInstant deadline; ///< For the answer to begin, and for all of it if no later `transferDeadline` is given.
-    /// For the whole of an answer whose body has begun by `deadline`, while no pause in it is longer than
+    jobs::MonotonicInstant deadline; ///< For the response to begin, and to be complete unless `transferDeadline` is set.
+    /// For the complete response if its body has begun by `deadline` and no pause in it exceeds
     /// `HttpClientOptions::stallTime`.
     std::optional<jobs::MonotonicInstant> transferDeadline {};
-    /// Called at most once, when the answer's body begins to arrive, unless all of it has come. \returns Whether the rest is wanted;
-    /// otherwise the connection is closed. May be null.
+    /// Called at most once, when the body begins to arrive, unless the response is already complete. \returns Whether to read the
+    /// rest; otherwise the connection is closed. May be null.
     std::function<bool()> begun {};
 };
 
-/// What came of a call.
+/// Result of a call.
 struct HttpReply {
     Delivery delivery = Delivery::Unanswered;
-    HttpResponse response; ///< If answered.
+    HttpResponse response; ///< Set if `delivery` is `Answered`.
 };
 
-/// Bounds of a client.
+/// Limits and timeouts of a client.
 struct HttpClientOptions {
-    std::uint32_t mostConnections = 8; ///< To one address; further calls wait.
-    Millis connectTime { 1'000 }; ///< A path that drops packets says nothing; the kernel would try for minutes.
-    std::uint64_t mostResponseBytes = 8'388'608; ///< Above eight times the store's largest page.
-    Millis stallTime { 1'000 }; ///< An answer of which nothing more has come for so long is lost.
-    Millis idleTime { 20'000 }; ///< A connection unused for so long is closed.
+    std::uint32_t mostConnections = 8; ///< Per address; further calls wait.
+    Millis connectTime { 1'000 }; ///< A path that drops packets reports no error, and the kernel retries for minutes.
+    std::uint64_t mostResponseBytes = 8'388'608; ///< More than eight times the store's largest page.
+    Millis stallTime { 1'000 }; ///< A response of which nothing more arrives for this time is lost.
+    Millis idleTime { 20'000 }; ///< A connection unused for this time is closed.
 };
 
 /// Counts since the start.
@@ -56,8 +56,8 @@
     std::uint64_t notSent = 0;
 };
 
-/// \brief Sends calls over kept connections. A call is sent once: it is never repeated by
-/// the client, also not if a kept connection turns out to be closed.
+/// \brief Sends calls over persistent connections. The client never retries a call, even if a
+/// kept connection turns out to be closed.
 class HttpClient {
 public:
     HttpClient(AsioEventLoop& loop, HttpClientOptions options);
@@ -65,7 +65,7 @@
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /// \brief Sends `call`; `done` is called exactly once, never from within.
+    /// \brief Sends `call`. `done` is called exactly once, never from within `send`.
     void send(const HttpAddress& address, HttpCall call, std::function<void(HttpReply)> done);
 
     /// \brief Closes the idle connections to `address`.
--- a/include/lanemoor/aio/http_listener.h
+++ b/include/lanemoor/aio/http_listener.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// An HTTP server for many connections on one thread.
+/// A single-threaded HTTP server for concurrent connections.
 
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/net/http_message.h"
@@ -11,22 +11,22 @@
 
 namespace lanemoor::aio {
 
-/// Answers a request once, now or later.
+/// Sends the response to a request, at once or later. Calls after the first are ignored.
 using HttpResponder = std::function<void(HttpResponse)>;
 using HttpHandler = std::function<void(const HttpRequest&, HttpResponder)>;
 
-/// Bounds of a listener.
+/// Address, limits and timeouts of a listener.
 struct HttpListenerOptions {
     HttpAddress address; ///< Port 0: chosen by the kernel.
-    std::uint32_t mostConnections = 1'500; ///< Further ones are closed at once; well below an entry's descriptors.
+    std::uint32_t mostConnections = 1'500; ///< Further ones are closed at once; well below an entry's limit of file descriptors.
     std::uint32_t mostHeaderBytes = 16'384;
     std::uint64_t mostBodyBytes = 1'048'576;
     Millis requestTime { 10'000 }; ///< From the first byte of a request to its last.
-    Millis idleTime { 75'000 }; ///< Between requests; longer than the balancer's clients pause.
+    Millis idleTime { 75'000 }; ///< Between requests; longer than the pauses of the balancer's clients.
 };
 
-/// \brief Reads requests, hands them to a handler and writes the answers, in order on each
-/// connection. A request that can't be read is answered with 400 or 413.
+/// \brief Reads requests, passes them to a handler and writes the responses, in order on each
+/// connection. A malformed request is answered with 400, an oversized body with 413.
 class HttpListener {
 public:
     /// \throws std::runtime_error if the address can't be listened on.
@@ -35,15 +35,15 @@
     HttpListener(const HttpListener&) = delete;
     HttpListener& operator=(const HttpListener&) = delete;
 
-    /// \brief Accepts no more connections; the open ones end with their next answer.
+    /// \brief Stops accepting connections, and closes the open ones after their next response.
     void drain();
 
-    /// \brief Goes on accepting connections, and closes each after its next answer.
+    /// \brief Keeps accepting connections, and closes each after its next response.
     void closeAfterAnswers();
 
     [[nodiscard]] std::uint16_t port() const noexcept;
 
-    /// \returns Requests that were handed over and are not answered yet.
+    /// \returns The number of requests that were passed to the handler and are not answered yet.
     [[nodiscard]] std::size_t inFlight() const noexcept;
 
 private:
--- a/include/lanemoor/aio/peer_sockets.h
+++ b/include/lanemoor/aio/peer_sockets.h
@@ -11,20 +11,20 @@
 
 namespace lanemoor::aio {
 
-/// Bounds of the links.
+/// Address, limits and timeouts of the links.
 struct PeerSocketsOptions {
     HttpAddress address; ///< Where others reach this process; port 0: chosen by the kernel.
-    Millis connectTime { 1'000 }; ///< A path that drops packets says nothing.
-    std::uint32_t mostFrameBytes = 8'388'608; ///< A frame holds what is gathered in some ms, a few kB.
-    /// Bytes that wait for a peer that does not read; above them the link ends. Heartbeats notice such a
+    Millis connectTime { 1'000 }; ///< A path that drops packets reports no error.
+    std::uint32_t mostFrameBytes = 8'388'608; ///< Frames hold the messages of some ms, usually a few kB.
+    /// Bytes queued for a peer that does not read; above this limit the link is closed. Heartbeats detect such a
     /// peer within a second, in which a loaded owner sends some 100 kB.
     std::size_t mostWaitingBytes = 4'194'304;
-    std::uint32_t mostLinks = 512; ///< Accepted ones; further ones are closed at once.
+    std::uint32_t mostLinks = 512; ///< Accepted links; further ones are closed at once.
 };
 
-/// \brief TCP connections that carry frames: four bytes of length, the most significant first, then
-/// the frame. Traffic is neither encrypted nor authenticated: it stays on the platform's own network,
-/// as the calls to workers and to the store do.
+/// \brief TCP connections that carry frames: four bytes of length in network byte order, then the
+/// frame. Traffic is neither encrypted nor authenticated: it stays on the platform's own network, like
+/// the calls to workers and to the store.
 class PeerSockets final : public jobs::PeerTransport {
 public:
     /// \throws std::runtime_error if the address can't be listened on.
--- a/include/lanemoor/jobs/store/document_copy.h
+++ b/include/lanemoor/jobs/store/document_copy.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A copy of one document of the store, with the proof of how old it may be.
+/// A replica of one document of the store, with a bound on its age.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/key_value_store.h"
@@ -13,34 +13,34 @@
 
 namespace lanemoor::jobs {
 
-/// How a document is followed.
+/// Options of a replica.
 struct DocumentCopyOptions {
     std::string key;
-    Millis checkEvery { 700 }; ///< Between two checks that the store holds no newer document.
-    Millis overdueAfter { 250 }; ///< A check of whose answer nothing has come after this time is repeated once.
-    Millis watchTime { 20'000 }; ///< A watch that hears nothing is asked again after this.
-    Millis retryPause { 150 }; ///< Between calls that failed.
+    Millis checkEvery { 700 }; ///< Between two checks for a newer document.
+    Millis overdueAfter { 250 }; ///< A check whose answer has not begun after this time is repeated once.
+    Millis watchTime { 20'000 }; ///< How long a watch waits for a change before it is renewed.
+    Millis retryPause { 150 }; ///< After a failed call.
 };
 
-/// What a call asks the store.
+/// Kinds of calls for the document.
 enum class DocumentCall {
-    Watch, ///< To answer as soon as the document changes.
-    Read, ///< For the document.
-    Compare, ///< For the document if it is a newer one than the copy.
+    Watch, ///< Answered as soon as the document changes.
+    Read, ///< Answered with the document.
+    Compare, ///< Answered with the document only if it is newer than the replica.
 };
 
 /// \returns A short name of `call` for logs and metrics.
 [[nodiscard]] std::string_view nameOf(DocumentCall call) noexcept;
 
-/// A call that has ended.
+/// Result of a call.
 struct DocumentReading {
     DocumentCall call = DocumentCall::Read;
     StoreOutcome outcome = StoreOutcome::Unknown;
-    MonotonicInstant dueAt; ///< When it should have been sent; later than this it was sent if the event loop was busy.
+    MonotonicInstant dueAt; ///< When the call was due; `sentAt` is later if the event loop was busy.
     MonotonicInstant sentAt;
     MonotonicInstant endedAt;
-    std::size_t bytes = 0; ///< Of keys and values that it brought.
-    /// A revision that the store had not passed when the call was sent; 0: the answer tells none.
+    std::size_t bytes = 0; ///< Of the keys and values in the answer.
+    /// Upper bound of the store's revision when the call was sent; 0: the answer has none.
     std::uint64_t newRevision = 0;
 
     [[nodiscard]] bool operator==(const DocumentReading&) const = default;
@@ -57,21 +57,21 @@
     [[nodiscard]] bool operator==(const DocumentCopyCounts&) const = default;
 };
 
-/// Who hears of the document. Both are called on the event loop.
+/// Callbacks of a replica, called on the event loop.
 struct DocumentObserver {
-    std::function<void(const StoreItem&)> changed; ///< A newer document.
-    std::function<void(const DocumentReading&)> ended; ///< A call ended; may be null.
+    std::function<void(const StoreItem&)> changed; ///< Called with each newer document.
+    std::function<void(const DocumentReading&)> ended; ///< Called when a call ends; may be null.
 };
 
-/// \brief Follows one document of the store.
+/// \brief Keeps a replica of one document of the store up to date.
 ///
-/// A watch brings changes. Beside it the store is asked every `checkEvery` whether it holds a newer document: a watch that hears
-/// nothing can't be told from one that was cut silently. A large document is asked for on condition that it is newer, so that a
-/// check that finds no change costs some hundred bytes.
+/// A watch delivers changes. In addition the replica checks for a newer document every `checkEvery`, because an idle watch can't
+/// be distinguished from one whose connection was lost without an error. Checks of a large document are conditional on a newer
+/// revision, so that a check without a change transfers some hundred bytes.
 ///
-/// A document may take longer over the machine's link than the time between two checks. So it is transferred once at a time:
-/// while an answer arrives, nothing else is asked. A large answer of a watch may end before the newest version; checks then
-/// follow each other until one finds nothing newer, and bring the newest version in place of all in between.
+/// The transfer of a document may take longer than the time between two checks. So there is one transfer at a time, and no call is
+/// sent while an answer arrives. A large answer to a watch may end before the newest version; the replica then checks repeatedly
+/// until there is nothing newer, which skips the versions in between.
 class DocumentCopy {
 public:
     DocumentCopy(EventLoop& loop, KeyValueStore& store, DocumentCopyOptions options, DocumentObserver observer);
@@ -79,17 +79,17 @@
     DocumentCopy(const DocumentCopy&) = delete;
     DocumentCopy& operator=(const DocumentCopy&) = delete;
 
-    /// \brief Begins to read.
+    /// \brief Starts to read and to watch the document.
     void start();
 
-    /// \brief Asks the store now, unless a call that was sent later than `sentBefore` is under way. For the moment at which the
-    /// store answers again.
+    /// \brief Checks at once, unless a call was sent at or after `sentBefore` or an answer is arriving. For use when the store
+    /// becomes available again.
     void checkNow(MonotonicInstant sentBefore);
 
-    /// \returns The latest time at which the store is known to have held no newer document than the copy.
+    /// \returns The latest time at which the replica is known to have been current.
     [[nodiscard]] MonotonicInstant provenAt() const noexcept;
 
-    /// \returns When the latest call that the store answered was sent.
+    /// \returns When the latest answered call was sent.
     [[nodiscard]] MonotonicInstant answeredAt() const noexcept;
 
     [[nodiscard]] const DocumentCopyCounts& counts() const noexcept;
--- a/include/lanemoor/jobs/store/hedge_budget.h
+++ b/include/lanemoor/jobs/store/hedge_budget.h
@@ -1,18 +1,18 @@
 #pragma once
 /// \file
-/// Limits how many calls are repeated. Pure.
+/// Limits the share of calls that are repeated. Pure.
 
 #include <algorithm>
 
 namespace lanemoor::jobs {
 
-/// \brief A token bucket that is filled by calls instead of by time: repeats stay a share of calls, whatever the load.
+/// \brief A token bucket that is filled by calls instead of by time: repeats stay a share of calls under any load.
 ///
-/// A repeat that settles its call while the earlier tries stay unanswered gives its tokens back. That shows that answers are
-/// lost; a slow store answers the earlier try first, and its repeats are never given back.
+/// A repeat that settles its call while the earlier tries stay unanswered returns its tokens, because it shows that answers are
+/// lost. A slow store answers the earlier try first, so the tokens of its repeats are never returned.
 class HedgeBudget {
 public:
-    /// \param share Tokens that a call adds. \param burst The most tokens; the bucket begins full.
+    /// \param share Tokens added per call. \param burst Capacity of the bucket, which starts full.
     HedgeBudget(double share, double burst) noexcept
         : m_share(share)
         , m_burst(burst)
@@ -20,10 +20,10 @@
     {
     }
 
-    /// \brief Notes a call that is sent for the first time.
+    /// \brief Adds the tokens for the first try of a call.
     void noteCall() noexcept { add(m_share); }
 
-    /// \brief Takes a token for each call of a repeat. \returns False if there are not so many; none is taken then.
+    /// \brief Takes one token per call of a repeat. \returns False, with no token taken, if there are too few.
     [[nodiscard]] bool take(unsigned calls) noexcept
     {
         if (m_tokens < calls)
--- a/include/lanemoor/jobs/store/hedged_store.h
+++ b/include/lanemoor/jobs/store/hedged_store.h
@@ -11,11 +11,11 @@
 
 namespace lanemoor::jobs {
 
-/// What became of calls that were overdue.
+/// Outcomes of overdue calls.
 struct HedgeCounts {
     std::uint64_t settled = 0; ///< A repeat was answered first.
-    std::uint64_t confirmed = 0; ///< A read showed that the transaction had been carried out.
-    std::uint64_t overtaken = 0; ///< The first try was answered after all.
+    std::uint64_t confirmed = 0; ///< Reads showed that the transaction had been applied.
+    std::uint64_t overtaken = 0; ///< The first try was answered before its repeats.
     std::uint64_t unanswered = 0; ///< No try was answered.
     std::uint64_t denied = 0; ///< The budget did not allow a repeat.
 
@@ -26,16 +26,16 @@
 /// observed so far, and the first usable answer counts.
 ///
 /// A transaction is idempotent if each key that it writes has a condition on its own revision, and it removes nothing: it is
-/// carried out once at the most, whichever try arrives first. After a repeat
-/// - a conflict that shows all written keys as this transaction writes them, at one revision, counts as done if all other
+/// applied at most once, whichever try arrives first. After a repeat
+/// - a conflict in which all written keys have this transaction's values, at one revision, counts as done if all other
 ///   conditions still hold; if one of those does not, the outcome is unknown;
-/// - a refusal or a lease that is over leaves the outcome unknown while an earlier try may have been carried out.
+/// - a refusal or an expired lease leaves the outcome unknown while an earlier try may have been applied.
 ///
-/// The second repeat of a transaction reads back all that it writes: if the answers of all writes are lost, reads still tell.
+/// The second repeat of a transaction reads back all that it writes, which settles it even if the answers to all writes are lost.
 /// Ranges, watches, documents and calls on leases pass through: they are large, wait anyway, or are repeated by their callers.
 class HedgedStore final : public KeyValueStore {
 public:
-    /// \param store Outlives this object.
+    /// \param store Must outlive this object.
     HedgedStore(EventLoop& loop, KeyValueStore& store, StoreOutageOptions options);
     ~HedgedStore() override;
     HedgedStore(const HedgedStore&) = delete;
@@ -50,8 +50,8 @@
     void renewLease(std::uint64_t lease, std::function<void(LeaseResult)> done) override;
     void endLease(std::uint64_t lease, std::function<void(LeaseResult)> done) override;
 
-    /// \brief Sends each waiting call once more without a token, if its last try was sent before `sentBefore`. For the moment at
-    /// which the store answers again: earlier tries would only end at their time-outs.
+    /// \brief Sends each waiting call once more without a token, if its last try was sent before `sentBefore`. For use when the
+    /// store becomes available again: earlier tries would only end at their timeouts.
     void resendWaiting(MonotonicInstant sentBefore);
 
     [[nodiscard]] const HedgeCounts& counts() const noexcept;
@@ -61,7 +61,7 @@
     std::shared_ptr<Impl> m_impl;
 };
 
-/// \returns Whether `transaction` is carried out once at the most, however often it is sent.
+/// \returns Whether `transaction` is applied at most once, however often it is sent.
 [[nodiscard]] bool isIdempotent(const Transaction& transaction);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/store/observed_store.h
+++ b/include/lanemoor/jobs/store/observed_store.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Observes the calls of a process to the store, and tells when the state of the store changes.
+/// Derives the state of the store from the calls of this process, and reports its changes.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/key_value_store.h"
@@ -15,14 +15,14 @@
 
 namespace lanemoor::jobs {
 
-/// Hears of a change, after the callback of the call that showed it.
+/// Called on a change, after the callback of the call that showed it.
 using StoreConditionObserver = std::function<void(const StoreCondition& from, const StoreCondition& to)>;
 
-/// \brief Decorates a store: passes each call on, and derives the `StoreCondition` from the ends of all of them. A change is
-/// one log line (`store-condition`).
+/// \brief Decorates a store: passes each call on, and derives the `StoreCondition` from the results of all calls. Each change is
+/// logged as one line (`store-condition`).
 class ObservedStore final : public KeyValueStore {
 public:
-    /// \param store Outlives this object, as do `loop` and `log`.
+    /// \param store Must outlive this object, as must `loop` and `log`.
     ObservedStore(EventLoop& loop, KeyValueStore& store, EventLog& log);
     ~ObservedStore() override;
     ObservedStore(const ObservedStore&) = delete;
@@ -40,10 +40,10 @@
     /// \brief Adds an observer; all are called in the order in which they were added.
     void observe(StoreConditionObserver observer);
 
-    /// \returns The newest condition; never null.
+    /// \returns The current condition; never null.
     [[nodiscard]] std::shared_ptr<const StoreCondition> condition() const;
 
-    /// \returns When the newest answered call was sent.
+    /// \returns When the latest answered call was sent.
     [[nodiscard]] MonotonicInstant answeredAt() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/store/progress_writer.h
+++ b/include/lanemoor/jobs/store/progress_writer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Stores the progress of jobs under the owner's condition.
+/// Writes the progress of jobs to the store, on condition of the ownership.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/job_record.h"
@@ -17,29 +17,28 @@
 class StoreMirror;
 class WorkMeter;
 
-/// What the writer asks of its owner.
+/// Callbacks of a writer.
 struct ProgressSource {
-    /// \returns The newest progress of a job, or nothing if it is known no more.
+    /// \returns The newest progress of a job, or nothing if the job is unknown.
     std::function<std::optional<ProgressRecord>(const std::string& id)> read;
     std::function<bool()> mayWrite; ///< Whether the ownership is held.
-    std::function<void()> superseded; ///< The store says that the ownership is another's.
-    WorkMeter* meter = nullptr; ///< Null: work is not measured.
+    std::function<void()> superseded; ///< Called when the store shows another owner.
+    WorkMeter* meter = nullptr; ///< Null: work is not metered.
 };
 
 /// Changed jobs that are not in the store yet.
 struct UnsavedChanges {
     std::size_t jobs = 0;
-    std::optional<MonotonicInstant> oldest; ///< When the first of them changed; nothing: there are none.
+    std::optional<MonotonicInstant> oldest; ///< When the first of them changed; nothing if there are none.
 
     [[nodiscard]] bool operator==(const UnsavedChanges&) const = default;
 };
 
-/// \brief Writes the progress of changed jobs, many in one transaction and a few transactions at
-/// once, never one job in two of them. Each write carries the revision it replaces, so that one which is carried out late
-/// undoes nothing.
+/// \brief Writes the progress of changed jobs, many in one transaction and a few transactions at once, but never one job in two
+/// of them. Each write is conditional on the revision that it replaces, so that a write applied late undoes nothing.
 class ProgressWriter {
 public:
-    /// \param condition Of the ownership under which this writer writes.
+    /// \param condition Revision of the ownership; each write depends on it.
     ProgressWriter(EventLoop& loop, KeyValueStore& store, StoreMirror& mirror, KeyRevision condition, ProgressSource source);
     ~ProgressWriter();
     ProgressWriter(const ProgressWriter&) = delete;
@@ -48,13 +47,13 @@
     /// \brief Marks a job as changed; it is written soon.
     void markChanged(const std::string& id);
 
-    /// \brief Calls `stored` once all that is marked now is in the store.
+    /// \brief Calls `stored` once all changes that are marked now are in the store.
     void whenStored(std::function<void()> stored);
 
-    /// \brief Calls `stored` once what is marked now of one job is in the store, whatever waits of others.
+    /// \brief Calls `stored` once the changes of one job that are marked now are in the store, regardless of other jobs.
     void whenJobStored(const std::string& id, std::function<void()> stored);
 
-    /// \returns Jobs marked and not yet stored.
+    /// \returns Jobs that are marked and not yet stored.
     [[nodiscard]] UnsavedChanges unsaved() const noexcept;
 
 private:
--- a/include/lanemoor/jobs/store/store_condition_tracker.h
+++ b/include/lanemoor/jobs/store/store_condition_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Derives the state of the store from the ends of calls. Pure: time is passed in.
+/// Derives the state of the store from the results of calls. Pure: time is passed in.
 
 #include "lanemoor/jobs/model/key_value_store.h"
 #include "lanemoor/jobs/model/store_condition.h"
@@ -20,24 +20,24 @@
 /// \returns A short name of `kind` for logs.
 [[nodiscard]] std::string_view nameOf(StoreCallKind kind) noexcept;
 
-/// \brief Takes the store for out when calls fail and none that was sent since the first of them is answered. One lost call
+/// \brief Detects an outage of the store: calls fail, and no call sent after the first failed one is answered. A single lost call
 /// changes nothing; one answered call ends the outage.
 class StoreConditionTracker {
 public:
     explicit StoreConditionTracker(MonotonicInstant now) noexcept;
 
-    /// \brief Takes in the end of a call. \returns Whether the state changed.
+    /// \brief Records the result of a call. \returns Whether the state changed.
     bool note(StoreCallKind kind, StoreOutcome outcome, MonotonicInstant sentAt, MonotonicInstant now) noexcept;
 
     [[nodiscard]] const StoreCondition& condition() const noexcept { return m_condition; }
 
-    /// \returns When the newest answered call was sent.
+    /// \returns When the latest answered call was sent.
     [[nodiscard]] MonotonicInstant answeredAt() const noexcept;
 
 private:
     struct Evidence {
-        MonotonicInstant answeredAt; ///< When the newest answered call was sent.
-        std::optional<MonotonicInstant> failedSince; ///< When the first call was sent that failed since then.
+        MonotonicInstant answeredAt; ///< When the latest answered call was sent.
+        std::optional<MonotonicInstant> failedSince; ///< When the first failed call after that was sent.
         std::uint32_t failures = 0;
     };
 
--- a/include/lanemoor/jobs/store/store_retries.h
+++ b/include/lanemoor/jobs/store/store_retries.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Steps that wait to call the store again.
+/// Pending retries of calls to the store.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -9,7 +9,7 @@
 
 namespace lanemoor::jobs {
 
-/// \brief Calls steps after a pause, or all of them at once when the store answers again.
+/// \brief Runs steps after a pause, or all of them at once when the store becomes available again.
 class StoreRetries {
 public:
     explicit StoreRetries(EventLoop& loop);
@@ -17,10 +17,10 @@
     StoreRetries(const StoreRetries&) = delete;
     StoreRetries& operator=(const StoreRetries&) = delete;
 
-    /// \brief Calls `step` once, after `pause` or within `runNow`, whichever comes first.
+    /// \brief Runs `step` once, after `pause` or within `runNow`, whichever comes first.
     void runLater(Millis pause, std::function<void()> step);
 
-    /// \brief Calls all steps that wait, in the order in which they were added.
+    /// \brief Runs all pending steps, in the order in which they were added.
     void runNow();
 
 private:
--- a/src/aio/asio_event_loop.cpp
+++ b/src/aio/asio_event_loop.cpp
@@ -5,8 +5,8 @@
 
 namespace lanemoor::aio {
 
-/// Leases run on while a machine is suspended: an owner that went by a clock which stands still meanwhile would act, once it is
-/// awake, on a lease that another instance has taken.
+/// Leases keep running while a machine is suspended. With a clock that stops meanwhile, an owner would act after the resume on a
+/// lease that another instance has taken.
 const clockid_t loopClock = CLOCK_BOOTTIME;
 
 jobs::MonotonicInstant readLoopClock()
--- a/src/aio/asio_event_loop_impl.h
+++ b/src/aio/asio_event_loop_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The Asio context behind the event loop, for the sources of this folder.
+/// The Asio context of the event loop, internal to this folder.
 
 #include "lanemoor/aio/asio_event_loop.h"
 
@@ -19,14 +19,14 @@
     {
     }
 
-    /// \returns A time of the loop's clock on the clock of Asio's timers. These stand still while the machine is suspended: what
-    /// became due meanwhile fires late by no more than was left of it, so that decisions ask `now`.
+    /// \returns A time of the loop's clock, converted to the clock of Asio's timers. That clock stops while the machine is suspended:
+    /// a timer that becomes due meanwhile fires late, by at most its remaining time, so time-dependent decisions call `now`.
     [[nodiscard]] std::chrono::steady_clock::time_point onTimerClock(jobs::MonotonicInstant when) const { return std::chrono::steady_clock::now() + (when - clock()); }
 
     LoopClock clock;
     boost::asio::io_context context { 1 };
     std::unordered_map<jobs::TimerId, std::unique_ptr<boost::asio::steady_timer>> timers;
-    std::unordered_set<jobs::TimerId> posted; ///< Timers that were due when they were made.
+    std::unordered_set<jobs::TimerId> posted; ///< Timers that were due when they were created.
     jobs::TimerId lastTimer = 0;
     std::unique_ptr<boost::asio::signal_set> signals;
     std::function<void(int)> onSignal;
--- a/src/aio/http_client.cpp
+++ b/src/aio/http_client.cpp
@@ -20,13 +20,13 @@
 namespace http = beast::http;
 using Tcp = boost::asio::ip::tcp;
 
-/// A call that waits or is under way.
+/// A call that is queued or in progress.
 struct PendingCall {
     HttpCall call;
     std::function<void(HttpReply)> done;
 };
 
-/// One connection, with what it needs while a call is under way.
+/// One connection, with the state of its current call.
 struct Connection {
     explicit Connection(boost::asio::io_context& context)
         : stream(context)
@@ -43,12 +43,12 @@
 
 using ConnectionPointer = std::shared_ptr<Connection>;
 
-/// The connections to one address.
+/// The connections and queued calls of one address.
 struct Peer {
     HttpAddress address;
     std::deque<ConnectionPointer> idle;
     std::deque<PendingCall> waiting;
-    std::uint32_t connections = 0; ///< Idle ones included.
+    std::uint32_t connections = 0; ///< Including idle ones.
 };
 
 http::request<http::string_body> makeRequest(const HttpAddress& address, HttpRequest& from)
@@ -75,7 +75,7 @@
     return response;
 }
 
-/// \returns Whether a kept connection is still open and has nothing unexpected to read.
+/// \returns Whether a kept connection is still open and has no unexpected data to read.
 bool isUsable(Connection& connection)
 {
     char byte = 0;
@@ -116,7 +116,7 @@
     HttpClientCounts counts;
 
 private:
-    /// Gives waiting calls to idle or new connections.
+    /// Assigns queued calls to idle or new connections.
     void serve(Peer& peer)
     {
         while (!peer.waiting.empty()) {
@@ -170,7 +170,7 @@
         });
     }
 
-    /// A call whose time is over before it is sent is not sent: it may have waited for a connection, or behind a busy loop.
+    /// A call whose deadline passed while it waited for a connection or for a busy event loop is not sent.
     void write(Peer& peer, const ConnectionPointer& connection)
     {
         if (m_loop.now() >= connection->pending.call.deadline) {
@@ -190,7 +190,7 @@
         });
     }
 
-    /// Reads the answer in parts: each one shows that the rest is on its way.
+    /// Reads the response in chunks: each one shows that the transfer progresses.
     void read(Peer& peer, const ConnectionPointer& connection)
     {
         http::async_read_some(connection->stream, connection->buffer, *connection->parser, [self = shared_from_this(), &peer, connection](const beast::error_code& error, std::size_t) {
@@ -211,7 +211,7 @@
         });
     }
 
-    /// Moves the deadline of an answer whose body arrives. \returns Whether the caller wants the rest of it.
+    /// Extends the deadline of a response whose body is arriving. \returns Whether the caller wants the rest of it.
     bool wantsRest(Connection& connection)
     {
         if (!connection.parser->is_header_done() || connection.parser->get().body().empty())
@@ -244,7 +244,7 @@
     AsioEventLoop& m_loop;
     boost::asio::io_context& m_context;
     HttpClientOptions m_options;
-    std::map<std::string, Peer> m_peers; ///< By IP:port; peers stay, so references to them last.
+    std::map<std::string, Peer> m_peers; ///< By IP:port; peers are never erased, so references to them stay valid.
 };
 
 HttpClient::HttpClient(AsioEventLoop& loop, HttpClientOptions options)
--- a/src/aio/http_listener.cpp
+++ b/src/aio/http_listener.cpp
@@ -18,7 +18,7 @@
 
 constexpr unsigned badRequest = 400;
 constexpr unsigned tooLarge = 413;
-constexpr Millis acceptPause { 50 }; // After an accept that failed, for example for want of descriptors.
+constexpr Millis acceptPause { 50 }; // After a failed accept, for example without free file descriptors.
 
 HttpRequest makeRequest(http::request<http::string_body>& from)
 {
@@ -31,7 +31,7 @@
     return request;
 }
 
-/// What all connections of a listener share.
+/// State shared by all connections of a listener.
 struct Shared {
     AsioEventLoop& loop;
     HttpListenerOptions options;
@@ -41,7 +41,7 @@
     bool draining = false;
 };
 
-/// One connection; it owns itself through its callbacks.
+/// One connection, kept alive by its callbacks.
 class Session : public std::enable_shared_from_this<Session> {
 public:
     Session(Tcp::socket socket, std::shared_ptr<Shared> shared)
--- a/src/aio/listen.h
+++ b/src/aio/listen.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Opens a port, for the sources of this folder.
+/// Opens a listening port, internal to this folder.
 
 #include "lanemoor/net/http_message.h"
 
--- a/src/aio/peer_sockets.cpp
+++ b/src/aio/peer_sockets.cpp
@@ -21,7 +21,7 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr std::size_t lengthBytes = 4;
-constexpr std::size_t readBytes = 16'384; // At once; an owner has 146 links on the largest deployment seen.
+constexpr std::size_t readBytes = 16'384; // Per link; an owner has 146 links on the largest known deployment.
 constexpr unsigned bitsOfByte = 8;
 
 std::string withLength(const std::string& frame)
@@ -81,7 +81,7 @@
         write();
     }
 
-    /// Ends the link and tells the observer later.
+    /// Closes the link and notifies the observer later.
     void end()
     {
         if (std::exchange(m_closed, true))
@@ -143,7 +143,7 @@
         });
     }
 
-    /// Hands over the whole frames.
+    /// Passes complete frames to the observer.
     void deliver()
     {
         std::size_t at = 0;
@@ -163,7 +163,7 @@
         m_received.erase(0, at);
     }
 
-    /// Writes what waits, in one call for all.
+    /// Writes all queued frames in one call.
     void write()
     {
         if (!m_open || m_writing || m_waiting.empty() || m_closed)
@@ -188,7 +188,7 @@
 
     boost::asio::io_context& m_context;
     Tcp::socket m_socket;
-    boost::asio::steady_timer m_timer; ///< Of the attempt to connect.
+    boost::asio::steady_timer m_timer; ///< Limits the time to connect.
     PeerSocketsOptions m_options;
     jobs::PeerLinkObserver m_observer;
     bool m_open = false;
@@ -196,10 +196,10 @@
     bool m_closed = false;
     bool m_writing = false;
     std::array<char, readBytes> m_readBuffer {};
-    std::string m_received; ///< What has come and is no whole frame yet.
+    std::string m_received; ///< Received bytes that are not a complete frame yet.
     std::string m_sending;
     std::deque<std::string> m_waiting;
-    std::size_t m_waitingBytes = 0; ///< What is being sent included.
+    std::size_t m_waitingBytes = 0; ///< Including the frames being sent.
 };
 
 } // namespace
@@ -266,7 +266,7 @@
     boost::asio::io_context& m_context;
     Tcp::acceptor m_acceptor;
     PeerSocketsOptions m_options;
-    std::vector<std::weak_ptr<PeerSocket>> m_links; ///< Accepted ones.
+    std::vector<std::weak_ptr<PeerSocket>> m_links; ///< Accepted links.
 };
 
 PeerSockets::PeerSockets(AsioEventLoop& loop, PeerSocketsOptions options)
--- a/src/jobs/store/answer_part.h
+++ b/src/jobs/store/answer_part.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Answers of the store that may end before the newest change.
+/// Detects answers of the store that may end before the newest change.
 
 #include "lanemoor/jobs/model/key_value_store.h"
 
@@ -9,8 +9,8 @@
 
 namespace lanemoor::jobs {
 
-/// The store cuts an answer at some 500 changes or one megabyte, and says neither that it did nor exactly where. An answer
-/// below these is whole.
+/// The store truncates an answer at some 500 changes or one megabyte, and reports neither that it did nor the exact limits.
+/// An answer below both of these bounds is complete.
 constexpr std::size_t changesOfAnswerPart = 100;
 constexpr std::size_t bytesOfAnswerPart = 128 * 1024;
 
@@ -23,8 +23,8 @@
     return bytes;
 }
 
-/// \returns Whether the answer of a watch may lack later changes. A whole answer names the store's newest revision, which is
-/// usually another key's. One that ends with the revision where the watch goes on may have been cut there.
+/// \returns Whether the answer to a watch may lack later changes. A complete answer carries the store's newest revision, which
+/// usually belongs to another key. An answer whose last change is at the revision it carries may have been truncated there.
 [[nodiscard]] inline bool mayBeAnswerPart(const ItemsResult& result)
 {
     if (result.items.empty() || result.items.back().revision < result.storeRevision)
--- a/src/jobs/store/document_copy.cpp
+++ b/src/jobs/store/document_copy.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// A document whose answer does not begin in this time is asked for again: small machines' links may carry others' answers first.
+/// A document whose answer does not begin in this time is requested again. Links of small machines may carry other answers first.
 constexpr Millis beginPatience { 1'000 };
-/// A comparison counts against the store's rate of writes, and brings some hundred bytes: for smaller documents a read costs little more.
+/// Smaller documents are read, not compared: a comparison counts against the store's rate limit of writes, and a read transfers
+/// little more than its some hundred bytes.
 constexpr std::size_t comparedFrom = 64 * 1024;
 constexpr std::size_t maxOpenChecks = 2;
 
@@ -59,11 +60,11 @@
     DocumentCopyCounts counts;
 
 private:
-    /// One call under way.
+    /// A call in progress.
     struct OpenCall {
         DocumentReading reading;
-        std::uint64_t heldRevision = 0; ///< Of the document when the call was sent.
-        bool hasBegun = false; ///< Its answer arrives.
+        std::uint64_t heldRevision = 0; ///< Of the replica when the call was sent.
+        bool hasBegun = false; ///< Its answer is arriving.
         bool hasEnded = false;
     };
 
@@ -90,8 +91,8 @@
         return open;
     }
 
-    /// Notes that an answer begins to arrive. \returns Whether the rest is wanted: the document arrives over one call at a time, and one that was
-    /// asked for before the copy changed may bring what is known by now.
+    /// Records that an answer begins to arrive. \returns Whether to read the rest: there is one transfer at a time, and an answer
+    /// requested before the replica changed may bring nothing new.
     bool beginTransfer(OpenCall& open)
     {
         if (m_transfers > 0 || open.heldRevision != m_revision)
@@ -109,7 +110,7 @@
         static_cast<void>(send(DocumentCall::Watch, m_loop.now()));
     }
 
-    /// Asks for the document if it is a newer one.
+    /// Requests the document if it is newer than the replica.
     void check(MonotonicInstant dueAt)
     {
         const bool compares = m_bytes >= comparedFrom && m_knowsHistory;
@@ -155,7 +156,7 @@
             provenAt = std::max(provenAt, reading.sentAt);
             reading.newRevision = result.storeRevision;
         }
-        // More of a storm of large changes may be there by now, and its newest version is read rather than each one.
+        // In a burst of large changes there may be newer versions by now; the newest is read instead of each one.
         if (isWatch)
             m_isBehind = m_isBehind || isPart;
         else
@@ -166,7 +167,7 @@
         askNext();
     }
 
-    /// Asks what is to be asked next, unless an answer that arrives decides it.
+    /// Sends the next call, unless an arriving answer determines it.
     void askNext()
     {
         if (m_transfers > 0)
@@ -182,7 +183,7 @@
         ++counts.unanswered;
         const bool isHistoryGone = reading.outcome == StoreOutcome::HistoryGone;
         m_isBehind = m_isBehind || isHistoryGone;
-        // A comparison does not tell where watches may begin. Its answer may be lost while those of reads arrive.
+        // A comparison returns no revision to watch from, and its answer may be lost while answers to reads arrive.
         const bool isUnsettled = reading.call == DocumentCall::Compare && answeredAt < reading.sentAt;
         if (isHistoryGone || isUnsettled)
             m_knowsHistory = false;
@@ -197,7 +198,7 @@
         });
     }
 
-    /// \returns Whether one of `items` is a newer document.
+    /// Applies `items`. \returns Whether one of them is a newer document.
     bool note(const std::vector<StoreItem>& items)
     {
         bool isNew = false;
@@ -213,7 +214,7 @@
         return isNew;
     }
 
-    /// Checks go on whatever becomes of the calls. What arrives meanwhile decides what is asked next.
+    /// Schedules the next check regardless of the results of other calls. An arriving answer determines the next call instead.
     void checkLater()
     {
         const MonotonicInstant dueAt = m_loop.now() + m_options.checkEvery;
@@ -237,15 +238,16 @@
     KeyValueStore& m_store;
     DocumentCopyOptions m_options;
     DocumentObserver m_observer;
-    std::uint64_t m_at = 0; ///< Every change up to this revision of the store is known.
+    std::uint64_t m_at = 0; ///< Every change up to this revision of the store has been received.
     std::uint64_t m_revision = 0; ///< Of the document's last change.
     std::size_t m_bytes = 0; ///< Of the document.
-    MonotonicInstant m_lastSentAt; ///< Of any call.
-    std::size_t m_transfers = 0; ///< Answers that arrive.
+    MonotonicInstant m_lastSentAt; ///< Of the latest call of any kind.
+    std::size_t m_transfers = 0; ///< Answers that are arriving.
     std::size_t m_openChecks = 0;
-    bool m_watches = false; ///< A watch is under way.
-    bool m_isBehind = false; ///< Newer versions may be there: no watch asks for them until a check has found none.
-    /// The store's history reaches back to `m_at`, as far as is known. Comparisons don't tell a revision to watch from, so a read comes first.
+    bool m_watches = false; ///< A watch is in progress.
+    bool m_isBehind = false; ///< Newer versions may exist: no watch is sent until a check has found none.
+    /// Whether the store's history is expected to reach back to `m_at`. If not, a read comes first, since comparisons return no
+    /// revision to watch from.
     bool m_knowsHistory = false;
     bool m_isLoaded = false;
     bool m_stopped = false;
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr unsigned maxHedges = 2;
-/// A call whose first try ended without an answer ends then, whatever its repeats still wait for: callers count on the store's
-/// time-out of 1 s. One that ended sooner lost its connection, and is repeated.
+/// A call whose first try ends without an answer after this time ends too, even if repeats are pending: callers rely on the
+/// store's timeout of 1 s. A first try that ends sooner lost its connection, and is repeated.
 constexpr Millis giveUpAfter { 900 };
-/// A timer that is later than this shows that the loop was busy: answers may have arrived and not been read yet.
+/// A timer that fires later than this shows that the event loop was busy: answers may have arrived and not been read yet.
 constexpr Millis loopLag { 20 };
 
 /// \returns Whether the store evaluated the call.
@@ -45,7 +45,7 @@
     return std::any_of(transaction.writes.begin(), transaction.writes.end(), [&](const StoreWrite& write) { return write.key == key; });
 }
 
-/// \returns Whether `item` is as `write` leaves it, and not as it was before.
+/// \returns Whether `item` has the value and lease of `write`, at another revision than before it.
 bool isWrittenBy(const StoreItem& item, const StoreWrite& write, const Transaction& transaction)
 {
     const KeyRevision* before = conditionOn(transaction.expected, write.key);
@@ -60,7 +60,7 @@
     return others;
 }
 
-/// \returns The revision at which all keys stand as the transaction writes them; 0: they do not.
+/// \returns The one revision at which all written keys have the transaction's values; 0 if there is none.
 std::uint64_t revisionOfOwn(const Transaction& transaction, const std::vector<StoreItem>& current)
 {
     std::uint64_t revision = 0;
@@ -82,24 +82,24 @@
     });
 }
 
-/// A call that waits for an answer, of any kind.
+/// A call of any kind that waits for an answer.
 class WaitingCall {
 public:
     virtual ~WaitingCall() = default;
 
-    /// \returns Reads that it takes to confirm the call instead of repeating it; 0: it can't be confirmed.
+    /// \returns The number of reads that confirm the call instead of repeating it; 0 if it can't be confirmed.
     [[nodiscard]] virtual unsigned readsToConfirm() const { return 0; }
 
     MonotonicInstant startedAt;
     MonotonicInstant sentAt; ///< Of the last try.
     unsigned tries = 0;
-    unsigned open = 0; ///< Tries, and reads of what was written, without an answer or time-out.
+    unsigned open = 0; ///< Tries, and reads of the written keys, without an answer or timeout.
     unsigned hedges = 0; ///< Repeats within the budget.
-    unsigned tokens = 0; ///< That they took.
+    unsigned tokens = 0; ///< Taken by these repeats.
     bool denied = false;
-    bool mayBeDone = false; ///< A try ended without an answer.
-    bool resent = false; ///< When the store was back.
-    TimerId timer = 0; ///< 0: no repeat is due.
+    bool mayBeDone = false; ///< A try ended with an unknown outcome.
+    bool resent = false; ///< After the store became available again.
+    TimerId timer = 0; ///< 0: no repeat is scheduled.
 };
 
 class ReadCall final : public WaitingCall {
@@ -157,7 +157,7 @@
                     send(id, call);
             }
         };
-        // Copies: an answer may not arrive within a call, but the next call may begin in its callback.
+        // Iterates over copies: answers don't arrive within a call, but their callbacks may begin further calls.
         resend(std::map(m_commits));
         resend(std::map(m_reads));
     }
@@ -187,7 +187,7 @@
         scheduleHedge(id, call);
     }
 
-    /// \returns A callback for a try; what it tells after the call has ended only counts as a response time.
+    /// \returns A callback for a try. An answer after the end of the call only counts as a response time.
     template <typename Call, typename Result>
     std::function<void(Result)> answerTo(CallId id, const std::shared_ptr<Call>& call)
     {
@@ -282,7 +282,7 @@
             noteEndedWithout(id, call, result.outcome);
     }
 
-    /// \returns What an answer to one of several tries says of the transaction.
+    /// \returns The outcome of the transaction, as shown by an answer to one of several tries.
     [[nodiscard]] static CommitResult judged(const CommitCall& call, const CommitResult& result)
     {
         if (result.outcome == StoreOutcome::Done)
@@ -300,7 +300,7 @@
     void noteEndedWithout(CallId id, const std::shared_ptr<Call>& call, StoreOutcome outcome)
     {
         call->mayBeDone = call->mayBeDone || outcome == StoreOutcome::Unknown;
-        // A connection that was lost: there is nothing left to wait for.
+        // The connection was lost: no answer is pending.
         if (call->open == 0 && call->mayBeDone && call->timer != 0 && !isLate(*call)) {
             m_loop.cancel(std::exchange(call->timer, 0));
             hedge(id, call);
@@ -311,7 +311,7 @@
 
     [[nodiscard]] bool isLate(const WaitingCall& call) const { return m_loop.now() - call.startedAt >= giveUpAfter; }
 
-    /// Ends a call that no try can settle any more, or whose time is over.
+    /// Ends a call that has no open try left, or has timed out.
     template <typename Call>
     void endIfOver(CallId id, const std::shared_ptr<Call>& call)
     {
@@ -351,14 +351,14 @@
 
     void confirm(CallId, const std::shared_ptr<ReadCall>&) { }
 
-    /// What the reads of a transaction's keys told so far.
+    /// Results so far of the reads of a transaction's keys.
     struct Readings {
         std::vector<StoreItem> items;
         std::size_t open = 0;
         bool isWhole = true; ///< No read failed.
     };
 
-    /// Reads all that the transaction writes: one key alone may have got an equal value from another transaction.
+    /// Reads all written keys: a single one may have received an equal value from another transaction.
     void confirm(CallId id, const std::shared_ptr<CommitCall>& call)
     {
         const auto readings = std::make_shared<Readings>();
@@ -386,7 +386,7 @@
             endIfOver(id, call);
     }
 
-    /// A condition that holds after the key was read held before as well: nobody else wrote the key in between.
+    /// A condition that holds after the written keys were read also held before: its key was not written in between.
     void confirmOthers(CallId id, const std::shared_ptr<CommitCall>& call, std::vector<KeyRevision> others, std::uint64_t revision)
     {
         if (others.empty()) {
@@ -406,7 +406,7 @@
         });
     }
 
-    /// Reads a key for a call that still waits.
+    /// Reads a key for a waiting call.
     void readFor(CallId id, const std::shared_ptr<CommitCall>& call, const std::string& key, std::function<void(const ReadResult&)> then)
     {
         ++call->open;
--- a/src/jobs/store/observed_store.cpp
+++ b/src/jobs/store/observed_store.cpp
@@ -19,7 +19,7 @@
     {
     }
 
-    /// \returns `done`, with the end of the call noted.
+    /// \returns `done`, wrapped so that the result of the call is recorded after it.
     template <typename Result>
     std::function<void(Result)> noting(StoreCallKind kind, std::function<void(Result)> done)
     {
@@ -78,7 +78,7 @@
 
 void ObservedStore::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
 {
-    // The store carries a condition out as a transaction.
+    // The store evaluates a condition as a transaction.
     const StoreCallKind kind = query.unless > 0 ? StoreCallKind::Write : StoreCallKind::Read;
     m_impl->store.fetch(std::move(query), m_impl->noting(kind, std::move(done)));
 }
--- a/src/jobs/store/progress_writer.cpp
+++ b/src/jobs/store/progress_writer.cpp
@@ -13,17 +13,16 @@
 
 namespace {
 
-/// Jobs in one transaction: each takes a condition and a write, the ownership one condition.
+/// Maximum jobs per transaction: each takes a condition and a write, the ownership takes one condition.
 constexpr std::size_t mostJobsOfWrite = (mostTransactionEntries - 1) / 2;
-/// Between two writes that are not full: each call is paid for, and an end waits this long only for being
-/// told to the worker, not for what follows it. Measured on tellelag-drift-grown quiet-1: full writes
-/// without a pause write each job at each end and take the owner's processor (served 0.84), 40 ms
-/// let workers wait for their next question (0.90), 15 ms serve 0.99.
+/// Minimum time between two writes that are not full: each call has a cost. Only the acknowledgement of an end to the worker waits
+/// for it, not the work that follows. Without it full writes store each job at each end and exhaust the owner's processor (0.84
+/// of the work is served); at 40 ms workers wait for their next request (0.90); 15 ms serve 0.99.
 constexpr Millis leastGap { 15 };
-/// Under way at once. A worker says what ended next only once the former ends are stored: with one write
-/// of 15 jobs each 15 ms, some 500 jobs under way wait half a second. Four carry 7,000 a second.
+/// Maximum concurrent writes. A worker reports further ends only once the previous ones are stored: with one write
+/// of 15 jobs each 15 ms, some 500 jobs in progress wait half a second. Four carry 7,000 a second.
 constexpr std::size_t mostWrites = 4;
-/// After a call that failed; the store's rates are shared by all entry instances.
+/// After a failed call; all entry instances share the store's rate limits.
 constexpr Millis retryPause { 50 };
 
 } // namespace
@@ -43,7 +42,7 @@
 
     void markChanged(const std::string& id)
     {
-        // A job that is on its way is written again, since it changed after that was read.
+        // A job that is being written is written again, since it changed after its progress was read.
         if (!m_marked.emplace(id, ++m_sequence).second)
             return;
         m_marks.push_back({ m_sequence, m_loop.now() });
@@ -77,8 +76,8 @@
 
 private:
     struct Waiter {
-        std::uint64_t sequence = 0; ///< All marks up to this must be stored,
-        std::string job; ///< of this job; empty: of all.
+        std::uint64_t sequence = 0; ///< All marks up to this one must be stored.
+        std::string job; ///< Only the marks of this job count; empty: those of all jobs.
         std::function<void()> stored;
     };
 
@@ -94,7 +93,7 @@
         std::uint64_t sequence = 0;
     };
 
-    /// A full write goes at once, another one a while after the last.
+    /// Sends a full write at once, another one `leastGap` after the last.
     void sendSoon()
     {
         if (m_stopped || m_order.empty() || m_writes == mostWrites)
@@ -120,7 +119,7 @@
         });
     }
 
-    /// \returns The oldest changed jobs that are not on their way, as many as one write takes.
+    /// \returns The oldest changed jobs that are not being written, at most as many as one write takes.
     std::vector<Sent> takeChanged()
     {
         std::vector<Sent> taken;
@@ -191,8 +190,8 @@
         }
         if (result.outcome == StoreOutcome::Conflict && !learn(result.current))
             return;
-        // The same jobs go again, under the newest revisions; what was sent may also have
-        // been carried out, which the next conflict will show.
+        // The same jobs are written again, under the newest revisions. This write may also have
+        // been applied, which the next conflict will show.
         for (const Sent& job : sent) {
             const auto [mark, inserted] = m_marked.emplace(job.id, job.sequence);
             mark->second = std::min(mark->second, job.sequence);
@@ -205,7 +204,7 @@
             sendLater();
     }
 
-    /// \returns Whether the ownership still stands.
+    /// Applies the keys that a conflict returned. \returns Whether the ownership is still held.
     bool learn(const std::vector<StoreItem>& current)
     {
         const auto owner = std::find_if(current.begin(), current.end(), [&](const StoreItem& item) { return item.key == m_condition.key; });
@@ -220,7 +219,7 @@
         return true;
     }
 
-    /// Answers those whose marks are all stored.
+    /// Calls the waiters whose marks are all stored.
     void settle()
     {
         std::uint64_t oldest = m_sequence + 1;
@@ -238,7 +237,7 @@
             waiter.stored();
     }
 
-    /// \returns The oldest mark of a job that is not stored.
+    /// \returns The oldest mark of a job that is not stored yet.
     [[nodiscard]] std::uint64_t oldestMark(const std::string& id) const
     {
         std::uint64_t oldest = m_sequence + 1;
@@ -255,10 +254,10 @@
     KeyRevision m_condition;
     ProgressSource m_source;
     std::map<std::string, std::uint64_t> m_marked; ///< Changed jobs with the sequence of their first mark.
-    std::deque<Mark> m_marks; ///< From the oldest that is not stored on.
-    std::deque<std::string> m_order; ///< The same jobs, oldest first.
-    std::map<std::string, std::uint64_t> m_writing; ///< Jobs on their way, with the sequence of what is written.
-    std::size_t m_writes = 0; ///< Under way.
+    std::deque<Mark> m_marks; ///< Starting with the oldest that is not stored.
+    std::deque<std::string> m_order; ///< The jobs of `m_marked`, oldest first.
+    std::map<std::string, std::uint64_t> m_writing; ///< Jobs being written, with the sequence of the mark that is written.
+    std::size_t m_writes = 0; ///< In progress.
     std::vector<Waiter> m_waiting;
     std::uint64_t m_sequence = 0;
     MonotonicInstant m_sentAt;
--- a/src/jobs/store/store_condition_tracker.cpp
+++ b/src/jobs/store/store_condition_tracker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Failures of one instant may have one cause, such as a connection that was closed.
+/// Simultaneous failures may have one cause, such as a closed connection.
 constexpr std::uint32_t leastFailures = 2;
 constexpr Millis leastFailureTime { 100 };
 
@@ -45,13 +45,13 @@
 {
     Evidence& evidence = of(kind);
     evidence.answeredAt = std::max(evidence.answeredAt, sentAt);
-    // An answer on its way when the store went out tells nothing of it now.
+    // An answer to a call sent before the first failure does not show that the outage is over.
     if (evidence.failedSince && sentAt <= *evidence.failedSince)
         return;
     evidence = { .answeredAt = evidence.answeredAt };
     if (!isOutage(m_condition.state) || sentAt <= m_condition.since)
         return;
-    // Calls that were sent within the outage still time out, and say nothing of the time after it.
+    // Calls sent during the outage still time out, and are no evidence for the time after it.
     for (Evidence& each : m_evidence)
         each = { .answeredAt = std::max(each.answeredAt, sentAt) };
 }
--- a/src/jobs/store/store_mirror.cpp
+++ b/src/jobs/store/store_mirror.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-/// A page of 1 MB takes 1.1 s over a link of 10 Mbit/s; on most links an answer that takes longer than the first is lost.
+/// A page of 1 MB takes 1.1 s over a link of 10 Mbit/s; on most links an answer that takes longer than the minimum is lost.
 constexpr Millis minPagePatience { 1'000 };
 constexpr Millis maxPagePatience { 4'000 };
 
-/// After an outage, a watch that hears nothing should soon prove that the copy is fresh: the owner starts no task before.
+/// After an outage, an idle watch should soon confirm that the mirror is fresh: the owner starts no task before that.
 constexpr Millis quickWatchTime { 20 };
 
-/// A revision that the store had not passed at a time.
+/// An upper bound of the store's revision at a time.
 struct RevisionBound {
     std::uint64_t revision = 0;
     MonotonicInstant at;
 };
 
-/// Of the revisions that calls tell: one each so often tells the age well enough.
+/// Minimum time between two recorded bounds; more frequent ones hardly improve the known age.
 constexpr Millis boundGap { 20 };
 constexpr std::size_t mostBounds = 128;
 
@@ -41,7 +41,7 @@
     {
     }
 
-    /// What is under way belongs to an earlier generation, and is not heard any more.
+    /// Starts a new generation: answers to calls of earlier ones are ignored.
     void stop()
     {
         ++m_generation;
@@ -136,7 +136,7 @@
     }
 
 private:
-    /// What is under way, or was last.
+    /// The current call, or the last one.
     enum class Call {
         None,
         List,
@@ -163,14 +163,14 @@
 
     void listed(const ItemsResult& result)
     {
-        // Only the failed page is read again: over a slow link a list that starts anew with each failure may never end.
+        // Only the failed page is read again: over a slow link, a listing that restarts after each failure may never complete.
         if (result.outcome != StoreOutcome::Done) {
             m_pagePatience = std::min(2 * m_pagePatience, maxPagePatience);
             later(&Impl::listPage);
             return;
         }
         m_pagePatience = std::max(m_pagePatience / 2, minPagePatience);
-        // Pages are no snapshot: the watch starts where the first page stood.
+        // Pages are no snapshot: the watch starts at the revision of the first page.
         if (m_listRevision == 0)
             m_listRevision = result.storeRevision;
         for (const StoreItem& item : result.items)
@@ -194,7 +194,7 @@
             watch();
     }
 
-    /// Keys that were known and are not listed are gone, unless they were written since.
+    /// Removes known keys that are not listed, unless they were written since.
     void applyListing()
     {
         std::set<std::string> present;
@@ -273,7 +273,7 @@
             watchAfterGap();
     }
 
-    /// The copy is as fresh as the newest bound that it has reached.
+    /// The mirror is as fresh as the newest bound that it has reached.
     void applyBounds()
     {
         while (!m_bounds.empty() && m_bounds.front().revision <= m_at) {
@@ -287,16 +287,16 @@
     StoreMirrorOptions m_options;
     ItemObserver m_observer;
     std::vector<StoreItem> m_listed;
-    Millis m_pagePatience = minPagePatience; ///< Doubled with each page that failed, halved with each that came.
+    Millis m_pagePatience = minPagePatience; ///< Doubled after each failed page, halved after each received one.
     std::string m_listedUpTo; ///< Last key of the pages listed so far.
     std::uint64_t m_listRevision = 0;
     MonotonicInstant m_listStart;
     TimerId m_gapTimer = 0;
     Call m_call = Call::None;
     MonotonicInstant m_callSentAt;
-    std::uint64_t m_at = 0; ///< Where the watch goes on.
-    std::deque<RevisionBound> m_bounds; ///< Not reached yet, in the order of time.
-    std::uint64_t m_generation = 0; ///< Of the calls under way.
+    std::uint64_t m_at = 0; ///< Where the next watch continues.
+    std::deque<RevisionBound> m_bounds; ///< Not reached yet, oldest first.
+    std::uint64_t m_generation = 0; ///< Of the calls in progress.
     std::function<void()> m_whenListed;
 };
 
--- a/tests/jobs/document_copy_test.cpp
+++ b/tests/jobs/document_copy_test.cpp
@@ -1,4 +1,4 @@
-/// A copy of one document of the store: what proves its age, and what it costs.
+/// The replica of one document of the store: the bound on its age, and what it transfers.
 
 #include "lanemoor/jobs/store/document_copy.h"
 #include "standins/model/store_model.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t narrowLink = 1'250; ///< Bytes a ms: 10 Mbit/s.
+constexpr std::size_t narrowLink = 1'250; ///< Bytes per ms: 10 Mbit/s.
 
 struct FollowedDocument {
     explicit FollowedDocument(std::size_t linkBytesPerMs = 0)
@@ -31,7 +31,7 @@
         m_putAt = clock.now();
     }
 
-    /// Checks the promise of the copy for some time, each ms.
+    /// Runs for some time and checks the replica's guarantee each ms.
     void run(Millis time)
     {
         std::size_t falseProofs = 0;
@@ -58,7 +58,7 @@
     StoreClient client;
     std::vector<DocumentReading> readings;
     DocumentCopy copy;
-    Millis oldest { 0 }; ///< Age of the proof.
+    Millis oldest { 0 }; ///< Longest time since the replica was last known to be current.
 
 private:
     std::uint64_t m_put = 0;
@@ -68,7 +68,7 @@
 
 } // namespace
 
-// Guards against a document that is read again and again though it stays as it is.
+// Guards against repeated transfers of an unchanged document.
 TEST_CASE("A document that stays as it is is transferred once, and its proof stays young")
 {
     FollowedDocument followed(narrowLink);
@@ -83,7 +83,7 @@
     CHECK(followed.copy.counts().comparisons > 80);
 }
 
-// Guards against a copy that follows a storm of large changes one by one, and falls behind for as long as the storm lasts.
+// Guards against a replica that transfers each of many large changes, and lags until the burst ends.
 TEST_CASE("Of large changes in quick succession the newest is read, and the proof stays younger than two transfers and a check")
 {
     FollowedDocument followed(narrowLink);
@@ -100,7 +100,7 @@
     CHECK(followed.isNewest());
 }
 
-// Guards against a document that is transferred twice because a check meets its change.
+// Guards against a document that is transferred twice because a check coincides with its change.
 TEST_CASE("A change that both a watch and a check bring is transferred once")
 {
     for (Millis at { 0 }; at < Millis(800); at += Millis(1)) {
@@ -118,7 +118,7 @@
     }
 }
 
-// Guards against a watch that was cut silently and stands for a document that does not change.
+// Guards against a watch whose connection was lost without an error, and is taken for one of an unchanged document.
 TEST_CASE("A change is read by the next check while watches hear nothing")
 {
     for (const std::size_t bytes : { 100, 1'000'000 }) {
@@ -134,7 +134,7 @@
     }
 }
 
-// Guards against reads that compare revisions for ever: their answers are lost with those of writes.
+// Guards against endless comparisons of revisions: their answers are lost with those of writes.
 TEST_CASE("A document is read though all answers to transactions are lost")
 {
     FollowedDocument followed;
@@ -148,7 +148,7 @@
     CHECK(followed.clock.now() - followed.copy.provenAt() < Millis(800));
 }
 
-// Guards against lost answers that make a document's proof old at once.
+// Guards against a single lost answer that lets the replica become stale.
 TEST_CASE("A check whose answer does not begin is repeated before it times out")
 {
     FollowedDocument followed;
--- a/tests/jobs/front_test.cpp
+++ b/tests/jobs/front_test.cpp
@@ -1,4 +1,4 @@
-/// Callers' requests through the platform's front, on the models; and the metrics.
+/// Callers' requests through the platform's HTTP handlers, on the models; and the metrics.
 
 #include "platform/adapters.h"
 #include "support.h"
@@ -15,7 +15,7 @@
 
 constexpr const char* oneTask = R"({"spec":"x","steps":[{"count":1,"cpu":100}]})";
 
-/// \returns The answer of entry `index`, waited for on the simulated clock.
+/// \returns The response of entry `index`, waited for on the simulated clock.
 HttpResponse ask(SmallCluster& cluster, const std::string& method, const std::string& target, const std::string& body = {}, const std::string& host = "h:80", std::size_t index = 0)
 {
     HttpRequest request { .method = method, .target = target, .headers = {}, .body = body };
@@ -103,8 +103,8 @@
 
 TEST_CASE("An instance whose calls to the store are lost refuses truly, and says that it is not ready")
 {
-    // Found by an incident on tellelag-drift: for seconds, each job got "unknown" within 20 ms from
-    // an instance whose connections to the store were reset, 305 times.
+    // An incident on tellelag-drift: for seconds, an instance whose connections to the store were reset
+    // answered each job with "unknown" within 20 ms, 305 times.
     SmallCluster cluster;
     const std::size_t entry = (cluster.owner().value() + 1) % cluster.entries();
     cluster.resetStoreCalls(entry, true);
@@ -125,7 +125,7 @@
 
 TEST_CASE("A job whose outcome is unknown is not refused as not taken when it is sent again")
 {
-    // Found by reading: its first write may yet be carried out.
+    // The first write of the job may still be applied later.
     SmallCluster cluster;
     const std::size_t entry = (cluster.owner().value() + 1) % cluster.entries();
     cluster.resetStoreCalls(entry, true);
@@ -139,7 +139,7 @@
     cluster.clock.runFor(Millis(50));
     const std::vector<AcceptOutcome> expected { AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::NotTaken };
     CHECK(outcomes == expected);
-    // Refused by the store itself, the first one is still in doubt.
+    // The store itself refuses both; the outcome of the first job is still unknown.
     cluster.resetStoreCalls(entry, false);
     cluster.clock.runFor(Millis(1'500));
     cluster.store.trouble.refusing = true;
@@ -161,7 +161,7 @@
     cluster.entry(owner).stop([&] { stopped = true; });
     CHECK_FALSE(cluster.entry(owner).isReady());
     CHECK(cluster.waitFor(Millis(500), [&] { return cluster.owner().has_value() && cluster.owner() != owner; }));
-    // Found by rolling restarts on the bench: the balancer sent callers to a closed port for 2 s.
+    // In rolling restarts the balancer sent callers to a closed port for 2 s.
     cluster.clock.runFor(Millis(1'800));
     CHECK_FALSE(stopped);
     cluster.submit(owner, "work", jobId(2), job({ step(1) }));
--- a/tests/jobs/hedged_store_test.cpp
+++ b/tests/jobs/hedged_store_test.cpp
@@ -1,5 +1,5 @@
-/// Lost answers cost a third of a day: a write without an answer waited for its time-out of 1 s, and what depended on it was
-/// dropped as too late. These tests guard the repeats that settle such writes, and what a repeat must not claim.
+/// Lost answers cost a third of a day: a write without an answer waited for its timeout of 1 s, and work that depended on it was
+/// dropped as too late. These tests guard the repeats that settle such writes, and the outcomes that a repeat must not report.
 
 #include "lanemoor/jobs/store/hedge_budget.h"
 #include "lanemoor/jobs/store/hedged_store.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A store whose answers to reads and transactions are given by the test, in the order of the calls.
+/// A store in which the test answers reads and transactions, listed in the order of the calls.
 class ScriptedStore final : public KeyValueStore {
 public:
     struct Commit {
@@ -109,7 +109,7 @@
         hedged.scripted.commits[1].done({ .outcome = StoreOutcome::Done, .revision = 12, .current = {} });
         REQUIRE(hedged.outcome);
         CHECK(hedged.outcome->revision == 12);
-        // Carried out late, the first one meets the second's values; nobody hears of it.
+        // The first try arrives late and conflicts with the second's values; its answer is ignored.
         hedged.scripted.commits[0].done(conflict(Hedged::currentOf("1", 5)));
     }
     CHECK(hedged.store.counts().settled == 1);
@@ -195,7 +195,7 @@
         hedged.scripted.reads[2].done({ .outcome = StoreOutcome::Done, .item = { .key = "owner", .value = "o", .revision = 6 } });
         CHECK(!hedged.outcome);
     }
-    // Two entry instances stored one job with equal values; the other jobs of the second batch were told as accepted, and lost.
+    // Two entry instances stored one job with equal values; the other jobs of the second batch were reported as accepted, and lost.
     SECTION("not where only the first key has the value")
     {
         hedged.scripted.reads[0].done(ownA);
@@ -218,7 +218,7 @@
     }
 }
 
-// Guards against a call that waits for ever: its connection is lost at once, and that of each repeat.
+// Guards against a call that never ends because its connection and those of its repeats are lost at once.
 TEST_CASE("A call whose tries all lose their connection ends")
 {
     Hedged hedged;
@@ -262,7 +262,7 @@
     CHECK(hedged.outcome->outcome == StoreOutcome::NotDone);
 }
 
-// Guards against repeats that add load to a store which is slow for the load that it has.
+// Guards against repeats that add load to an overloaded store.
 TEST_CASE("A slow store gets no more repeats than the budget")
 {
     Hedged hedged;
--- a/tests/jobs/http_test.cpp
+++ b/tests/jobs/http_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr Millis patience { 5'000 };
 
-/// A loop that runs until a reply came or patience ended.
+/// Makes calls and runs the event loop until each has a reply.
 struct Exchange {
     AsioEventLoop loop;
 
@@ -42,7 +42,7 @@
     return { .method = "POST", .target = "/x?y=1", .headers = {}, .body = body };
 }
 
-/// \returns All that the listener on `port` answers to `text` until it closes.
+/// \returns All bytes that the listener on `port` sends after `text` until it closes the connection.
 std::string rawExchange(std::uint16_t port, const std::string& text)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -112,7 +112,7 @@
 
 TEST_CASE("A call on a kept connection that the peer closes is not sent a second time")
 {
-    // The library that the request service uses sends such a call again by itself.
+    // The library that the request service uses retries such a call automatically.
     Exchange exchange;
     int seen = 0;
     std::optional<HttpListener> listener;
@@ -185,7 +185,7 @@
     CHECK(exchange.call(client, { "127.0.0.1", listener.port() }, post("ok")).response.status == 200);
 }
 
-// Guards against calls that wait for a connection and are sent when their callers have given them up.
+// Guards against calls that wait for a connection and are sent after their callers timed out.
 TEST_CASE("A call whose time is over before a connection is free is never sent")
 {
     Exchange exchange;
@@ -209,7 +209,7 @@
 
 namespace {
 
-/// A server that accepts one connection and sends an answer of `parts` parts of its body, one after each pause.
+/// A server that accepts one connection and sends `partsSent` of ten parts of a response body, with a pause after each.
 struct SlowServer {
     SlowServer(std::size_t partsSent, Millis pause)
     {
@@ -253,7 +253,7 @@
     std::thread m_thread;
 };
 
-/// \returns What came of a call whose answer has to begin within 200 ms and may take 5 s; `begun` is counted up.
+/// \returns The reply to a call whose response has to begin within 200 ms and may take 5 s; increments `begun` when it begins.
 HttpReply callSlow(std::uint16_t port, int& begun, bool wantsRest = true)
 {
     Exchange exchange;
@@ -275,7 +275,7 @@
 
 } // namespace
 
-// Guards against large answers that are given up while they arrive, and asked for again over the same link.
+// Guards against large responses that time out while they arrive, and are requested again over the same link.
 TEST_CASE("An answer that keeps arriving is waited for beyond the time in which it has to begin")
 {
     const SlowServer server(10, Millis(50));
@@ -286,7 +286,7 @@
     CHECK(begun == 1);
 }
 
-// Guards against two answers with one document that share a narrow link.
+// Guards against two transfers of one document over a narrow link at once.
 TEST_CASE("An answer whose rest is not wanted ends when it begins")
 {
     const SlowServer server(10, Millis(200));
--- a/tests/jobs/peer_sockets_test.cpp
+++ b/tests/jobs/peer_sockets_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr Millis patience { 5'000 };
 
-/// A process that accepts links, and one that makes them, on one loop.
+/// A process that accepts links and one that opens them, on one event loop.
 struct Ends {
     AsioEventLoop loop;
     PeerSockets server { loop, { .address = { "127.0.0.1", 0 } } };
@@ -43,7 +43,7 @@
         return link;
     }
 
-    /// \returns Whether `holds` came to hold within the patience.
+    /// \returns Whether `holds` became true before the timeout.
     bool waitFor(const std::function<bool()>& holds)
     {
         const jobs::MonotonicInstant until = loop.now() + patience;
--- a/tests/jobs/store_condition_test.cpp
+++ b/tests/jobs/store_condition_test.cpp
@@ -1,5 +1,5 @@
-/// Each part of a process detected an outage of the store by itself, and waited for its own timers when the store was back. These
-/// tests guard the one state that all go by, and that it neither flaps with single failures nor is kept by calls of the outage.
+/// Each part of a process used to detect an outage of the store separately, and waited for its own timers after it. These tests
+/// guard the state that all parts share: single failures don't change it, and late results of calls sent in an outage don't extend it.
 
 #include "lanemoor/jobs/store/store_condition_tracker.h"
 #include "lanemoor/jobs/store/store_retries.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Calls of one process, ended in 4 ms or after a time-out of 1 s.
+/// Calls of one process that end after 4 ms or after a timeout of 1 s.
 struct Calls {
     void end(StoreCallKind kind, StoreOutcome outcome, Millis took = Millis(4))
     {
@@ -46,7 +46,7 @@
     CHECK(calls.state() == StoreState::Silent);
     calls.end(StoreCallKind::Read, StoreOutcome::NotFound);
     CHECK(calls.state() == StoreState::Writing);
-    // A call of the outage that times out now.
+    // Calls sent during the outage time out only now.
     calls.tracker.note(StoreCallKind::Write, StoreOutcome::Unknown, begin, calls.now + timeout);
     calls.tracker.note(StoreCallKind::Write, StoreOutcome::Unknown, begin, calls.now + timeout);
     CHECK(calls.state() == StoreState::Writing);
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -1,9 +1,10 @@
-/// A copy of the store said that it was fresh while it was seconds behind: its age told when a watch was last answered, not what
-/// the answer brought. One answer brings about 500 changes; with half a second between two of them a copy that is not the
-/// owner's fell behind for good beyond 1,000 changes a second, and went on saying that it was at most half a second old.
+/// A mirror of the store reported itself as fresh while it lagged by seconds: its age was the time since a watch was last answered,
+/// whatever the answer contained. One answer holds about 500 changes, so with half a second between two watches a mirror that is
+/// not the owner's lagged more and more beyond 1,000 changes a second, and still reported an age of at most half a second.
 ///
-/// Cause: "the store answers" and "all of the store is here" were one figure. What proved it are answers of 500 to 510 changes
-/// whose last one was where the watch was to go on, and a claim that took 2.8 s to reach its own revision with an age of 125 ms.
+/// Cause: one time stood for both "the store answers" and "the mirror holds all that the store holds". It showed in answers of 500
+/// to 510 changes that ended at the revision where the watch continued, and in a claim of ownership that took 2.8 s to reach its
+/// own revision at a reported age of 125 ms.
 
 #include "lanemoor/jobs/store/store_mirror.h"
 #include "support.h"
@@ -22,7 +23,7 @@
 
 constexpr Millis tick { 1 };
 
-/// A copy of the keys under `a/` of a store whose answers bring a part of the changes, and all that was written there.
+/// A mirror of the keys under `a/` of a store that truncates its answers, and all that was written there.
 struct WatchedStore {
     WatchedStore(std::uint64_t seed, Millis leastGap, bool resumesImmediately = false)
         : random(seed)
@@ -45,7 +46,7 @@
         }
     }
 
-    /// \returns Writes that a copy as fresh as this one says holds, and that it does not hold.
+    /// \returns The number of writes that the mirror lacks though they are older than its `freshAt`.
     [[nodiscard]] std::size_t missing() const
     {
         std::size_t count = 0;
@@ -72,7 +73,7 @@
 
 } // namespace
 
-// Guards against a list that starts anew with each page that fails: instances on slow links took no jobs for the rest of a day.
+// Guards against a listing that restarts after each failed page: instances on slow links accepted no jobs for the rest of a day.
 TEST_CASE("A listing of many pages ends though pages are lost")
 {
     WatchedStore watched(1, Millis(0));
@@ -128,7 +129,7 @@
         CHECK((watched.mirror.counts().changes > 1'400) == resumesImmediately);
         CHECK(watched.store.calls() - before < 30);
         CHECK(watched.mirror.counts().parts > 0);
-        // That the store answers is told by either.
+        // Both report that the store answers.
         CHECK(watched.clock.now() - watched.mirror.answeredAt() <= Millis(550));
     }
 }
@@ -138,7 +139,7 @@
     SmallCluster cluster(1, 2, 0, 0);
     cluster.store.trouble.mostEvents = 100;
     cluster.store.trouble.answerTime = Millis(600);
-    std::deque<std::size_t> accepted; // At the end of each tenth of a second.
+    std::deque<std::size_t> accepted; // At the end of each 100 ms.
     std::uint64_t number = 0;
     std::size_t counts = 0;
     for (int tenth = 0; tenth < 120; ++tenth) {
--- a/tests/jobs/suspended_machine_test.cpp
+++ b/tests/jobs/suspended_machine_test.cpp
@@ -1,6 +1,6 @@
-/// A machine that is suspended for seconds: the steady clock does not count that time. An owner that goes by it believes, once it
-/// runs again, that it still holds a lease which has long lapsed and which another instance has taken since; where nobody
-/// checks fences it might then act on instances out of turn.
+/// A machine is suspended for seconds, and the steady clock does not count that time. An owner that used it would assume after the
+/// resume that it still holds a lease which has expired and which another instance has taken; where fencing tokens are not checked,
+/// it could then act on instances without the right to.
 
 #include "lanemoor/aio/http_client.h"
 #include "support.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A machine that was suspended for an hour since it started: what counts that time is as far ahead of what does not.
+/// The clock of a machine that was suspended for an hour: it is an hour ahead of the steady clock, which does not count that time.
 jobs::MonotonicInstant anHourAhead()
 {
     return std::chrono::time_point_cast<std::chrono::microseconds>(std::chrono::steady_clock::now()) + std::chrono::hours(1);
@@ -26,7 +26,7 @@
 constexpr Millis soon { 100 };
 constexpr std::chrono::seconds patience { 10 };
 
-/// \returns Whether `happened` was set before patience ended, by the steady clock.
+/// \returns Whether `happened` was set before the timeout on the steady clock.
 bool runUntil(AsioEventLoop& loop, const bool& happened)
 {
     const auto end = std::chrono::steady_clock::now() + patience;
--- a/tests/jobs/wire_test.cpp
+++ b/tests/jobs/wire_test.cpp
@@ -1,4 +1,4 @@
-/// The platform's messages in both directions, by examples of our own.
+/// The platform's messages in both directions, tested by examples.
 
 #include "platform/wire.h"
 
@@ -163,7 +163,7 @@
 
 namespace {
 
-/// \returns A value of any type, with bounds of numbers among them.
+/// \returns A random value of any type, including the limits of numbers.
 json anyValue(int depth = 0)
 {
     const std::array<json, 12> plain { json(), json(true), json(0), json(-1), json(1e300), json(-2.5), json(std::numeric_limits<std::uint64_t>::max()), json(std::numeric_limits<std::int64_t>::min()), json(""), json("text"), json::array(), json::object() };
@@ -173,7 +173,7 @@
     return kind == plain.size() ? json::array({ anyValue(depth + 1) }) : json { { "cpu", anyValue(depth + 1) }, { "name", anyValue(depth + 1) } };
 }
 
-/// Puts a value of any type somewhere into `document`.
+/// Replaces a random part of `document` by a value of any type.
 void spoil(json& document)
 {
     json* place = &document;
