--- a/include/lanemoor/aio/http_client.h
+++ b/include/lanemoor/aio/http_client.h
@@ -26,7 +26,7 @@
     HttpRequest request;
     jobs::MonotonicInstant deadline; ///< For the response to begin, and to be complete unless `transferDeadline` is set.
     /// For the complete response if its body has begun by `deadline` and no pause in it exceeds
-    /// `HttpClientOptions::stallTime`.
+    /// `HttpClientOptions::stallTimeout`.
     std::optional<jobs::MonotonicInstant> transferDeadline {};
     /// Called at most once, when the body begins to arrive, unless the response is already complete. \returns Whether to read the
     /// rest; otherwise the connection is closed. May be null.
@@ -41,11 +41,11 @@
 
 /// Limits and timeouts of a client.
 struct HttpClientOptions {
-    std::uint32_t mostConnections = 8; ///< Per address; further calls wait.
-    Millis connectTime { 1'000 }; ///< A path that drops packets reports no error, and the kernel retries for minutes.
-    std::uint64_t mostResponseBytes = 8'388'608; ///< More than eight times the store's largest page.
-    Millis stallTime { 1'000 }; ///< A response of which nothing more arrives for this time is lost.
-    Millis idleTime { 20'000 }; ///< A connection unused for this time is closed.
+    std::uint32_t maxConnections = 8; ///< Per address; further calls wait.
+    Millis connectTimeout { 1'000 }; ///< A path that drops packets reports no error, and the kernel retries for minutes.
+    std::uint64_t maxResponseBytes = 8'388'608; ///< More than eight times the store's largest page.
+    Millis stallTimeout { 1'000 }; ///< A response of which nothing more arrives for this time is lost.
+    Millis idleTimeout { 20'000 }; ///< A connection unused for this time is closed.
 };
 
 /// Counts since the start.
--- a/include/lanemoor/aio/http_listener.h
+++ b/include/lanemoor/aio/http_listener.h
@@ -18,11 +18,11 @@
 /// Address, limits and timeouts of a listener.
 struct HttpListenerOptions {
     HttpAddress address; ///< Port 0: chosen by the kernel.
-    std::uint32_t mostConnections = 1'500; ///< Further ones are closed at once; well below an entry's limit of file descriptors.
-    std::uint32_t mostHeaderBytes = 16'384;
-    std::uint64_t mostBodyBytes = 1'048'576;
-    Millis requestTime { 10'000 }; ///< From the first byte of a request to its last.
-    Millis idleTime { 75'000 }; ///< Between requests; longer than the pauses of the balancer's clients.
+    std::uint32_t maxConnections = 1'500; ///< Further ones are closed at once; well below an entry's limit of file descriptors.
+    std::uint32_t maxHeaderBytes = 16'384;
+    std::uint64_t maxBodyBytes = 1'048'576;
+    Millis requestTimeout { 10'000 }; ///< From the first byte of a request to its last.
+    Millis idleTimeout { 75'000 }; ///< Between requests; longer than the pauses of the balancer's clients.
 };
 
 /// \brief Reads requests, passes them to a handler and writes the responses, in order on each
--- a/include/lanemoor/aio/peer_sockets.h
+++ b/include/lanemoor/aio/peer_sockets.h
@@ -14,12 +14,12 @@
 /// Address, limits and timeouts of the links.
 struct PeerSocketsOptions {
     HttpAddress address; ///< Where others reach this process; port 0: chosen by the kernel.
-    Millis connectTime { 1'000 }; ///< A path that drops packets reports no error.
-    std::uint32_t mostFrameBytes = 8'388'608; ///< Frames hold the messages of some ms, usually a few kB.
+    Millis connectTimeout { 1'000 }; ///< A path that drops packets reports no error.
+    std::uint32_t maxFrameBytes = 8'388'608; ///< Frames hold the messages of some ms, usually a few kB.
     /// Bytes queued for a peer that does not read; above this limit the link is closed. Heartbeats detect such a
     /// peer within a second, in which a loaded owner sends some 100 kB.
-    std::size_t mostWaitingBytes = 4'194'304;
-    std::uint32_t mostLinks = 512; ///< Accepted links; further ones are closed at once.
+    std::size_t maxQueuedBytes = 4'194'304;
+    std::uint32_t maxLinks = 512; ///< Accepted links; further ones are closed at once.
 };
 
 /// \brief TCP connections that carry frames: four bytes of length in network byte order, then the
--- a/include/lanemoor/jobs/service/job_metrics.h
+++ b/include/lanemoor/jobs/service/job_metrics.h
@@ -9,7 +9,7 @@
 #include "lanemoor/jobs/owner/job_report.h"
 #include "lanemoor/jobs/owner/job_scheduler.h"
 #include "lanemoor/jobs/policy/reachability.h"
-#include "lanemoor/jobs/store/document_copy.h"
+#include "lanemoor/jobs/store/document_replica.h"
 #include "lanemoor/jobs/store/hedged_store.h"
 #include "lanemoor/jobs/store/store_mirror.h"
 
@@ -37,7 +37,7 @@
     bool owner = false;
     std::uint64_t configurationVersion = 0;
     double configurationAgeSeconds = 0; ///< Since the store was known to hold no newer one.
-    DocumentCopyCounts configurationReads;
+    DocumentReplicaCounts configurationReads;
     std::uint64_t jobs = 0; ///< Known from the store.
     double storeAgeSeconds = 0; ///< Since the copy of the jobs was last known to be fresh.
     std::vector<CopyReading> copies;
--- a/include/lanemoor/jobs/store/document_copy.h
+++ b/include/lanemoor/jobs/store/document_replica.h
@@ -14,7 +14,7 @@
 namespace lanemoor::jobs {
 
 /// Options of a replica.
-struct DocumentCopyOptions {
+struct DocumentReplicaOptions {
     std::string key;
     Millis checkEvery { 700 }; ///< Between two checks for a newer document.
     Millis overdueAfter { 250 }; ///< A check whose answer has not begun after this time is repeated once.
@@ -33,7 +33,7 @@
 [[nodiscard]] std::string_view nameOf(DocumentCall call) noexcept;
 
 /// Result of a call.
-struct DocumentReading {
+struct DocumentCallResult {
     DocumentCall call = DocumentCall::Read;
     StoreOutcome outcome = StoreOutcome::Unknown;
     MonotonicInstant dueAt; ///< When the call was due; `sentAt` is later if the event loop was busy.
@@ -43,24 +43,24 @@
     /// Upper bound of the store's revision when the call was sent; 0: the answer has none.
     std::uint64_t newRevision = 0;
 
-    [[nodiscard]] bool operator==(const DocumentReading&) const = default;
+    [[nodiscard]] bool operator==(const DocumentCallResult&) const = default;
 };
 
 /// Counts since the start.
-struct DocumentCopyCounts {
+struct DocumentReplicaCounts {
     std::uint64_t watches = 0;
     std::uint64_t reads = 0;
     std::uint64_t comparisons = 0;
     std::uint64_t unanswered = 0;
     std::uint64_t bytes = 0;
 
-    [[nodiscard]] bool operator==(const DocumentCopyCounts&) const = default;
+    [[nodiscard]] bool operator==(const DocumentReplicaCounts&) const = default;
 };
 
 /// Callbacks of a replica, called on the event loop.
 struct DocumentObserver {
     std::function<void(const StoreItem&)> changed; ///< Called with each newer document.
-    std::function<void(const DocumentReading&)> ended; ///< Called when a call ends; may be null.
+    std::function<void(const DocumentCallResult&)> ended; ///< Called when a call ends; may be null.
 };
 
 /// \brief Keeps a replica of one document of the store up to date.
@@ -72,12 +72,12 @@
 /// The transfer of a document may take longer than the time between two checks. So there is one transfer at a time, and no call is
 /// sent while an answer arrives. A large answer to a watch may end before the newest version; the replica then checks repeatedly
 /// until there is nothing newer, which skips the versions in between.
-class DocumentCopy {
+class DocumentReplica {
 public:
-    DocumentCopy(EventLoop& loop, KeyValueStore& store, DocumentCopyOptions options, DocumentObserver observer);
-    ~DocumentCopy();
-    DocumentCopy(const DocumentCopy&) = delete;
-    DocumentCopy& operator=(const DocumentCopy&) = delete;
+    DocumentReplica(EventLoop& loop, KeyValueStore& store, DocumentReplicaOptions options, DocumentObserver observer);
+    ~DocumentReplica();
+    DocumentReplica(const DocumentReplica&) = delete;
+    DocumentReplica& operator=(const DocumentReplica&) = delete;
 
     /// \brief Starts to read and to watch the document.
     void start();
@@ -92,7 +92,7 @@
     /// \returns When the latest answered call was sent.
     [[nodiscard]] MonotonicInstant answeredAt() const noexcept;
 
-    [[nodiscard]] const DocumentCopyCounts& counts() const noexcept;
+    [[nodiscard]] const DocumentReplicaCounts& counts() const noexcept;
 
 private:
     class Impl;
--- a/include/lanemoor/jobs/store/hedge_budget.h
+++ b/include/lanemoor/jobs/store/hedge_budget.h
@@ -33,7 +33,7 @@
     }
 
     /// \brief Returns the tokens of repeats that settled a call.
-    void giveBack(unsigned tokens) noexcept { add(tokens); }
+    void refund(unsigned tokens) noexcept { add(tokens); }
 
 private:
     void add(double tokens) noexcept { m_tokens = std::min(m_tokens + tokens, m_burst); }
--- a/include/lanemoor/jobs/store/store_condition_tracker.h
+++ b/include/lanemoor/jobs/store/store_condition_tracker.h
@@ -41,8 +41,8 @@
         std::uint32_t failures = 0;
     };
 
-    [[nodiscard]] Evidence& of(StoreCallKind kind) noexcept { return m_evidence[static_cast<std::size_t>(kind)]; }
-    [[nodiscard]] static bool fails(const Evidence& evidence, MonotonicInstant now) noexcept;
+    [[nodiscard]] Evidence& evidenceOf(StoreCallKind kind) noexcept { return m_evidence[static_cast<std::size_t>(kind)]; }
+    [[nodiscard]] static bool isFailing(const Evidence& evidence, MonotonicInstant now) noexcept;
     void noteAnswered(StoreCallKind kind, MonotonicInstant sentAt) noexcept;
     void noteFailed(StoreCallKind kind, StoreOutcome outcome, MonotonicInstant sentAt) noexcept;
     [[nodiscard]] StoreState stateAt(MonotonicInstant now) noexcept;
--- a/include/lanemoor/jobs/store/store_mirror.h
+++ b/include/lanemoor/jobs/store/store_mirror.h
@@ -18,7 +18,7 @@
     std::string prefix;
     Millis watchTime { 2'000 }; ///< How long a watch waits for a change before it is renewed.
     Millis retryPause { 200 }; ///< After a failed call.
-    Millis leastGap { 0 }; ///< Minimum time between two watches: each call has a cost, so changes are batched.
+    Millis minWatchGap { 0 }; ///< Minimum time between two watches: each call has a cost, so changes are batched.
     bool resumesImmediately = false; ///< Polls again without delay after a truncated batch; false: a lag is accepted.
 };
 
@@ -26,7 +26,7 @@
 struct StoreMirrorCounts {
     std::uint64_t answers = 0; ///< Answers to watches.
     std::uint64_t changes = 0; ///< Changes in these answers.
-    std::uint64_t parts = 0; ///< Answers that may have been a partial batch of the changes.
+    std::uint64_t partialBatches = 0; ///< Answers that may have been a partial batch of the changes.
 
     [[nodiscard]] bool operator==(const StoreMirrorCounts&) const = default;
 };
@@ -61,7 +61,7 @@
 
     /// \brief Sets the minimum time between two watches, how long a watch waits for a change, and whether the next one follows a
     /// truncated batch without delay. Ends a current wait between two watches.
-    void setPace(Millis leastGap, Millis watchTime, bool resumesImmediately);
+    void setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately);
 
     /// \brief Resends the current call, or the one that waits for its retry, at once if it was sent before `sentBefore`. For use
     /// when the store becomes available again.
@@ -88,7 +88,7 @@
     [[nodiscard]] std::uint64_t revisionOf(const std::string& key) const;
 
     /// \brief Calls `reached` once every change up to `revision` has been received.
-    void whenAt(std::uint64_t revision, std::function<void()> reached);
+    void whenRevisionReached(std::uint64_t revision, std::function<void()> reached);
 
     /// \brief Applies what this process wrote or read, ahead of the watch.
     void noteWritten(const StoreItem& item);
--- a/src/aio/asio_event_loop.cpp
+++ b/src/aio/asio_event_loop.cpp
@@ -67,7 +67,7 @@
         return id;
     }
     auto& timer = m_impl->timers[id];
-    timer = std::make_unique<boost::asio::steady_timer>(m_impl->context, m_impl->onTimerClock(when));
+    timer = std::make_unique<boost::asio::steady_timer>(m_impl->context, m_impl->toTimerClock(when));
     timer->async_wait([impl = m_impl.get(), id, callback = std::move(callback)](const boost::system::error_code& error) {
         if (error || impl->timers.erase(id) == 0)
             return;
--- a/src/aio/http_client.cpp
+++ b/src/aio/http_client.cpp
@@ -47,7 +47,7 @@
 struct Peer {
     HttpAddress address;
     std::deque<ConnectionPointer> idle;
-    std::deque<PendingCall> waiting;
+    std::deque<PendingCall> queued;
     std::uint32_t connections = 0; ///< Including idle ones.
 };
 
@@ -99,8 +99,8 @@
         ++counts.calls;
         Peer& peer = m_peers[address.ip + ':' + std::to_string(address.port)];
         peer.address = address;
-        peer.waiting.push_back(std::move(pending));
-        serve(peer);
+        peer.queued.push_back(std::move(pending));
+        sendQueued(peer);
     }
 
     void forget(const HttpAddress& address)
@@ -117,14 +117,14 @@
 
 private:
     /// Assigns queued calls to idle or new connections.
-    void serve(Peer& peer)
+    void sendQueued(Peer& peer)
     {
-        while (!peer.waiting.empty()) {
+        while (!peer.queued.empty()) {
             ConnectionPointer connection = takeIdle(peer);
-            if (!connection && peer.connections >= m_options.mostConnections)
+            if (!connection && peer.connections >= m_options.maxConnections)
                 return;
-            PendingCall pending = std::move(peer.waiting.front());
-            peer.waiting.pop_front();
+            PendingCall pending = std::move(peer.queued.front());
+            peer.queued.pop_front();
             if (connection) {
                 connection->pending = std::move(pending);
                 write(peer, connection);
@@ -141,7 +141,7 @@
         while (!peer.idle.empty()) {
             ConnectionPointer connection = peer.idle.back();
             peer.idle.pop_back();
-            if (m_loop.now() - connection->idleSince < m_options.idleTime && isUsable(*connection))
+            if (m_loop.now() - connection->idleSince < m_options.idleTimeout && isUsable(*connection))
                 return connection;
             --peer.connections;
         }
@@ -158,7 +158,7 @@
             boost::asio::post(m_context, [self = shared_from_this(), &peer, connection] { self->finish(peer, connection, { .delivery = Delivery::NotSent }, false); });
             return;
         }
-        connection->stream.expires_at(m_loop.impl().onTimerClock(std::min(connection->pending.call.deadline, m_loop.now() + m_options.connectTime)));
+        connection->stream.expires_at(m_loop.impl().toTimerClock(std::min(connection->pending.call.deadline, m_loop.now() + m_options.connectTimeout)));
         connection->stream.async_connect(Tcp::endpoint(ip, peer.address.port), [self = shared_from_this(), &peer, connection](const beast::error_code& error) {
             if (error) {
                 self->finish(peer, connection, { .delivery = Delivery::NotSent }, false);
@@ -179,8 +179,8 @@
         }
         connection->request = makeRequest(peer.address, connection->pending.call.request);
         connection->parser.emplace();
-        connection->parser->body_limit(m_options.mostResponseBytes);
-        connection->stream.expires_at(m_loop.impl().onTimerClock(connection->pending.call.deadline));
+        connection->parser->body_limit(m_options.maxResponseBytes);
+        connection->stream.expires_at(m_loop.impl().toTimerClock(connection->pending.call.deadline));
         http::async_write(connection->stream, connection->request, [self = shared_from_this(), &peer, connection](const beast::error_code& error, std::size_t) {
             if (error) {
                 self->finish(peer, connection, {}, false);
@@ -218,7 +218,7 @@
             return true;
         HttpCall& call = connection.pending.call;
         if (call.transferDeadline)
-            connection.stream.expires_at(m_loop.impl().onTimerClock(std::min(m_loop.now() + m_options.stallTime, *call.transferDeadline)));
+            connection.stream.expires_at(m_loop.impl().toTimerClock(std::min(m_loop.now() + m_options.stallTimeout, *call.transferDeadline)));
         const std::function<bool()> begun = std::exchange(call.begun, nullptr);
         return !begun || begun();
     }
@@ -237,7 +237,7 @@
             connection->stream.socket().close(ignored);
             --peer.connections;
         }
-        serve(peer);
+        sendQueued(peer);
         done(std::move(reply));
     }
 
--- a/src/aio/http_listener.cpp
+++ b/src/aio/http_listener.cpp
@@ -32,7 +32,7 @@
 }
 
 /// State shared by all connections of a listener.
-struct Shared {
+struct ListenerState {
     AsioEventLoop& loop;
     HttpListenerOptions options;
     HttpHandler handler;
@@ -44,14 +44,14 @@
 /// One connection, kept alive by its callbacks.
 class Session : public std::enable_shared_from_this<Session> {
 public:
-    Session(Tcp::socket socket, std::shared_ptr<Shared> shared)
+    Session(Tcp::socket socket, std::shared_ptr<ListenerState> state)
         : m_stream(std::move(socket))
-        , m_shared(std::move(shared))
+        , m_state(std::move(state))
     {
-        ++m_shared->connections;
+        ++m_state->connections;
     }
 
-    ~Session() { --m_shared->connections; }
+    ~Session() { --m_state->connections; }
     Session(const Session&) = delete;
     Session& operator=(const Session&) = delete;
 
@@ -69,7 +69,7 @@
             readRequest();
             return;
         }
-        m_stream.expires_after(m_shared->options.idleTime);
+        m_stream.expires_after(m_state->options.idleTimeout);
         m_stream.async_read_some(m_buffer.prepare(readSize), [self = shared_from_this()](const beast::error_code& error, std::size_t bytes) {
             if (error)
                 return;
@@ -81,9 +81,9 @@
     void readRequest()
     {
         m_parser.emplace();
-        m_parser->header_limit(m_shared->options.mostHeaderBytes);
-        m_parser->body_limit(m_shared->options.mostBodyBytes);
-        m_stream.expires_after(m_shared->options.requestTime);
+        m_parser->header_limit(m_state->options.maxHeaderBytes);
+        m_parser->body_limit(m_state->options.maxBodyBytes);
+        m_stream.expires_after(m_state->options.requestTimeout);
         http::async_read(m_stream, m_buffer, *m_parser, [self = shared_from_this()](const beast::error_code& error, std::size_t) {
             if (error) {
                 self->refuse(error);
@@ -109,12 +109,12 @@
         m_keepAlive = message.keep_alive();
         m_stream.expires_never();
         const HttpRequest request = makeRequest(message);
-        ++m_shared->inFlight;
-        m_shared->handler(request, [self = shared_from_this(), answered = false](HttpResponse response) mutable {
+        ++m_state->inFlight;
+        m_state->handler(request, [self = shared_from_this(), answered = false](HttpResponse response) mutable {
             if (answered)
                 return;
             answered = true;
-            --self->m_shared->inFlight;
+            --self->m_state->inFlight;
             self->write(std::move(response));
         });
     }
@@ -127,9 +127,9 @@
         for (const HttpHeader& header : from.headers.all())
             m_response.set(header.name, header.value);
         m_response.body() = std::move(from.body);
-        m_response.keep_alive(m_keepAlive && !m_shared->draining);
+        m_response.keep_alive(m_keepAlive && !m_state->draining);
         m_response.prepare_payload();
-        m_stream.expires_after(m_shared->options.requestTime);
+        m_stream.expires_after(m_state->options.requestTimeout);
         http::async_write(m_stream, m_response, [self = shared_from_this()](const beast::error_code& error, std::size_t) {
             if (error)
                 return;
@@ -145,7 +145,7 @@
     static constexpr std::size_t readSize = 4'096;
 
     beast::tcp_stream m_stream;
-    std::shared_ptr<Shared> m_shared;
+    std::shared_ptr<ListenerState> m_state;
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     http::response<http::string_body> m_response;
@@ -158,9 +158,9 @@
 public:
     Impl(AsioEventLoop& loop, HttpListenerOptions options, HttpHandler handler)
         : m_acceptor(loop.impl().context)
-        , m_shared(std::make_shared<Shared>(Shared { loop, std::move(options), std::move(handler) }))
+        , m_state(std::make_shared<ListenerState>(ListenerState { loop, std::move(options), std::move(handler) }))
     {
-        listenOn(m_acceptor, m_shared->options.address);
+        listenOn(m_acceptor, m_state->options.address);
     }
 
     void accept()
@@ -169,20 +169,20 @@
             if (!self->m_acceptor.is_open())
                 return;
             if (error) {
-                self->m_shared->loop.callAt(self->m_shared->loop.now() + acceptPause, [self] { self->accept(); });
+                self->m_state->loop.callAt(self->m_state->loop.now() + acceptPause, [self] { self->accept(); });
                 return;
             }
-            if (self->m_shared->connections < self->m_shared->options.mostConnections)
-                std::make_shared<Session>(std::move(socket), self->m_shared)->start();
+            if (self->m_state->connections < self->m_state->options.maxConnections)
+                std::make_shared<Session>(std::move(socket), self->m_state)->start();
             self->accept();
         });
     }
 
-    void closeAfterAnswers() { m_shared->draining = true; }
+    void closeAfterAnswers() { m_state->draining = true; }
 
     void drain()
     {
-        m_shared->draining = true;
+        m_state->draining = true;
         close();
     }
 
@@ -193,11 +193,11 @@
     }
 
     [[nodiscard]] std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
-    [[nodiscard]] std::size_t inFlight() const { return m_shared->inFlight; }
+    [[nodiscard]] std::size_t inFlight() const { return m_state->inFlight; }
 
 private:
     Tcp::acceptor m_acceptor;
-    std::shared_ptr<Shared> m_shared;
+    std::shared_ptr<ListenerState> m_state;
 };
 
 HttpListener::HttpListener(AsioEventLoop& loop, HttpListenerOptions options, HttpHandler handler)
--- a/src/aio/peer_sockets.cpp
+++ b/src/aio/peer_sockets.cpp
@@ -21,22 +21,22 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr std::size_t lengthBytes = 4;
-constexpr std::size_t readBytes = 16'384; // Per link; an owner has 146 links on the largest known deployment.
-constexpr unsigned bitsOfByte = 8;
+constexpr std::size_t readChunkBytes = 16'384; // Per link; an owner has 146 links on the largest known deployment.
+constexpr unsigned bitsPerByte = 8;
 
-std::string withLength(const std::string& frame)
+std::string addLengthPrefix(const std::string& frame)
 {
     std::string text(lengthBytes, '\0');
     for (std::size_t i = 0; i < lengthBytes; ++i)
-        text[i] = static_cast<char>(frame.size() >> (bitsOfByte * (lengthBytes - 1 - i)));
+        text[i] = static_cast<char>(frame.size() >> (bitsPerByte * (lengthBytes - 1 - i)));
     return text + frame;
 }
 
-std::size_t lengthAt(const std::string& text, std::size_t at)
+std::size_t readLengthPrefix(const std::string& text, std::size_t at)
 {
     std::size_t length = 0;
     for (std::size_t i = 0; i < lengthBytes; ++i)
-        length = (length << bitsOfByte) | static_cast<unsigned char>(text[at + i]);
+        length = (length << bitsPerByte) | static_cast<unsigned char>(text[at + i]);
     return length;
 }
 
@@ -55,7 +55,7 @@
 
     void connect(const Tcp::endpoint& endpoint)
     {
-        m_timer.expires_after(m_options.connectTime);
+        m_timer.expires_after(m_options.connectTimeout);
         m_timer.async_wait([self = shared_from_this()](const ErrorCode& error) {
             if (!error && !self->m_open)
                 self->end();
@@ -86,7 +86,7 @@
     {
         if (std::exchange(m_closed, true))
             return;
-        shut();
+        closeSocket();
         boost::asio::post(m_context, [self = shared_from_this()] {
             const jobs::PeerLinkObserver observer = std::exchange(self->m_observer, {});
             if (observer.closed)
@@ -100,12 +100,12 @@
     {
         if (m_closed)
             return;
-        m_waitingBytes += frame.size() + lengthBytes;
-        if (m_waitingBytes > m_options.mostWaitingBytes) {
+        m_queuedBytes += frame.size() + lengthBytes;
+        if (m_queuedBytes > m_options.maxQueuedBytes) {
             end();
             return;
         }
-        m_waiting.push_back(withLength(frame));
+        m_queued.push_back(addLengthPrefix(frame));
         write();
     }
 
@@ -116,11 +116,11 @@
         m_observer = {};
         if (std::exchange(m_closed, true))
             return;
-        shut();
+        closeSocket();
     }
 
 private:
-    void shut()
+    void closeSocket()
     {
         m_timer.cancel();
         ErrorCode ignored;
@@ -148,8 +148,8 @@
     {
         std::size_t at = 0;
         while (!m_closed && m_received.size() - at >= lengthBytes) {
-            const std::size_t length = lengthAt(m_received, at);
-            if (length > m_options.mostFrameBytes) {
+            const std::size_t length = readLengthPrefix(m_received, at);
+            if (length > m_options.maxFrameBytes) {
                 end();
                 return;
             }
@@ -166,13 +166,13 @@
     /// Writes all queued frames in one call.
     void write()
     {
-        if (!m_open || m_writing || m_waiting.empty() || m_closed)
+        if (!m_open || m_writing || m_queued.empty() || m_closed)
             return;
         m_writing = true;
         m_sending.clear();
-        for (const std::string& frame : m_waiting)
+        for (const std::string& frame : m_queued)
             m_sending += frame;
-        m_waiting.clear();
+        m_queued.clear();
         boost::asio::async_write(m_socket, boost::asio::buffer(m_sending), [self = shared_from_this()](const ErrorCode& error, std::size_t count) {
             self->m_writing = false;
             if (self->m_closed)
@@ -181,7 +181,7 @@
                 self->end();
                 return;
             }
-            self->m_waitingBytes -= count;
+            self->m_queuedBytes -= count;
             self->write();
         });
     }
@@ -195,11 +195,11 @@
     bool m_refused = false;
     bool m_closed = false;
     bool m_writing = false;
-    std::array<char, readBytes> m_readBuffer {};
+    std::array<char, readChunkBytes> m_readBuffer {};
     std::string m_received; ///< Received bytes that are not a complete frame yet.
     std::string m_sending;
-    std::deque<std::string> m_waiting;
-    std::size_t m_waitingBytes = 0; ///< Including the frames being sent.
+    std::deque<std::string> m_queued;
+    std::size_t m_queuedBytes = 0; ///< Including the frames being sent.
 };
 
 } // namespace
@@ -254,7 +254,7 @@
     void accepted(const std::shared_ptr<PeerSocket>& link)
     {
         std::erase_if(m_links, [](const std::weak_ptr<PeerSocket>& known) { return known.expired(); });
-        if (!onAccepted || m_links.size() >= m_options.mostLinks) {
+        if (!onAccepted || m_links.size() >= m_options.maxLinks) {
             link->close();
             return;
         }
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -87,14 +87,14 @@
     families.push_back(byCopy("lanemoor_copy_age_seconds", "Since the time as of which a copy of a part of the store is known to hold all", copies, [](const CopyReading& copy) { return copy.ageSeconds; }));
     families.push_back(byCopy("lanemoor_copy_watches_total", "Watches that were answered", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.answers); }));
     families.push_back(byCopy("lanemoor_copy_changes_total", "Changes that watches brought", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.changes); }));
-    families.push_back(byCopy("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.parts); }));
+    families.push_back(byCopy("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", copies, [](const CopyReading& copy) { return static_cast<double>(copy.counts.partialBatches); }));
 }
 
 void addConfiguration(std::vector<prometheus::MetricFamily>& families, const MetricsReading& reading)
 {
     families.push_back(gauge("lanemoor_configuration_version", "Version in force", static_cast<double>(reading.configurationVersion)));
     families.push_back(gauge("lanemoor_configuration_age_seconds", "Since the store was known to hold no newer configuration", reading.configurationAgeSeconds));
-    const DocumentCopyCounts& counts = reading.configurationReads;
+    const DocumentReplicaCounts& counts = reading.configurationReads;
     prometheus::MetricFamily calls { "lanemoor_configuration_calls_total", "Calls to the store for the configuration", prometheus::MetricType::Counter, {} };
     const auto add = [&](DocumentCall call, std::uint64_t count) {
         prometheus::ClientMetric metric;
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -21,7 +21,7 @@
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "lanemoor/jobs/service/job_metrics.h"
 #include "lanemoor/jobs/service/store_access.h"
-#include "lanemoor/jobs/store/document_copy.h"
+#include "lanemoor/jobs/store/document_replica.h"
 #include "lanemoor/jobs/store/store_mirror.h"
 
 #include <algorithm>
@@ -78,7 +78,7 @@
 constexpr Millis stopReserve { 1'500 }; // Of the grace, kept for the last answers to leave.
 
 /// \returns How the configuration is followed. Two checks may fail before requests have to be turned away.
-DocumentCopyOptions configurationOptions(const JobServiceSettings& settings, std::string key)
+DocumentReplicaOptions configurationOptions(const JobServiceSettings& settings, std::string key)
 {
     constexpr double shareOfApplyTime = 0.35;
     constexpr double overdueShare = 0.125;
@@ -147,10 +147,10 @@
         , m_meter(*parts.loop)
         , m_holder(holderOf(settings.name, parts.loop->timeOfDay()))
         , m_directory(*parts.loop)
-        , m_jobs(*parts.loop, *parts.store, { .prefix = std::string(jobServicePrefix), .watchTime = watchTime, .leastGap = watchGap, .resumesImmediately = true }, [this](const StoreItem& item) { onItem(item); })
+        , m_jobs(*parts.loop, *parts.store, { .prefix = std::string(jobServicePrefix), .watchTime = watchTime, .minWatchGap = watchGap, .resumesImmediately = true }, [this](const StoreItem& item) { onItem(item); })
         , m_owners(*parts.loop, *parts.store, { .prefix = std::string(ownershipPrefix), .watchTime = ownershipWatchTime }, [this](const StoreItem& item) { onOwnership(item); })
-        , m_configurations(*parts.loop, *parts.store, configurationOptions(settings, parts.documents->configurationKey()), { .changed = [this](const StoreItem& item) { onConfiguration(item); }, .ended = [this](const DocumentReading& reading) { onConfigurationReading(reading); } })
-        , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .leastGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
+        , m_configurations(*parts.loop, *parts.store, configurationOptions(settings, parts.documents->configurationKey()), { .changed = [this](const StoreItem& item) { onConfiguration(item); }, .ended = [this](const DocumentCallResult& reading) { onConfigurationReading(reading); } })
+        , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .minWatchGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
         , m_waves(*parts.loop, *parts.store, { .prefix = parts.documents->wavePrefix(), .watchTime = waveWatchTime }, [this](const StoreItem& item) { onWave(item); })
         , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = theShard, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsOfLease, .claimDelay = claimDelayOf(settings) },
               { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", copyAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", copyAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .endsLost = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
@@ -493,7 +493,7 @@
     WorkerDirectory m_directory;
     StoreMirror m_jobs;
     StoreMirror m_owners; ///< Of the ownership's keys alone: a loss is heard of at once.
-    DocumentCopy m_configurations;
+    DocumentReplica m_configurations;
     StoreMirror m_workers;
     StoreMirror m_waves;
     OwnershipKeeper m_ownership;
@@ -658,7 +658,7 @@
             m_parts.log->change("wave-unreadable", { { "key", item.key } });
     }
 
-    void onConfigurationReading(const DocumentReading& reading)
+    void onConfigurationReading(const DocumentCallResult& reading)
     {
         noteConfigurationReading(reading);
         noteProof();
@@ -673,7 +673,7 @@
     }
 
     /// Tells apart what keeps a new configuration from being read: no answer, a slow one, or a loop that was busy.
-    void noteConfigurationReading(const DocumentReading& reading)
+    void noteConfigurationReading(const DocumentCallResult& reading)
     {
         constexpr Millis slow { 300 };
         const bool isSlow = reading.call != DocumentCall::Watch && reading.endedAt - reading.dueAt >= slow;
@@ -769,14 +769,14 @@
         m_evacuations.start();
         m_relay.follow({});
         m_relayedWorkers.activate();
-        m_jobs.setPace(ownerWatchGap, ownerWatchTime, true);
+        m_jobs.setWatchOptions(ownerWatchGap, ownerWatchTime, true);
         if (!isStandby()) {
             m_jobs.resume({});
             m_waves.resume({});
         }
         // Heartbeats grow with the workers: at a fixed pace an owner of many reads them late, and starts tasks on workers that drain.
-        m_workers.setPace(workerWatchGap, watchTime, true);
-        m_jobs.whenAt(ownership.epoch, [this, ownership] {
+        m_workers.setWatchOptions(workerWatchGap, watchTime, true);
+        m_jobs.whenRevisionReached(ownership.epoch, [this, ownership] {
             if (m_claimed != ownership)
                 return;
             m_parts.log->change("takeover-copy-reached", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "jobs", static_cast<std::int64_t>(m_catalog.all().size()) } });
@@ -805,9 +805,9 @@
     {
         m_claimed.reset();
         m_evacuations.stop();
-        m_jobs.setPace(watchGap, watchTime, true);
+        m_jobs.setWatchOptions(watchGap, watchTime, true);
         if (isStandby())
-            m_workers.setPace(standbyWatchGap, watchTime, false);
+            m_workers.setWatchOptions(standbyWatchGap, watchTime, false);
         else
             m_workers.pause();
         m_fleet.deactivate();
--- a/src/jobs/store/document_copy.cpp
+++ b/src/jobs/store/document_replica.cpp
@@ -1,6 +1,6 @@
-#include "lanemoor/jobs/store/document_copy.h"
+#include "lanemoor/jobs/store/document_replica.h"
 
-#include "answer_part.h"
+#include "partial_batch.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,10 +10,10 @@
 namespace {
 
 /// A document whose answer does not begin in this time is requested again. Links of small machines may carry other answers first.
-constexpr Millis beginPatience { 1'000 };
+constexpr Millis answerStartTimeout { 1'000 };
 /// Smaller documents are read, not compared: a comparison counts against the store's rate limit of writes, and a read transfers
 /// little more than its some hundred bytes.
-constexpr std::size_t comparedFrom = 64 * 1024;
+constexpr std::size_t minComparedBytes = 64 * 1024;
 constexpr std::size_t maxOpenChecks = 2;
 
 } // namespace
@@ -31,9 +31,9 @@
     return "unknown";
 }
 
-class DocumentCopy::Impl : public std::enable_shared_from_this<DocumentCopy::Impl> {
+class DocumentReplica::Impl : public std::enable_shared_from_this<DocumentReplica::Impl> {
 public:
-    Impl(EventLoop& loop, KeyValueStore& store, DocumentCopyOptions options, DocumentObserver observer)
+    Impl(EventLoop& loop, KeyValueStore& store, DocumentReplicaOptions options, DocumentObserver observer)
         : m_loop(loop)
         , m_store(store)
         , m_options(std::move(options))
@@ -57,13 +57,13 @@
 
     MonotonicInstant provenAt;
     MonotonicInstant answeredAt;
-    DocumentCopyCounts counts;
+    DocumentReplicaCounts counts;
 
 private:
     /// A call in progress.
     struct OpenCall {
-        DocumentReading reading;
-        std::uint64_t heldRevision = 0; ///< Of the replica when the call was sent.
+        DocumentCallResult callResult;
+        std::uint64_t replicaRevision = 0; ///< Of the replica when the call was sent.
         bool hasBegun = false; ///< Its answer is arriving.
         bool hasEnded = false;
     };
@@ -72,14 +72,14 @@
 
     OpenCallPointer send(DocumentCall call, MonotonicInstant dueAt)
     {
-        auto open = std::make_shared<OpenCall>(OpenCall { .reading = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .heldRevision = m_revision });
-        m_lastSentAt = open->reading.sentAt;
-        DocumentQuery query { .key = m_options.key, .patience = beginPatience, .begun = [self = weak_from_this(), open] {
+        auto open = std::make_shared<OpenCall>(OpenCall { .callResult = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .replicaRevision = m_revision });
+        m_lastSentAt = open->callResult.sentAt;
+        DocumentQuery query { .key = m_options.key, .patience = answerStartTimeout, .begun = [self = weak_from_this(), open] {
                                  const auto impl = self.lock();
                                  return impl && impl->beginTransfer(*open);
                              } };
         if (call == DocumentCall::Watch) {
-            query.after = m_at;
+            query.after = m_watchRevision;
             query.wait = m_options.watchTime;
         } else if (call == DocumentCall::Compare) {
             query.unless = m_revision;
@@ -95,7 +95,7 @@
     /// requested before the replica changed may bring nothing new.
     bool beginTransfer(OpenCall& open)
     {
-        if (m_transfers > 0 || open.heldRevision != m_revision)
+        if (m_transfers > 0 || open.replicaRevision != m_revision)
             return false;
         open.hasBegun = true;
         ++m_transfers;
@@ -104,7 +104,7 @@
 
     void watch()
     {
-        if (std::exchange(m_watches, true))
+        if (std::exchange(m_isWatching, true))
             return;
         ++counts.watches;
         static_cast<void>(send(DocumentCall::Watch, m_loop.now()));
@@ -113,7 +113,7 @@
     /// Requests the document if it is newer than the replica.
     void check(MonotonicInstant dueAt)
     {
-        const bool compares = m_bytes >= comparedFrom && m_knowsHistory;
+        const bool compares = m_bytes >= minComparedBytes && m_isHistoryAvailable;
         ++(compares ? counts.comparisons : counts.reads);
         ++m_openChecks;
         const OpenCallPointer open = send(compares ? DocumentCall::Compare : DocumentCall::Read, dueAt);
@@ -125,73 +125,73 @@
 
     void ended(OpenCall& open, const ItemsResult& result)
     {
-        DocumentReading& reading = open.reading;
+        DocumentCallResult& callResult = open.callResult;
         open.hasEnded = true;
         m_transfers -= open.hasBegun ? 1 : 0;
-        reading.outcome = result.outcome;
-        reading.endedAt = m_loop.now();
-        reading.bytes = bytesOf(result.items);
-        counts.bytes += reading.bytes;
-        if (reading.call == DocumentCall::Watch)
-            m_watches = false;
+        callResult.outcome = result.outcome;
+        callResult.endedAt = m_loop.now();
+        callResult.bytes = bytesOf(result.items);
+        counts.bytes += callResult.bytes;
+        if (callResult.call == DocumentCall::Watch)
+            m_isWatching = false;
         else
             --m_openChecks;
         if (result.outcome == StoreOutcome::Done)
-            take(reading, result);
+            applyAnswer(callResult, result);
         else if (result.outcome == StoreOutcome::Abandoned)
-            askNext();
+            sendNext();
         else
-            fail(reading);
+            retryLater(callResult);
         if (m_observer.ended)
-            m_observer.ended(reading);
+            m_observer.ended(callResult);
     }
 
-    void take(DocumentReading& reading, const ItemsResult& result)
+    void applyAnswer(DocumentCallResult& callResult, const ItemsResult& result)
     {
-        answeredAt = std::max(answeredAt, reading.sentAt);
-        const bool isNew = note(result.items);
-        const bool isWatch = reading.call == DocumentCall::Watch;
-        const bool isPart = isWatch && mayBeAnswerPart(result);
-        if (!isPart) {
-            provenAt = std::max(provenAt, reading.sentAt);
-            reading.newRevision = result.storeRevision;
+        answeredAt = std::max(answeredAt, callResult.sentAt);
+        const bool isNew = applyItems(result.items);
+        const bool isWatch = callResult.call == DocumentCall::Watch;
+        const bool isPartial = isWatch && mayBePartialBatch(result);
+        if (!isPartial) {
+            provenAt = std::max(provenAt, callResult.sentAt);
+            callResult.newRevision = result.storeRevision;
         }
         // In a burst of large changes there may be newer versions by now; the newest is read instead of each one.
         if (isWatch)
-            m_isBehind = m_isBehind || isPart;
+            m_isLagging = m_isLagging || isPartial;
         else
-            m_isBehind = isNew && m_isLoaded && reading.bytes >= bytesOfAnswerPart;
+            m_isLagging = isNew && m_isLoaded && callResult.bytes >= minPartialBatchBytes;
         m_isLoaded = true;
-        m_knowsHistory = m_knowsHistory || reading.call == DocumentCall::Read;
-        m_at = std::max({ m_at, result.storeRevision, m_revision });
-        askNext();
+        m_isHistoryAvailable = m_isHistoryAvailable || callResult.call == DocumentCall::Read;
+        m_watchRevision = std::max({ m_watchRevision, result.storeRevision, m_revision });
+        sendNext();
     }
 
     /// Sends the next call, unless an arriving answer determines it.
-    void askNext()
+    void sendNext()
     {
         if (m_transfers > 0)
             return;
-        if (!m_isBehind)
+        if (!m_isLagging)
             watch();
         else if (m_openChecks == 0)
             check(m_loop.now());
     }
 
-    void fail(const DocumentReading& reading)
+    void retryLater(const DocumentCallResult& callResult)
     {
         ++counts.unanswered;
-        const bool isHistoryGone = reading.outcome == StoreOutcome::HistoryGone;
-        m_isBehind = m_isBehind || isHistoryGone;
+        const bool isHistoryGone = callResult.outcome == StoreOutcome::HistoryGone;
+        m_isLagging = m_isLagging || isHistoryGone;
         // A comparison returns no revision to watch from, and its answer may be lost while answers to reads arrive.
-        const bool isUnsettled = reading.call == DocumentCall::Compare && answeredAt < reading.sentAt;
+        const bool isUnsettled = callResult.call == DocumentCall::Compare && answeredAt < callResult.sentAt;
         if (isHistoryGone || isUnsettled)
-            m_knowsHistory = false;
+            m_isHistoryAvailable = false;
         const MonotonicInstant dueAt = m_loop.now() + m_options.retryPause;
-        after(m_options.retryPause, [this, dueAt, isWatch = reading.call == DocumentCall::Watch] {
+        after(m_options.retryPause, [this, dueAt, isWatch = callResult.call == DocumentCall::Watch] {
             if (m_transfers > 0)
                 return;
-            if (isWatch && !m_isBehind)
+            if (isWatch && !m_isLagging)
                 watch();
             else if (m_openChecks == 0)
                 check(dueAt);
@@ -199,7 +199,7 @@
     }
 
     /// Applies `items`. \returns Whether one of them is a newer document.
-    bool note(const std::vector<StoreItem>& items)
+    bool applyItems(const std::vector<StoreItem>& items)
     {
         bool isNew = false;
         for (const StoreItem& item : items) {
@@ -236,54 +236,54 @@
 
     EventLoop& m_loop;
     KeyValueStore& m_store;
-    DocumentCopyOptions m_options;
+    DocumentReplicaOptions m_options;
     DocumentObserver m_observer;
-    std::uint64_t m_at = 0; ///< Every change up to this revision of the store has been received.
+    std::uint64_t m_watchRevision = 0; ///< Every change up to this revision of the store has been received.
     std::uint64_t m_revision = 0; ///< Of the document's last change.
     std::size_t m_bytes = 0; ///< Of the document.
     MonotonicInstant m_lastSentAt; ///< Of the latest call of any kind.
     std::size_t m_transfers = 0; ///< Answers that are arriving.
     std::size_t m_openChecks = 0;
-    bool m_watches = false; ///< A watch is in progress.
-    bool m_isBehind = false; ///< Newer versions may exist: no watch is sent until a check has found none.
-    /// Whether the store's history is expected to reach back to `m_at`. If not, a read comes first, since comparisons return no
+    bool m_isWatching = false; ///< A watch is in progress.
+    bool m_isLagging = false; ///< Newer versions may exist: no watch is sent until a check has found none.
+    /// Whether the store's history is expected to reach back to `m_watchRevision`. If not, a read comes first, since comparisons return no
     /// revision to watch from.
-    bool m_knowsHistory = false;
+    bool m_isHistoryAvailable = false;
     bool m_isLoaded = false;
     bool m_stopped = false;
 };
 
-DocumentCopy::DocumentCopy(EventLoop& loop, KeyValueStore& store, DocumentCopyOptions options, DocumentObserver observer)
+DocumentReplica::DocumentReplica(EventLoop& loop, KeyValueStore& store, DocumentReplicaOptions options, DocumentObserver observer)
     : m_impl(std::make_shared<Impl>(loop, store, std::move(options), std::move(observer)))
 {
 }
 
-DocumentCopy::~DocumentCopy()
+DocumentReplica::~DocumentReplica()
 {
     m_impl->stop();
 }
 
-void DocumentCopy::start()
+void DocumentReplica::start()
 {
     m_impl->start();
 }
 
-void DocumentCopy::checkNow(MonotonicInstant sentBefore)
+void DocumentReplica::checkNow(MonotonicInstant sentBefore)
 {
     m_impl->checkNow(sentBefore);
 }
 
-MonotonicInstant DocumentCopy::provenAt() const noexcept
+MonotonicInstant DocumentReplica::provenAt() const noexcept
 {
     return m_impl->provenAt;
 }
 
-MonotonicInstant DocumentCopy::answeredAt() const noexcept
+MonotonicInstant DocumentReplica::answeredAt() const noexcept
 {
     return m_impl->answeredAt;
 }
 
-const DocumentCopyCounts& DocumentCopy::counts() const noexcept
+const DocumentReplicaCounts& DocumentReplica::counts() const noexcept
 {
     return m_impl->counts;
 }
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -18,9 +18,9 @@
 constexpr unsigned maxHedges = 2;
 /// A call whose first try ends without an answer after this time ends too, even if repeats are pending: callers rely on the
 /// store's timeout of 1 s. A first try that ends sooner lost its connection, and is repeated.
-constexpr Millis giveUpAfter { 900 };
+constexpr Millis callTimeout { 900 };
 /// A timer that fires later than this shows that the event loop was busy: answers may have arrived and not been read yet.
-constexpr Millis loopLag { 20 };
+constexpr Millis maxTimerDelay { 20 };
 
 /// \returns Whether the store evaluated the call.
 bool isAnswer(StoreOutcome outcome) noexcept
@@ -61,7 +61,7 @@
 }
 
 /// \returns The one revision at which all written keys have the transaction's values; 0 if there is none.
-std::uint64_t revisionOfOwn(const Transaction& transaction, const std::vector<StoreItem>& current)
+std::uint64_t findAppliedRevision(const Transaction& transaction, const std::vector<StoreItem>& current)
 {
     std::uint64_t revision = 0;
     for (const StoreWrite& write : transaction.writes) {
@@ -73,7 +73,7 @@
     return revision;
 }
 
-bool othersHold(const Transaction& transaction, const std::vector<StoreItem>& current)
+bool otherConditionsHold(const Transaction& transaction, const std::vector<StoreItem>& current)
 {
     const std::vector<KeyRevision> others = otherConditions(transaction);
     return std::all_of(others.begin(), others.end(), [&](const KeyRevision& condition) {
@@ -97,8 +97,8 @@
     unsigned hedges = 0; ///< Repeats within the budget.
     unsigned tokens = 0; ///< Taken by these repeats.
     bool denied = false;
-    bool mayBeDone = false; ///< A try ended with an unknown outcome.
-    bool resent = false; ///< After the store became available again.
+    bool mayBeApplied = false; ///< A try ended with an unknown outcome.
+    bool isResent = false; ///< After the store became available again.
     TimerId timer = 0; ///< 0: no repeat is scheduled.
 };
 
@@ -153,7 +153,7 @@
     {
         const auto resend = [&](const auto& calls) {
             for (const auto& [id, call] : calls) {
-                if (call->sentAt < sentBefore && !std::exchange(call->resent, true))
+                if (call->sentAt < sentBefore && !std::exchange(call->isResent, true))
                     send(id, call);
             }
         };
@@ -189,16 +189,16 @@
 
     /// \returns A callback for a try. An answer after the end of the call only counts as a response time.
     template <typename Call, typename Result>
-    std::function<void(Result)> answerTo(CallId id, const std::shared_ptr<Call>& call)
+    std::function<void(Result)> callbackForTry(CallId id, const std::shared_ptr<Call>& call)
     {
-        return [self = weak_from_this(), id, call, attempt = call->tries, sentAt = call->sentAt](const Result& result) {
+        return [self = weak_from_this(), id, call, tryNumber = call->tries, sentAt = call->sentAt](const Result& result) {
             const auto impl = self.lock();
             if (!impl)
                 return;
             if (isAnswer(result.outcome))
                 impl->responsesOf(*call).note(std::chrono::duration_cast<Millis>(impl->m_loop.now() - sentAt));
             if (impl->callsOf(*call).contains(id))
-                impl->ended(id, call, attempt, result);
+                impl->ended(id, call, tryNumber, result);
         };
     }
 
@@ -212,24 +212,24 @@
     void send(CallId id, const std::shared_ptr<ReadCall>& call)
     {
         noteSent(*call);
-        m_store.read(call->key, answerTo<ReadCall, ReadResult>(id, call));
+        m_store.read(call->key, callbackForTry<ReadCall, ReadResult>(id, call));
     }
 
     void send(CallId id, const std::shared_ptr<CommitCall>& call)
     {
         noteSent(*call);
-        m_store.commit(call->transaction, answerTo<CommitCall, CommitResult>(id, call));
+        m_store.commit(call->transaction, callbackForTry<CommitCall, CommitResult>(id, call));
     }
 
     template <typename Call>
     void scheduleHedge(CallId id, const std::shared_ptr<Call>& call)
     {
         const MonotonicInstant due = m_loop.now() + responsesOf(*call).overdueAfter();
-        wakeAt(id, call, due);
+        scheduleHedgeAt(id, call, due);
     }
 
     template <typename Call>
-    void wakeAt(CallId id, const std::shared_ptr<Call>& call, MonotonicInstant due)
+    void scheduleHedgeAt(CallId id, const std::shared_ptr<Call>& call, MonotonicInstant due)
     {
         call->timer = m_loop.callAt(due, [self = weak_from_this(), id, call, due] {
             const auto impl = self.lock();
@@ -237,8 +237,8 @@
                 return;
             call->timer = 0;
             const MonotonicInstant now = impl->m_loop.now();
-            if (now - due > loopLag)
-                impl->wakeAt(id, call, now + loopLag);
+            if (now - due > maxTimerDelay)
+                impl->scheduleHedgeAt(id, call, now + maxTimerDelay);
             else
                 impl->hedge(id, call);
         });
@@ -251,7 +251,7 @@
         const unsigned tokens = confirms ? call->readsToConfirm() : 1;
         if (!m_budget.take(tokens)) {
             call->denied = true;
-            endIfOver(id, call);
+            endIfExhausted(id, call);
             return;
         }
         ++call->hedges;
@@ -264,60 +264,60 @@
             scheduleHedge(id, call);
     }
 
-    void ended(CallId id, const std::shared_ptr<ReadCall>& call, unsigned attempt, const ReadResult& result)
+    void ended(CallId id, const std::shared_ptr<ReadCall>& call, unsigned tryNumber, const ReadResult& result)
     {
         --call->open;
         if (isAnswer(result.outcome))
-            settle(id, call, result, attempt);
+            settle(id, call, result, tryNumber);
         else
-            noteEndedWithout(id, call, result.outcome);
+            onUnanswered(id, call, result.outcome);
     }
 
-    void ended(CallId id, const std::shared_ptr<CommitCall>& call, unsigned attempt, const CommitResult& result)
+    void ended(CallId id, const std::shared_ptr<CommitCall>& call, unsigned tryNumber, const CommitResult& result)
     {
         --call->open;
         if (isAnswer(result.outcome))
-            settle(id, call, call->tries > 1 ? judged(*call, result) : result, attempt);
+            settle(id, call, call->tries > 1 ? interpretAnswer(*call, result) : result, tryNumber);
         else
-            noteEndedWithout(id, call, result.outcome);
+            onUnanswered(id, call, result.outcome);
     }
 
     /// \returns The outcome of the transaction, as shown by an answer to one of several tries.
-    [[nodiscard]] static CommitResult judged(const CommitCall& call, const CommitResult& result)
+    [[nodiscard]] static CommitResult interpretAnswer(const CommitCall& call, const CommitResult& result)
     {
         if (result.outcome == StoreOutcome::Done)
             return result;
         const CommitResult unknown { .outcome = StoreOutcome::Unknown, .revision = 0, .current = {} };
         if (result.outcome != StoreOutcome::Conflict)
-            return call.mayBeDone || call.open > 0 ? unknown : result;
-        const std::uint64_t revision = revisionOfOwn(call.transaction, result.current);
+            return call.mayBeApplied || call.open > 0 ? unknown : result;
+        const std::uint64_t revision = findAppliedRevision(call.transaction, result.current);
         if (revision == 0)
             return result;
-        return othersHold(call.transaction, result.current) ? CommitResult { .outcome = StoreOutcome::Done, .revision = revision, .current = {}, .isInferred = true } : unknown;
+        return otherConditionsHold(call.transaction, result.current) ? CommitResult { .outcome = StoreOutcome::Done, .revision = revision, .current = {}, .isInferred = true } : unknown;
     }
 
     template <typename Call>
-    void noteEndedWithout(CallId id, const std::shared_ptr<Call>& call, StoreOutcome outcome)
+    void onUnanswered(CallId id, const std::shared_ptr<Call>& call, StoreOutcome outcome)
     {
-        call->mayBeDone = call->mayBeDone || outcome == StoreOutcome::Unknown;
+        call->mayBeApplied = call->mayBeApplied || outcome == StoreOutcome::Unknown;
         // The connection was lost: no answer is pending.
-        if (call->open == 0 && call->mayBeDone && call->timer != 0 && !isLate(*call)) {
+        if (call->open == 0 && call->mayBeApplied && call->timer != 0 && !isTimedOut(*call)) {
             m_loop.cancel(std::exchange(call->timer, 0));
             hedge(id, call);
             return;
         }
-        endIfOver(id, call);
+        endIfExhausted(id, call);
     }
 
-    [[nodiscard]] bool isLate(const WaitingCall& call) const { return m_loop.now() - call.startedAt >= giveUpAfter; }
+    [[nodiscard]] bool isTimedOut(const WaitingCall& call) const { return m_loop.now() - call.startedAt >= callTimeout; }
 
     /// Ends a call that has no open try left, or has timed out.
     template <typename Call>
-    void endIfOver(CallId id, const std::shared_ptr<Call>& call)
+    void endIfExhausted(CallId id, const std::shared_ptr<Call>& call)
     {
-        if (call->open > 0 && !(call->mayBeDone && isLate(*call)))
+        if (call->open > 0 && !(call->mayBeApplied && isTimedOut(*call)))
             return;
-        const StoreOutcome outcome = call->mayBeDone ? StoreOutcome::Unknown : StoreOutcome::NotDone;
+        const StoreOutcome outcome = call->mayBeApplied ? StoreOutcome::Unknown : StoreOutcome::NotDone;
         if (call->hedges > 0)
             ++counts.unanswered;
         using Result = std::conditional_t<std::is_same_v<Call, ReadCall>, ReadResult, CommitResult>;
@@ -327,11 +327,11 @@
     }
 
     template <typename Call, typename Result>
-    void settle(CallId id, const std::shared_ptr<Call>& call, Result result, unsigned attempt)
+    void settle(CallId id, const std::shared_ptr<Call>& call, Result result, unsigned tryNumber)
     {
-        if (call->hedges > 0 && attempt > 1) {
+        if (call->hedges > 0 && tryNumber > 1) {
             ++counts.settled;
-            m_budget.giveBack(call->tokens);
+            m_budget.refund(call->tokens);
         } else if (call->hedges > 0) {
             ++counts.overtaken;
         }
@@ -352,46 +352,46 @@
     void confirm(CallId, const std::shared_ptr<ReadCall>&) { }
 
     /// Results so far of the reads of a transaction's keys.
-    struct Readings {
+    struct ReadBack {
         std::vector<StoreItem> items;
         std::size_t open = 0;
-        bool isWhole = true; ///< No read failed.
+        bool isComplete = true; ///< No read failed.
     };
 
     /// Reads all written keys: a single one may have received an equal value from another transaction.
     void confirm(CallId id, const std::shared_ptr<CommitCall>& call)
     {
-        const auto readings = std::make_shared<Readings>();
-        readings->open = call->transaction.writes.size();
+        const auto readBack = std::make_shared<ReadBack>();
+        readBack->open = call->transaction.writes.size();
         for (const StoreWrite& write : call->transaction.writes) {
-            readFor(id, call, write.key, [this, id, call, readings, key = write.key](const ReadResult& result) {
-                readings->isWhole = readings->isWhole && (result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::NotFound);
-                readings->items.push_back(result.outcome == StoreOutcome::Done ? result.item : StoreItem { .key = key, .value = {} });
-                if (--readings->open == 0)
-                    noteReadings(id, call, *readings);
+            readFor(id, call, write.key, [this, id, call, readBack, key = write.key](const ReadResult& result) {
+                readBack->isComplete = readBack->isComplete && (result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::NotFound);
+                readBack->items.push_back(result.outcome == StoreOutcome::Done ? result.item : StoreItem { .key = key, .value = {} });
+                if (--readBack->open == 0)
+                    evaluateReadBack(id, call, *readBack);
             });
         }
     }
 
-    void noteReadings(CallId id, const std::shared_ptr<CommitCall>& call, const Readings& readings)
+    void evaluateReadBack(CallId id, const std::shared_ptr<CommitCall>& call, const ReadBack& readBack)
     {
         const Transaction& transaction = call->transaction;
         const auto isAsBefore = [&](const StoreItem& item) { return conditionOn(transaction.expected, item.key)->revision == item.revision; };
-        const std::uint64_t revision = readings.isWhole ? revisionOfOwn(transaction, readings.items) : 0;
+        const std::uint64_t revision = readBack.isComplete ? findAppliedRevision(transaction, readBack.items) : 0;
         if (revision != 0)
-            confirmOthers(id, call, otherConditions(transaction), revision);
-        else if (readings.isWhole && std::all_of(readings.items.begin(), readings.items.end(), isAsBefore))
+            confirmOtherConditions(id, call, otherConditions(transaction), revision);
+        else if (readBack.isComplete && std::all_of(readBack.items.begin(), readBack.items.end(), isAsBefore))
             send(id, call);
         else
-            endIfOver(id, call);
+            endIfExhausted(id, call);
     }
 
     /// A condition that holds after the written keys were read also held before: its key was not written in between.
-    void confirmOthers(CallId id, const std::shared_ptr<CommitCall>& call, std::vector<KeyRevision> others, std::uint64_t revision)
+    void confirmOtherConditions(CallId id, const std::shared_ptr<CommitCall>& call, std::vector<KeyRevision> others, std::uint64_t revision)
     {
         if (others.empty()) {
             ++counts.confirmed;
-            m_budget.giveBack(call->tokens);
+            m_budget.refund(call->tokens);
             finish(id, call, CommitResult { .outcome = StoreOutcome::Done, .revision = revision, .current = {}, .isInferred = true });
             return;
         }
@@ -400,9 +400,9 @@
         readFor(id, call, condition.key, [this, id, call, condition, revision, others = std::move(others)](const ReadResult& result) {
             const bool isKnown = result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::NotFound;
             if (isKnown && condition.revision == result.item.revision)
-                confirmOthers(id, call, others, revision);
+                confirmOtherConditions(id, call, others, revision);
             else
-                endIfOver(id, call);
+                endIfExhausted(id, call);
         });
     }
 
--- a/src/jobs/store/observed_store.cpp
+++ b/src/jobs/store/observed_store.cpp
@@ -21,7 +21,7 @@
 
     /// \returns `done`, wrapped so that the result of the call is recorded after it.
     template <typename Result>
-    std::function<void(Result)> noting(StoreCallKind kind, std::function<void(Result)> done)
+    std::function<void(Result)> wrapCallback(StoreCallKind kind, std::function<void(Result)> done)
     {
         return [self = weak_from_this(), kind, sentAt = m_loop.now(), done = std::move(done)](Result result) {
             const StoreOutcome outcome = result.outcome;
@@ -63,44 +63,44 @@
 
 void ObservedStore::read(const std::string& key, std::function<void(ReadResult)> done)
 {
-    m_impl->store.read(key, m_impl->noting(StoreCallKind::Read, std::move(done)));
+    m_impl->store.read(key, m_impl->wrapCallback(StoreCallKind::Read, std::move(done)));
 }
 
 void ObservedStore::range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done)
 {
-    m_impl->store.range(prefix, afterKey, patience, m_impl->noting(StoreCallKind::Read, std::move(done)));
+    m_impl->store.range(prefix, afterKey, patience, m_impl->wrapCallback(StoreCallKind::Read, std::move(done)));
 }
 
 void ObservedStore::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
 {
-    m_impl->store.watch(prefix, after, wait, m_impl->noting(StoreCallKind::Read, std::move(done)));
+    m_impl->store.watch(prefix, after, wait, m_impl->wrapCallback(StoreCallKind::Read, std::move(done)));
 }
 
 void ObservedStore::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
 {
     // The store evaluates a condition as a transaction.
     const StoreCallKind kind = query.unless > 0 ? StoreCallKind::Write : StoreCallKind::Read;
-    m_impl->store.fetch(std::move(query), m_impl->noting(kind, std::move(done)));
+    m_impl->store.fetch(std::move(query), m_impl->wrapCallback(kind, std::move(done)));
 }
 
 void ObservedStore::commit(const Transaction& transaction, std::function<void(CommitResult)> done)
 {
-    m_impl->store.commit(transaction, m_impl->noting(StoreCallKind::Write, std::move(done)));
+    m_impl->store.commit(transaction, m_impl->wrapCallback(StoreCallKind::Write, std::move(done)));
 }
 
 void ObservedStore::grantLease(Millis timeToLive, std::function<void(LeaseResult)> done)
 {
-    m_impl->store.grantLease(timeToLive, m_impl->noting(StoreCallKind::Write, std::move(done)));
+    m_impl->store.grantLease(timeToLive, m_impl->wrapCallback(StoreCallKind::Write, std::move(done)));
 }
 
 void ObservedStore::renewLease(std::uint64_t lease, std::function<void(LeaseResult)> done)
 {
-    m_impl->store.renewLease(lease, m_impl->noting(StoreCallKind::Write, std::move(done)));
+    m_impl->store.renewLease(lease, m_impl->wrapCallback(StoreCallKind::Write, std::move(done)));
 }
 
 void ObservedStore::endLease(std::uint64_t lease, std::function<void(LeaseResult)> done)
 {
-    m_impl->store.endLease(lease, m_impl->noting(StoreCallKind::Write, std::move(done)));
+    m_impl->store.endLease(lease, m_impl->wrapCallback(StoreCallKind::Write, std::move(done)));
 }
 
 void ObservedStore::observe(StoreConditionObserver observer)
--- a/src/jobs/store/progress_writer.cpp
+++ b/src/jobs/store/progress_writer.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 /// Maximum jobs per transaction: each takes a condition and a write, the ownership takes one condition.
-constexpr std::size_t mostJobsOfWrite = (mostTransactionEntries - 1) / 2;
+constexpr std::size_t maxJobsPerWrite = (mostTransactionEntries - 1) / 2;
 /// Minimum time between two writes that are not full: each call has a cost. Only the acknowledgement of an end to the worker waits
 /// for it, not the work that follows. Without it full writes store each job at each end and exhaust the owner's processor (0.84
 /// of the work is served); at 40 ms workers wait for their next request (0.90); 15 ms serve 0.99.
-constexpr Millis leastGap { 15 };
+constexpr Millis minWriteGap { 15 };
 /// Maximum concurrent writes. A worker reports further ends only once the previous ones are stored: with one write
 /// of 15 jobs each 15 ms, some 500 jobs in progress wait half a second. Four carry 7,000 a second.
-constexpr std::size_t mostWrites = 4;
+constexpr std::size_t maxWrites = 4;
 /// After a failed call; all entry instances share the store's rate limits.
 constexpr Millis retryPause { 50 };
 
@@ -46,7 +46,7 @@
         if (!m_marked.emplace(id, ++m_sequence).second)
             return;
         m_marks.push_back({ m_sequence, m_loop.now() });
-        m_order.push_back(id);
+        m_writeQueue.push_back(id);
         sendSoon();
     }
 
@@ -87,19 +87,19 @@
         MonotonicInstant at;
     };
 
-    struct Sent {
+    struct SentJob {
         std::string id;
         std::string value;
         std::uint64_t sequence = 0;
     };
 
-    /// Sends a full write at once, another one `leastGap` after the last.
+    /// Sends a full write at once, another one `minWriteGap` after the last.
     void sendSoon()
     {
-        if (m_stopped || m_order.empty() || m_writes == mostWrites)
+        if (m_stopped || m_writeQueue.empty() || m_writes == maxWrites)
             return;
-        const bool isFull = m_order.size() >= mostJobsOfWrite;
-        sendAt(isFull ? m_loop.now() : std::max(m_loop.now(), m_sentAt + leastGap));
+        const bool isFull = m_writeQueue.size() >= maxJobsPerWrite;
+        sendAt(isFull ? m_loop.now() : std::max(m_loop.now(), m_sentAt + minWriteGap));
     }
 
     void sendLater() { sendAt(m_loop.now() + retryPause); }
@@ -120,15 +120,15 @@
     }
 
     /// \returns The oldest changed jobs that are not being written, at most as many as one write takes.
-    std::vector<Sent> takeChanged()
+    std::vector<SentJob> takeChanged()
     {
-        std::vector<Sent> taken;
-        std::deque<std::string> left;
-        while (!m_order.empty() && taken.size() < mostJobsOfWrite) {
-            std::string id = std::move(m_order.front());
-            m_order.pop_front();
+        std::vector<SentJob> taken;
+        std::deque<std::string> skipped;
+        while (!m_writeQueue.empty() && taken.size() < maxJobsPerWrite) {
+            std::string id = std::move(m_writeQueue.front());
+            m_writeQueue.pop_front();
             if (m_writing.contains(id)) {
-                left.push_back(std::move(id));
+                skipped.push_back(std::move(id));
                 continue;
             }
             const auto mark = m_marked.find(id);
@@ -137,27 +137,27 @@
             if (const std::optional<ProgressRecord> progress = m_source.read(id))
                 taken.push_back({ id, encode(*progress), sequence });
         }
-        m_order.insert(m_order.begin(), std::make_move_iterator(left.begin()), std::make_move_iterator(left.end()));
+        m_writeQueue.insert(m_writeQueue.begin(), std::make_move_iterator(skipped.begin()), std::make_move_iterator(skipped.end()));
         return taken;
     }
 
     void send()
     {
         const WorkMeter::Piece piece(m_source.meter, WorkKind::Progress);
-        if (m_writes == mostWrites || m_order.empty())
+        if (m_writes == maxWrites || m_writeQueue.empty())
             return;
         if (!m_source.mayWrite()) {
             sendLater();
             return;
         }
-        std::vector<Sent> sent = takeChanged();
+        std::vector<SentJob> sent = takeChanged();
         if (sent.empty()) {
-            settle();
+            notifyWaiters();
             return;
         }
         Transaction transaction;
         transaction.expected.push_back(m_condition);
-        for (const Sent& job : sent) {
+        for (const SentJob& job : sent) {
             transaction.expected.push_back({ progressKey(job.id), m_mirror.revisionOf(progressKey(job.id)) });
             transaction.writes.push_back({ progressKey(job.id), job.value, 0 });
             m_writing[job.id] = job.sequence;
@@ -175,28 +175,28 @@
         sendSoon();
     }
 
-    void written(const std::vector<Sent>& sent, const CommitResult& result)
+    void written(const std::vector<SentJob>& sent, const CommitResult& result)
     {
         const WorkMeter::Piece piece(m_source.meter, WorkKind::Progress);
         --m_writes;
-        for (const Sent& job : sent)
+        for (const SentJob& job : sent)
             m_writing.erase(job.id);
         if (result.outcome == StoreOutcome::Done) {
-            for (const Sent& job : sent)
+            for (const SentJob& job : sent)
                 m_mirror.noteWritten({ .key = progressKey(job.id), .value = job.value, .revision = result.revision });
-            settle();
+            notifyWaiters();
             sendSoon();
             return;
         }
-        if (result.outcome == StoreOutcome::Conflict && !learn(result.current))
+        if (result.outcome == StoreOutcome::Conflict && !applyConflict(result.current))
             return;
         // The same jobs are written again, under the newest revisions. This write may also have
         // been applied, which the next conflict will show.
-        for (const Sent& job : sent) {
+        for (const SentJob& job : sent) {
             const auto [mark, inserted] = m_marked.emplace(job.id, job.sequence);
             mark->second = std::min(mark->second, job.sequence);
             if (inserted)
-                m_order.push_back(job.id);
+                m_writeQueue.push_back(job.id);
         }
         if (result.outcome == StoreOutcome::Conflict)
             sendSoon();
@@ -205,7 +205,7 @@
     }
 
     /// Applies the keys that a conflict returned. \returns Whether the ownership is still held.
-    bool learn(const std::vector<StoreItem>& current)
+    bool applyConflict(const std::vector<StoreItem>& current)
     {
         const auto owner = std::find_if(current.begin(), current.end(), [&](const StoreItem& item) { return item.key == m_condition.key; });
         if (owner == current.end() || owner->revision != m_condition.revision) {
@@ -220,7 +220,7 @@
     }
 
     /// Calls the waiters whose marks are all stored.
-    void settle()
+    void notifyWaiters()
     {
         std::uint64_t oldest = m_sequence + 1;
         for (const auto& [id, sequence] : m_marked)
@@ -255,7 +255,7 @@
     ProgressSource m_source;
     std::map<std::string, std::uint64_t> m_marked; ///< Changed jobs with the sequence of their first mark.
     std::deque<Mark> m_marks; ///< Starting with the oldest that is not stored.
-    std::deque<std::string> m_order; ///< The jobs of `m_marked`, oldest first.
+    std::deque<std::string> m_writeQueue; ///< The jobs of `m_marked`, oldest first.
     std::map<std::string, std::uint64_t> m_writing; ///< Jobs being written, with the sequence of the mark that is written.
     std::size_t m_writes = 0; ///< In progress.
     std::vector<Waiter> m_waiting;
--- a/src/jobs/store/store_condition_tracker.cpp
+++ b/src/jobs/store/store_condition_tracker.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Simultaneous failures may have one cause, such as a closed connection.
-constexpr std::uint32_t leastFailures = 2;
-constexpr Millis leastFailureTime { 100 };
+constexpr std::uint32_t minFailures = 2;
+constexpr Millis minFailureDuration { 100 };
 
 } // namespace
 
@@ -31,7 +31,7 @@
     const StoreState state = stateAt(now);
     if (state == m_condition.state)
         return false;
-    const std::optional<MonotonicInstant> failedSince = of(kind).failedSince;
+    const std::optional<MonotonicInstant> failedSince = evidenceOf(kind).failedSince;
     m_condition = { .state = state, .since = failedSince.value_or(sentAt) };
     return true;
 }
@@ -43,7 +43,7 @@
 
 void StoreConditionTracker::noteAnswered(StoreCallKind kind, MonotonicInstant sentAt) noexcept
 {
-    Evidence& evidence = of(kind);
+    Evidence& evidence = evidenceOf(kind);
     evidence.answeredAt = std::max(evidence.answeredAt, sentAt);
     // An answer to a call sent before the first failure does not show that the outage is over.
     if (evidence.failedSince && sentAt <= *evidence.failedSince)
@@ -58,7 +58,7 @@
 
 void StoreConditionTracker::noteFailed(StoreCallKind kind, StoreOutcome outcome, MonotonicInstant sentAt) noexcept
 {
-    Evidence& evidence = of(kind);
+    Evidence& evidence = evidenceOf(kind);
     if (sentAt <= evidence.answeredAt)
         return;
     evidence.failedSince = std::min(evidence.failedSince.value_or(sentAt), sentAt);
@@ -66,17 +66,17 @@
     m_lastFailure = outcome;
 }
 
-bool StoreConditionTracker::fails(const Evidence& evidence, MonotonicInstant now) noexcept
+bool StoreConditionTracker::isFailing(const Evidence& evidence, MonotonicInstant now) noexcept
 {
-    return evidence.failures >= leastFailures && now - *evidence.failedSince >= leastFailureTime;
+    return evidence.failures >= minFailures && now - *evidence.failedSince >= minFailureDuration;
 }
 
 StoreState StoreConditionTracker::stateAt(MonotonicInstant now) noexcept
 {
-    const Evidence& reads = of(StoreCallKind::Read);
-    const Evidence& writes = of(StoreCallKind::Write);
-    const bool readsFail = fails(reads, now);
-    const bool writesFail = fails(writes, now);
+    const Evidence& reads = evidenceOf(StoreCallKind::Read);
+    const Evidence& writes = evidenceOf(StoreCallKind::Write);
+    const bool readsFail = isFailing(reads, now);
+    const bool writesFail = isFailing(writes, now);
     if (!readsFail && !writesFail)
         return StoreState::Writing;
     if (writesFail && reads.answeredAt > *writes.failedSince)
--- a/src/jobs/store/store_mirror.cpp
+++ b/src/jobs/store/store_mirror.cpp
@@ -1,6 +1,6 @@
 #include "lanemoor/jobs/store/store_mirror.h"
 
-#include "answer_part.h"
+#include "partial_batch.h"
 
 #include <algorithm>
 #include <deque>
@@ -17,7 +17,7 @@
 constexpr Millis maxPagePatience { 4'000 };
 
 /// After an outage, an idle watch should soon confirm that the mirror is fresh: the owner starts no task before that.
-constexpr Millis quickWatchTime { 20 };
+constexpr Millis maxWatchTimeAfterOutage { 20 };
 
 /// An upper bound of the store's revision at a time.
 struct RevisionBound {
@@ -26,8 +26,8 @@
 };
 
 /// Minimum time between two recorded bounds; more frequent ones hardly improve the known age.
-constexpr Millis boundGap { 20 };
-constexpr std::size_t mostBounds = 128;
+constexpr Millis minBoundGap { 20 };
+constexpr std::size_t maxBounds = 128;
 
 } // namespace
 
@@ -58,10 +58,10 @@
         list();
     }
 
-    void setPace(Millis leastGap, Millis watchTime, bool resumesImmediately)
+    void setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately)
     {
         m_options.resumesImmediately = resumesImmediately;
-        m_options.leastGap = leastGap;
+        m_options.minWatchGap = minWatchGap;
         m_options.watchTime = watchTime;
         if (m_gapTimer == 0)
             return;
@@ -88,18 +88,18 @@
         if (m_call == Call::List)
             listPage();
         else
-            watchFor(std::min(m_options.watchTime, quickWatchTime));
+            watchFor(std::min(m_options.watchTime, maxWatchTimeAfterOutage));
     }
 
     void noteStoreRevision(std::uint64_t storeRevision, MonotonicInstant askedAt)
     {
         if (storeRevision == 0 || askedAt <= freshAt)
             return;
-        if (storeRevision <= m_at) {
+        if (storeRevision <= m_watchRevision) {
             freshAt = askedAt;
             return;
         }
-        if (m_bounds.size() == mostBounds || (!m_bounds.empty() && askedAt < m_bounds.back().at + boundGap))
+        if (m_bounds.size() == maxBounds || (!m_bounds.empty() && askedAt < m_bounds.back().at + minBoundGap))
             return;
         m_bounds.push_back({ storeRevision, askedAt });
     }
@@ -110,7 +110,7 @@
     MonotonicInstant answeredAt;
     StoreMirrorCounts counts;
     std::map<std::string, std::uint64_t> revisions;
-    std::multimap<std::uint64_t, std::function<void()>> waiting;
+    std::multimap<std::uint64_t, std::function<void()>> revisionWaiters;
 
     void note(const StoreItem& item)
     {
@@ -128,9 +128,9 @@
     {
         if (to > revision)
             revision = to;
-        while (!waiting.empty() && waiting.begin()->first <= revision) {
-            const std::function<void()> reached = std::move(waiting.begin()->second);
-            waiting.erase(waiting.begin());
+        while (!revisionWaiters.empty() && revisionWaiters.begin()->first <= revision) {
+            const std::function<void()> reached = std::move(revisionWaiters.begin()->second);
+            revisionWaiters.erase(revisionWaiters.begin());
             reached();
         }
     }
@@ -143,7 +143,7 @@
         Watch,
     };
 
-    void later(void (Impl::*step)())
+    void retryLater(void (Impl::*step)())
     {
         m_loop.callAt(m_loop.now() + m_options.retryPause, [self = weak_from_this(), generation = m_generation, step] {
             if (const auto impl = self.lock(); impl && impl->m_generation == generation)
@@ -166,7 +166,7 @@
         // Only the failed page is read again: over a slow link, a listing that restarts after each failure may never complete.
         if (result.outcome != StoreOutcome::Done) {
             m_pagePatience = std::min(2 * m_pagePatience, maxPagePatience);
-            later(&Impl::listPage);
+            retryLater(&Impl::listPage);
             return;
         }
         m_pagePatience = std::max(m_pagePatience / 2, minPagePatience);
@@ -185,7 +185,7 @@
         freshAt = m_listStart;
         answeredAt = m_listStart;
         m_bounds.clear();
-        m_at = m_listRevision;
+        m_watchRevision = m_listRevision;
         advance(m_listRevision);
         const std::uint64_t generation = m_generation;
         if (const std::function<void()> done = std::exchange(m_whenListed, nullptr))
@@ -214,7 +214,7 @@
 
     void watchAfterGap()
     {
-        const MonotonicInstant earliest = m_callSentAt + m_options.leastGap;
+        const MonotonicInstant earliest = m_callSentAt + m_options.minWatchGap;
         if (m_loop.now() >= earliest) {
             watch();
             return;
@@ -235,7 +235,7 @@
         const MonotonicInstant sentAt = m_loop.now();
         m_call = Call::Watch;
         m_callSentAt = sentAt;
-        m_store.watch(m_options.prefix, m_at, wait, [self = weak_from_this(), sentAt, generation = m_generation](const ItemsResult& result) {
+        m_store.watch(m_options.prefix, m_watchRevision, wait, [self = weak_from_this(), sentAt, generation = m_generation](const ItemsResult& result) {
             if (const auto impl = self.lock(); impl && impl->m_generation == generation)
                 impl->watched(result, sentAt);
         });
@@ -248,26 +248,26 @@
             return;
         }
         if (result.outcome != StoreOutcome::Done) {
-            later(&Impl::watch);
+            retryLater(&Impl::watch);
             return;
         }
         for (const StoreItem& item : result.items)
             note(item);
         answeredAt = sentAt;
-        if (result.storeRevision > m_at)
-            m_at = result.storeRevision;
-        const bool part = mayBeAnswerPart(result);
+        if (result.storeRevision > m_watchRevision)
+            m_watchRevision = result.storeRevision;
+        const bool isPartial = mayBePartialBatch(result);
         ++counts.answers;
         counts.changes += result.items.size();
-        counts.parts += part ? 1 : 0;
-        if (!part)
+        counts.partialBatches += isPartial ? 1 : 0;
+        if (!isPartial)
             freshAt = sentAt;
         applyBounds();
         const std::uint64_t generation = m_generation;
-        advance(m_at);
+        advance(m_watchRevision);
         if (generation != m_generation)
             return;
-        if (part && m_options.resumesImmediately)
+        if (isPartial && m_options.resumesImmediately)
             watch();
         else
             watchAfterGap();
@@ -276,7 +276,7 @@
     /// The mirror is as fresh as the newest bound that it has reached.
     void applyBounds()
     {
-        while (!m_bounds.empty() && m_bounds.front().revision <= m_at) {
+        while (!m_bounds.empty() && m_bounds.front().revision <= m_watchRevision) {
             freshAt = std::max(freshAt, m_bounds.front().at);
             m_bounds.pop_front();
         }
@@ -294,7 +294,7 @@
     TimerId m_gapTimer = 0;
     Call m_call = Call::None;
     MonotonicInstant m_callSentAt;
-    std::uint64_t m_at = 0; ///< Where the next watch continues.
+    std::uint64_t m_watchRevision = 0; ///< Where the next watch continues.
     std::deque<RevisionBound> m_bounds; ///< Not reached yet, oldest first.
     std::uint64_t m_generation = 0; ///< Of the calls in progress.
     std::function<void()> m_whenListed;
@@ -330,9 +330,9 @@
     m_impl->retryNow(sentBefore);
 }
 
-void StoreMirror::setPace(Millis leastGap, Millis watchTime, bool resumesImmediately)
+void StoreMirror::setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately)
 {
-    m_impl->setPace(leastGap, watchTime, resumesImmediately);
+    m_impl->setWatchOptions(minWatchGap, watchTime, resumesImmediately);
 }
 
 bool StoreMirror::isLoaded() const noexcept
@@ -371,9 +371,9 @@
     return found == m_impl->revisions.end() ? 0 : found->second;
 }
 
-void StoreMirror::whenAt(std::uint64_t revision, std::function<void()> reached)
+void StoreMirror::whenRevisionReached(std::uint64_t revision, std::function<void()> reached)
 {
-    m_impl->waiting.emplace(revision, std::move(reached));
+    m_impl->revisionWaiters.emplace(revision, std::move(reached));
     m_impl->advance(m_impl->revision);
 }
 
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -37,7 +37,7 @@
         HttpRequest request { .method = "GET", .target = target, .headers = {}, .body = {} };
         request.headers.add("Host", "h:80");
         std::optional<HttpResponse> answer;
-        platform::makeFront(this->entry(entry))(request, [&](HttpResponse response) { answer = std::move(response); });
+        platform::makeJobApiHandler(this->entry(entry))(request, [&](HttpResponse response) { answer = std::move(response); });
         REQUIRE(waitFor(Millis(3'000), [&] { return answer.has_value(); }));
         return *answer;
     }
@@ -99,7 +99,7 @@
     std::optional<unsigned> status;
     HttpRequest request { .method = "GET", .target = "/route-2/", .headers = {}, .body = {} };
     request.headers.add("Host", "h:80");
-    platform::makeFront(cluster.entry(1))(request, [&](const HttpResponse& response) { status = response.status; });
+    platform::makeJobApiHandler(cluster.entry(1))(request, [&](const HttpResponse& response) { status = response.status; });
     CHECK(status == unavailable);
     cluster.thaw(1);
     CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.askRoute(1, 3).status == ok; }));
--- a/tests/jobs/front_test.cpp
+++ b/tests/jobs/front_test.cpp
@@ -22,11 +22,11 @@
     request.headers.add("Host", host);
     std::optional<HttpResponse> answer;
     if (method == "POST") {
-        const auto job = platform::makeFront(cluster.entry(index));
+        const auto job = platform::makeJobApiHandler(cluster.entry(index));
         cluster.witness.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
         job(request, [&](HttpResponse response) { answer = std::move(response); });
     } else {
-        platform::makeFront(cluster.entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
+        platform::makeJobApiHandler(cluster.entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
     }
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return answer.has_value(); }));
     return *answer;
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("A job is handed in, looked up, counted and cancelled over HTTP")
+TEST_CASE("A job is submitted, looked up, counted and cancelled over HTTP")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(10'000); };
@@ -50,7 +50,7 @@
     CHECK(cluster.witness.starts() == 1);
 }
 
-TEST_CASE("Wrong requests get a 4xx with a reason, and cost nobody anything")
+TEST_CASE("Invalid requests get a 4xx with a reason, and have no effect")
 {
     SmallCluster cluster;
     CHECK(ask(cluster, "GET", "/other/").status == 404);
@@ -65,7 +65,7 @@
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask).status == 200);
 }
 
-TEST_CASE("A refusal is given at once with a time to come back, and what was refused never runs")
+TEST_CASE("A refusal is sent at once with a Retry-After header, and the refused job never runs")
 {
     SmallCluster cluster;
     cluster.store.trouble.refusing = true;
@@ -78,7 +78,7 @@
     CHECK(ask(cluster, "GET", "/q/" + jobId(1)).status == 410);
 }
 
-TEST_CASE("A job whose fate the store does not tell is answered as unknown, and may be sent again")
+TEST_CASE("A job whose write to the store has an unknown outcome is answered as unknown, and may be sent again")
 {
     SmallCluster cluster;
     cluster.store.trouble.lateWrites = 1.0;
@@ -90,7 +90,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("An entry without a configuration or cut off from the store calls itself not ready")
+TEST_CASE("An entry without a configuration or partitioned from the store reports that it is not ready")
 {
     SmallCluster cluster;
     CHECK(cluster.entry(0).isReady());
@@ -101,7 +101,7 @@
     CHECK(cluster.waitFor(Millis(3'000), [&] { return cluster.entry(0).isReady(); }));
 }
 
-TEST_CASE("An instance whose calls to the store are lost refuses truly, and says that it is not ready")
+TEST_CASE("An instance whose calls to the store are lost refuses jobs with a known outcome, and reports that it is not ready")
 {
     // An incident on tellelag-drift: for seconds, an instance whose connections to the store were reset
     // answered each job with "unknown" within 20 ms, 305 times.
@@ -123,7 +123,7 @@
     CHECK(cluster.waitFor(Millis(100), [&] { return cluster.accepted().contains(jobId(30)); }));
 }
 
-TEST_CASE("A job whose outcome is unknown is not refused as not taken when it is sent again")
+TEST_CASE("A job whose outcome is unknown is not reported as not taken when it is sent again")
 {
     // The first write of the job may still be applied later.
     SmallCluster cluster;
@@ -150,7 +150,7 @@
     CHECK(outcomes == std::vector<AcceptOutcome> { AcceptOutcome::Unknown, AcceptOutcome::NotTaken });
 }
 
-TEST_CASE("A planned stop passes the ownership on at once, and serves callers until they go elsewhere")
+TEST_CASE("A planned stop hands the ownership over at once, and serves callers until they use other instances")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
@@ -173,7 +173,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Metrics tell what was answered and who owns")
+TEST_CASE("Metrics show the answers to callers and the owner")
 {
     SmallCluster cluster;
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask).status == 200);
--- a/tests/jobs/hedged_store_test.cpp
+++ b/tests/jobs/hedged_store_test.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("A transaction whose answer is lost is done by its second try")
+TEST_CASE("A transaction whose answer is lost completes with its second try")
 {
     Hedged hedged;
     hedged.commit();
@@ -115,7 +115,7 @@
     CHECK(hedged.store.counts().settled == 1);
 }
 
-TEST_CASE("What a repeat can't prove is not told as done")
+TEST_CASE("An outcome that a repeat can't prove is not reported as done")
 {
     Hedged hedged;
     hedged.commit();
@@ -151,7 +151,7 @@
         REQUIRE(hedged.outcome);
         CHECK(hedged.outcome->outcome == StoreOutcome::Unknown);
     }
-    SECTION("a lease that is over by the second try may not have been at the first")
+    SECTION("a lease that has expired by the second try may have been valid at the first")
     {
         hedged.scripted.commits[1].done({ .outcome = StoreOutcome::NotFound });
         CHECK(hedged.outcome->outcome == StoreOutcome::Unknown);
@@ -164,7 +164,7 @@
     }
 }
 
-TEST_CASE("Where all answers to writes are lost, reads tell that a transaction was carried out")
+TEST_CASE("If all answers to writes are lost, reads show that a transaction was applied")
 {
     Hedged hedged;
     hedged.commit();
@@ -203,7 +203,7 @@
         CHECK(!hedged.outcome);
         CHECK(hedged.scripted.commits.size() == 2);
     }
-    SECTION("it goes again if it was not carried out")
+    SECTION("the transaction is sent again if it was not applied")
     {
         hedged.scripted.reads[0].done({ .outcome = StoreOutcome::NotFound, .item = {} });
         hedged.scripted.reads[1].done({ .outcome = StoreOutcome::Done, .item = { .key = "b", .value = "0", .revision = 7 } });
@@ -236,7 +236,7 @@
     CHECK(hedged.outcome->outcome == StoreOutcome::Unknown);
 }
 
-TEST_CASE("Transactions that could be carried out twice are sent once")
+TEST_CASE("Transactions that are not idempotent are sent once")
 {
     CHECK(!isIdempotent({ .expected = { { "owner", 5 } }, .writes = { { "a", "1", 0 } }, .removals = {} }));
     CHECK(!isIdempotent({ .expected = { { "a", 5 } }, .writes = { { "a", "1", 0 } }, .removals = { "b" } }));
@@ -248,7 +248,7 @@
     CHECK(hedged.scripted.commits.size() == 1);
 }
 
-TEST_CASE("Reads are repeated, and a refusal is told at once")
+TEST_CASE("Reads are repeated, and a refusal is reported at once")
 {
     Hedged hedged;
     std::optional<StoreOutcome> outcome;
@@ -281,7 +281,7 @@
     CHECK(repeats <= 20 + calls / 10);
 }
 
-TEST_CASE("Where answers are lost, repeats that settle their calls go on beyond the burst")
+TEST_CASE("If answers are lost, repeats that settle their calls continue beyond the burst")
 {
     Hedged hedged;
     constexpr int calls = 100;
@@ -294,7 +294,7 @@
     CHECK(done == calls);
 }
 
-TEST_CASE("When the store is back, what waits goes once more at once")
+TEST_CASE("When the store is available again, waiting calls are sent once more at once")
 {
     Hedged hedged;
     hedged.commit();
--- a/tests/jobs/http_test.cpp
+++ b/tests/jobs/http_test.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-constexpr Millis patience { 5'000 };
+constexpr Millis timeout { 5'000 };
 
 /// Makes calls and runs the event loop until each has a reply.
 struct Exchange {
     AsioEventLoop loop;
 
-    HttpReply call(HttpClient& client, const HttpAddress& address, HttpRequest request, Millis time = patience)
+    HttpReply call(HttpClient& client, const HttpAddress& address, HttpRequest request, Millis time = timeout)
     {
         std::optional<HttpReply> result;
         client.send(address, { .request = std::move(request), .deadline = loop.now() + time }, [&](HttpReply reply) {
@@ -78,7 +78,7 @@
     CHECK(client.counts().connections == 1);
 }
 
-TEST_CASE("A call without an answer in time is unanswered, and its late answer reaches nobody")
+TEST_CASE("A call that times out is unanswered, and its late response is ignored")
 {
     Exchange exchange;
     HttpResponder late;
@@ -97,7 +97,7 @@
     CHECK(client.counts().connections == 2);
 }
 
-TEST_CASE("A port where nobody listens: the call was not sent")
+TEST_CASE("A call to a port without a listener is reported as not sent")
 {
     Exchange exchange;
     std::uint16_t port = 0;
@@ -129,15 +129,15 @@
     CHECK(seen == 2);
 }
 
-TEST_CASE("More calls than connections wait their turn")
+TEST_CASE("Calls beyond the maximum number of connections are queued")
 {
     Exchange exchange;
     std::vector<HttpResponder> held;
     const HttpListener listener(exchange.loop, { .address = { "127.0.0.1", 0 } }, [&](const HttpRequest&, const HttpResponder& respond) { held.push_back(respond); });
-    HttpClient client(exchange.loop, { .mostConnections = 2 });
+    HttpClient client(exchange.loop, { .maxConnections = 2 });
     int answered = 0;
     for (int i = 0; i < 3; ++i) {
-        client.send({ "127.0.0.1", listener.port() }, { .request = post("x"), .deadline = exchange.loop.now() + patience }, [&](const HttpReply&) {
+        client.send({ "127.0.0.1", listener.port() }, { .request = post("x"), .deadline = exchange.loop.now() + timeout }, [&](const HttpReply&) {
             if (++answered == 3)
                 exchange.loop.stop();
         });
@@ -153,7 +153,7 @@
     CHECK(client.counts().connections == 2);
 }
 
-TEST_CASE("A listener that stops soon takes new connections and closes each after its answer")
+TEST_CASE("A listener that stops soon accepts connections and closes each after its response")
 {
     Exchange exchange;
     HttpListener listener(exchange.loop, { .address = { "127.0.0.1", 0 } }, [](const HttpRequest&, const HttpResponder& respond) { respond({ .status = 200, .headers = {}, .body = {} }); });
@@ -166,10 +166,10 @@
     CHECK(client.counts().connections == 2);
 }
 
-TEST_CASE("What is no HTTP gets 400 and a body over the limit 413, and the listener lives on")
+TEST_CASE("Invalid HTTP gets 400 and a body over the limit 413, and the listener keeps serving")
 {
     Exchange exchange;
-    const HttpListener listener(exchange.loop, { .address = { "127.0.0.1", 0 }, .mostBodyBytes = 10 }, [](const HttpRequest&, const HttpResponder& respond) { respond({ .status = 200, .headers = {}, .body = {} }); });
+    const HttpListener listener(exchange.loop, { .address = { "127.0.0.1", 0 }, .maxBodyBytes = 10 }, [](const HttpRequest&, const HttpResponder& respond) { respond({ .status = 200, .headers = {}, .body = {} }); });
     std::string garbage;
     std::string large;
     std::thread peer([&] {
@@ -186,7 +186,7 @@
 }
 
 // Guards against calls that wait for a connection and are sent after their callers timed out.
-TEST_CASE("A call whose time is over before a connection is free is never sent")
+TEST_CASE("A call whose deadline passes before a connection is free is never sent")
 {
     Exchange exchange;
     HttpResponder first;
@@ -198,9 +198,9 @@
         else
             respond({ .status = 200, .headers = {}, .body = {} });
     });
-    HttpClient client(exchange.loop, { .mostConnections = 1 });
+    HttpClient client(exchange.loop, { .maxConnections = 1 });
     const HttpAddress address { "127.0.0.1", listener.port() };
-    client.send(address, { .request = post("first"), .deadline = exchange.loop.now() + patience }, [](const HttpReply&) {});
+    client.send(address, { .request = post("first"), .deadline = exchange.loop.now() + timeout }, [](const HttpReply&) {});
     exchange.loop.callAt(exchange.loop.now() + Millis(300), [&] { first({ .status = 200, .headers = {}, .body = {} }); });
     CHECK(exchange.call(client, address, post("second"), Millis(100)).delivery == Delivery::NotSent);
     CHECK(exchange.call(client, address, post("third")).delivery == Delivery::Answered);
@@ -257,10 +257,10 @@
 HttpReply callSlow(std::uint16_t port, int& begun, bool wantsRest = true)
 {
     Exchange exchange;
-    HttpClient client(exchange.loop, { .stallTime = Millis(300) });
+    HttpClient client(exchange.loop, { .stallTimeout = Millis(300) });
     std::optional<HttpReply> result;
     const jobs::MonotonicInstant now = exchange.loop.now();
-    client.send({ "127.0.0.1", port }, { .request = post("x"), .deadline = now + Millis(200), .transferDeadline = now + patience, .begun = [&] {
+    client.send({ "127.0.0.1", port }, { .request = post("x"), .deadline = now + Millis(200), .transferDeadline = now + timeout, .begun = [&] {
                                             ++begun;
                                             return wantsRest;
                                         } },
@@ -276,7 +276,7 @@
 } // namespace
 
 // Guards against large responses that time out while they arrive, and are requested again over the same link.
-TEST_CASE("An answer that keeps arriving is waited for beyond the time in which it has to begin")
+TEST_CASE("A response that keeps arriving may take longer than the deadline for its beginning")
 {
     const SlowServer server(10, Millis(50));
     int begun = 0;
@@ -287,7 +287,7 @@
 }
 
 // Guards against two transfers of one document over a narrow link at once.
-TEST_CASE("An answer whose rest is not wanted ends when it begins")
+TEST_CASE("A call whose response is declined ends when the response begins")
 {
     const SlowServer server(10, Millis(200));
     int begun = 0;
@@ -297,7 +297,7 @@
     CHECK(begun == 1);
 }
 
-TEST_CASE("An answer that stops arriving is lost after the pause that is allowed, and so is one that does not begin")
+TEST_CASE("A response that stalls or does not begin is lost after its timeout")
 {
     for (const std::size_t parts : { 0, 3 }) {
         const SlowServer server(parts, Millis(0));
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -58,7 +58,7 @@
         if (method == "POST")
             witness.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
         std::optional<HttpResponse> answer;
-        platform::makeFront(entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
+        platform::makeJobApiHandler(entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
         REQUIRE(waitFor(Millis(3'000), [&] { return answer.has_value(); }));
         return *answer;
     }
--- a/tests/jobs/peer_sockets_test.cpp
+++ b/tests/jobs/peer_sockets_test.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-constexpr Millis patience { 5'000 };
+constexpr Millis timeout { 5'000 };
 
 /// A process that accepts links and one that opens them, on one event loop.
-struct Ends {
+struct LinkedProcesses {
     AsioEventLoop loop;
     PeerSockets server { loop, { .address = { "127.0.0.1", 0 } } };
     PeerSockets client { loop, { .address = { "127.0.0.1", 0 } } };
     std::shared_ptr<jobs::PeerLink> accepted;
-    std::vector<std::string> heard;
+    std::vector<std::string> receivedFrames;
     bool acceptedEnded = false;
     bool madeEnded = false;
 
-    Ends()
+    LinkedProcesses()
     {
         server.accept([this](std::shared_ptr<jobs::PeerLink> link) {
             accepted = std::move(link);
-            accepted->observe({ .received = [this](const std::string& frame) { heard.push_back(frame); }, .closed = [this] { acceptedEnded = true; } });
+            accepted->observe({ .received = [this](const std::string& frame) { receivedFrames.push_back(frame); }, .closed = [this] { acceptedEnded = true; } });
         });
     }
 
@@ -39,26 +39,26 @@
     std::shared_ptr<jobs::PeerLink> connect(const std::string& to)
     {
         std::shared_ptr<jobs::PeerLink> link = client.connect(to);
-        link->observe({ .received = [this](const std::string& frame) { heard.push_back(frame); }, .closed = [this] { madeEnded = true; } });
+        link->observe({ .received = [this](const std::string& frame) { receivedFrames.push_back(frame); }, .closed = [this] { madeEnded = true; } });
         return link;
     }
 
     /// \returns Whether `holds` became true before the timeout.
     bool waitFor(const std::function<bool()>& holds)
     {
-        const jobs::MonotonicInstant until = loop.now() + patience;
-        look(holds, until);
+        const jobs::MonotonicInstant until = loop.now() + timeout;
+        pollUntil(holds, until);
         loop.run();
         return holds();
     }
 
 private:
-    void look(const std::function<bool()>& holds, jobs::MonotonicInstant until)
+    void pollUntil(const std::function<bool()>& holds, jobs::MonotonicInstant until)
     {
         if (holds() || loop.now() >= until)
             loop.stop();
         else
-            loop.callAt(loop.now() + Millis(2), [this, holds, until] { look(holds, until); });
+            loop.callAt(loop.now() + Millis(2), [this, holds, until] { pollUntil(holds, until); });
     }
 };
 
@@ -76,68 +76,68 @@
 
 } // namespace
 
-TEST_CASE("Frames of any size arrive whole and in order, both ways")
+TEST_CASE("Frames of any size arrive complete and in order, in both directions")
 {
-    Ends ends;
-    const auto link = ends.connect(ends.address());
+    LinkedProcesses processes;
+    const auto link = processes.connect(processes.address());
     const std::string large(300'000, 'x');
     link->send("one");
     link->send("");
     link->send(large);
-    REQUIRE(ends.waitFor([&] { return ends.heard.size() == 3; }));
-    CHECK(ends.heard == std::vector<std::string> { "one", "", large });
-    ends.accepted->send("back");
-    REQUIRE(ends.waitFor([&] { return ends.heard.size() == 4; }));
-    CHECK(ends.heard.back() == "back");
+    REQUIRE(processes.waitFor([&] { return processes.receivedFrames.size() == 3; }));
+    CHECK(processes.receivedFrames == std::vector<std::string> { "one", "", large });
+    processes.accepted->send("back");
+    REQUIRE(processes.waitFor([&] { return processes.receivedFrames.size() == 4; }));
+    CHECK(processes.receivedFrames.back() == "back");
 }
 
-TEST_CASE("The other end hears that a link was closed, and who closed it does not")
+TEST_CASE("The remote end of a closed link is notified, and the closing end is not")
 {
-    Ends ends;
-    const auto link = ends.connect(ends.address());
+    LinkedProcesses processes;
+    const auto link = processes.connect(processes.address());
     link->send("one");
-    REQUIRE(ends.waitFor([&] { return !ends.heard.empty(); }));
+    REQUIRE(processes.waitFor([&] { return !processes.receivedFrames.empty(); }));
     link->close();
-    CHECK(ends.waitFor([&] { return ends.acceptedEnded; }));
-    CHECK_FALSE(ends.madeEnded);
+    CHECK(processes.waitFor([&] { return processes.acceptedEnded; }));
+    CHECK_FALSE(processes.madeEnded);
 }
 
-TEST_CASE("A link to nowhere ends")
+TEST_CASE("A link to an unreachable or invalid address ends")
 {
-    Ends ends;
-    const auto nobody = ends.connect("127.0.0.1:1");
-    CHECK(ends.waitFor([&] { return ends.madeEnded; }));
-    ends.madeEnded = false;
-    const auto nothing = ends.connect("no address");
-    CHECK(ends.waitFor([&] { return ends.madeEnded; }));
+    LinkedProcesses processes;
+    const auto nobody = processes.connect("127.0.0.1:1");
+    CHECK(processes.waitFor([&] { return processes.madeEnded; }));
+    processes.madeEnded = false;
+    const auto nothing = processes.connect("no address");
+    CHECK(processes.waitFor([&] { return processes.madeEnded; }));
 }
 
-TEST_CASE("A link that nobody accepts ends")
+TEST_CASE("A link that no process accepts ends")
 {
-    Ends ends;
-    const auto link = ends.connect("127.0.0.1:" + std::to_string(ends.client.port()));
-    CHECK(ends.waitFor([&] { return ends.madeEnded; }));
+    LinkedProcesses processes;
+    const auto link = processes.connect("127.0.0.1:" + std::to_string(processes.client.port()));
+    CHECK(processes.waitFor([&] { return processes.madeEnded; }));
 }
 
 TEST_CASE("A frame longer than allowed ends the link")
 {
-    Ends ends;
-    const int socket = connectRaw(ends.server.port());
+    LinkedProcesses processes;
+    const int socket = connectRaw(processes.server.port());
     const std::string length("\xff\xff\xff\xff", 4);
     REQUIRE(::send(socket, length.data(), length.size(), 0) == 4);
-    CHECK(ends.waitFor([&] { return ends.acceptedEnded; }));
-    CHECK(ends.heard.empty());
+    CHECK(processes.waitFor([&] { return processes.acceptedEnded; }));
+    CHECK(processes.receivedFrames.empty());
     ::close(socket);
 }
 
-TEST_CASE("A peer that does not read ends the link before it takes memory without bound")
+TEST_CASE("A link to a peer that does not read is closed before its queue grows without bound")
 {
-    Ends ends;
-    const int socket = connectRaw(ends.server.port());
-    REQUIRE(ends.waitFor([&] { return ends.accepted != nullptr; }));
+    LinkedProcesses processes;
+    const int socket = connectRaw(processes.server.port());
+    REQUIRE(processes.waitFor([&] { return processes.accepted != nullptr; }));
     const std::string frame(1'000'000, 'x');
     for (int i = 0; i < 20; ++i)
-        ends.accepted->send(frame);
-    CHECK(ends.waitFor([&] { return ends.acceptedEnded; }));
+        processes.accepted->send(frame);
+    CHECK(processes.waitFor([&] { return processes.acceptedEnded; }));
     ::close(socket);
 }
--- a/tests/jobs/store_condition_test.cpp
+++ b/tests/jobs/store_condition_test.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("A store that refuses all calls for a while is out, and one answer ends that")
+TEST_CASE("A store that refuses all calls for a while is in an outage, and one answer ends it")
 {
     Calls calls;
     calls.end(StoreCallKind::Read, StoreOutcome::Done);
@@ -63,7 +63,7 @@
     CHECK(calls.changes == 0);
 }
 
-TEST_CASE("Writes without answers beside reads with answers are no outage")
+TEST_CASE("Unanswered writes alongside answered reads are no outage")
 {
     Calls calls;
     calls.end(StoreCallKind::Write, StoreOutcome::Done);
@@ -76,7 +76,7 @@
     CHECK(calls.state() == StoreState::Writing);
 }
 
-TEST_CASE("Retries that wait for the store run once, in their order, when it is back")
+TEST_CASE("Retries that wait for the store run once, in order, when it is available again")
 {
     SimClock clock;
     SimProcess process(clock);
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -25,12 +25,12 @@
 
 /// A mirror of the keys under `a/` of a store that truncates its answers, and all that was written there.
 struct WatchedStore {
-    WatchedStore(std::uint64_t seed, Millis leastGap, bool resumesImmediately = false)
+    WatchedStore(std::uint64_t seed, Millis minWatchGap, bool resumesImmediately = false)
         : random(seed)
         , store(clock, random)
         , process(clock)
         , client(store, process)
-        , mirror(process, client, { .prefix = "a/", .leastGap = leastGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
+        , mirror(process, client, { .prefix = "a/", .minWatchGap = minWatchGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
     {
         store.trouble.mostEvents = 100;
         mirror.start();
@@ -74,7 +74,7 @@
 } // namespace
 
 // Guards against a listing that restarts after each failed page: instances on slow links accepted no jobs for the rest of a day.
-TEST_CASE("A listing of many pages ends though pages are lost")
+TEST_CASE("A listing of many pages completes although pages are lost")
 {
     WatchedStore watched(1, Millis(0));
     watched.mirror.pause();
@@ -86,7 +86,7 @@
     CHECK(watched.missing() == 0);
 }
 
-TEST_CASE("A copy is called fresh only as of a time of which it holds all")
+TEST_CASE("A mirror is reported as fresh only as of a time whose changes it holds completely")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         WatchedStore watched(seed, Millis(500));
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("A copy whose answers are all parts is fresh again once it has reached what other calls told")
+TEST_CASE("A mirror that receives only partial batches is fresh again once it has reached revisions that other calls reported")
 {
     WatchedStore watched(1, Millis(500));
     for (int i = 0; i < 300; ++i) {
@@ -116,7 +116,7 @@
     CHECK(watched.missing() == 0);
 }
 
-TEST_CASE("A copy that may lag is not made to hurry, and one that may not reads on at once")
+TEST_CASE("A mirror that may lag waits between watches, and one that may not resumes at once")
 {
     for (const bool resumesImmediately : { false, true }) {
         WatchedStore watched(1, Millis(500), resumesImmediately);
@@ -128,13 +128,13 @@
         CAPTURE(resumesImmediately, watched.store.calls() - before);
         CHECK((watched.mirror.counts().changes > 1'400) == resumesImmediately);
         CHECK(watched.store.calls() - before < 30);
-        CHECK(watched.mirror.counts().parts > 0);
+        CHECK(watched.mirror.counts().partialBatches > 0);
         // Both report that the store answers.
         CHECK(watched.clock.now() - watched.mirror.answeredAt() <= Millis(550));
     }
 }
 
-TEST_CASE("An instance whose copy lags behind gives no count of a queue's waiting jobs that it can't know")
+TEST_CASE("An instance whose mirror lags reports no outdated count of a queue's waiting jobs")
 {
     SmallCluster cluster(1, 2, 0, 0);
     cluster.store.trouble.mostEvents = 100;
--- a/tests/jobs/suspended_machine_test.cpp
+++ b/tests/jobs/suspended_machine_test.cpp
@@ -24,19 +24,19 @@
 }
 
 constexpr Millis soon { 100 };
-constexpr std::chrono::seconds patience { 10 };
+constexpr std::chrono::seconds timeout { 10 };
 
 /// \returns Whether `happened` was set before the timeout on the steady clock.
 bool runUntil(AsioEventLoop& loop, const bool& happened)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
-    std::function<void()> look = [&] {
+    const auto end = std::chrono::steady_clock::now() + timeout;
+    std::function<void()> checkAgain = [&] {
         if (happened || std::chrono::steady_clock::now() > end)
             loop.stop();
         else
-            loop.callAt(loop.now(), look);
+            loop.callAt(loop.now(), checkAgain);
     };
-    look();
+    checkAgain();
     loop.run();
     return happened;
 }
@@ -48,7 +48,7 @@
     CHECK(loopClock == CLOCK_BOOTTIME);
 }
 
-TEST_CASE("Timers are due by the clock of the loop")
+TEST_CASE("Timers are due by the clock of the event loop")
 {
     AsioEventLoop loop(anHourAhead);
     bool called = false;
@@ -56,7 +56,7 @@
     CHECK(runUntil(loop, called));
 }
 
-TEST_CASE("Calls are given up by the clock of the loop")
+TEST_CASE("Calls time out by the clock of the event loop")
 {
     const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -68,8 +68,8 @@
     REQUIRE(::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &length) == 0);
     AsioEventLoop loop(anHourAhead);
     HttpClient client(loop, {});
-    bool givenUp = false;
-    client.send({ "127.0.0.1", ntohs(address.sin_port) }, { .request = { .method = "GET", .target = "/", .headers = {}, .body = {} }, .deadline = loop.now() + soon }, [&](const HttpReply&) { givenUp = true; });
-    CHECK(runUntil(loop, givenUp));
+    bool timedOut = false;
+    client.send({ "127.0.0.1", ntohs(address.sin_port) }, { .request = { .method = "GET", .target = "/", .headers = {}, .body = {} }, .deadline = loop.now() + soon }, [&](const HttpReply&) { timedOut = true; });
+    CHECK(runUntil(loop, timedOut));
     ::close(listener);
 }
--- a/tests/jobs/wire_test.cpp
+++ b/tests/jobs/wire_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("A caller's job is read whole, and wrong ones are told apart")
+TEST_CASE("A caller's job is decoded completely, and faults of invalid ones are distinguished")
 {
     const auto read = platform::readJob(R"({"spec":"text","steps":[{"count":2,"cpu":500,"mem_mb":64,"est_ms":900,"affinity":"r1"},
         {"count":1,"gpus":1,"depends_on":[0],"checkpointing":true,"anti_affinity":1,"long_running":true,"target_ms":50,"may_miss":1,"fills":true}]})");
@@ -46,7 +46,7 @@
     CHECK(faultOfText(R"({"steps":[{"count":-5}]})") == JobFault::EmptyStep);
 }
 
-TEST_CASE("Orders to workers carry their lease, epoch, checkpoint and ticket")
+TEST_CASE("Commands to workers carry their lease, epoch, checkpoint and ticket")
 {
     const json start = json::parse(platform::formatStart({ .attempt = attempt, .payload = "p", .leaseUntil = 9, .epoch = 7, .checkpoint = "c", .ticket = "t" }));
     CHECK(start == json::parse(R"({"task":"00000000000000aa.2.1.17","run":4,"spec":"p","deadline_ms":9,"fence":7,"checkpoint":"c","ticket":"t"})"));
@@ -56,18 +56,18 @@
     CHECK(json::parse(platform::formatThrottle(attempt, 40, 7))["percent"] == 40);
 }
 
-TEST_CASE("Answers of workers are decoded, and what can't be read is unknown")
+TEST_CASE("Answers of workers are decoded, and unreadable ones are unknown")
 {
-    CHECK(platform::readOrderAnswer(answer(200, R"({"clock_ms":5})")).outcome == OrderOutcome::Done);
-    CHECK(platform::readOrderAnswer(answer(200, R"({"clock_ms":5})")).workerClock == 5);
+    CHECK(platform::readCommandAnswer(answer(200, R"({"clock_ms":5})")).outcome == OrderOutcome::Done);
+    CHECK(platform::readCommandAnswer(answer(200, R"({"clock_ms":5})")).workerClock == 5);
     const std::vector<std::pair<std::string, OrderOutcome>> reasons { { "fence", OrderOutcome::Fenced }, { "old", OrderOutcome::Superseded }, { "late", OrderOutcome::LeaseOver }, { "room", OrderOutcome::NoRoom },
         { "ticket", OrderOutcome::BadTicket } };
     for (const auto& [reason, outcome] : reasons)
-        CHECK(platform::readOrderAnswer(answer(409, json { { "reason", reason } }.dump())).outcome == outcome);
-    CHECK(platform::readOrderAnswer(answer(421, "")).outcome == OrderOutcome::OtherLife);
-    CHECK(platform::readOrderAnswer(answer(503, "")).outcome == OrderOutcome::NotDone);
-    CHECK(platform::readOrderAnswer(answer(400, "")).outcome == OrderOutcome::Rejected);
-    CHECK(platform::readOrderAnswer(answer(500, "")).outcome == OrderOutcome::Unknown);
+        CHECK(platform::readCommandAnswer(answer(409, json { { "reason", reason } }.dump())).outcome == outcome);
+    CHECK(platform::readCommandAnswer(answer(421, "")).outcome == OrderOutcome::OtherLife);
+    CHECK(platform::readCommandAnswer(answer(503, "")).outcome == OrderOutcome::NotDone);
+    CHECK(platform::readCommandAnswer(answer(400, "")).outcome == OrderOutcome::Rejected);
+    CHECK(platform::readCommandAnswer(answer(500, "")).outcome == OrderOutcome::Unknown);
 
     const RenewResult renewal = platform::readRenewalAnswer(answer(200, R"({"clock_ms":8,"running":[["00000000000000aa.2.1.17",4,"c",41,12]],"ended":[[58,"00000000000000aa.2.1.9",1,"lapsed",""]]})"));
     REQUIRE(renewal.outcome == OrderOutcome::Done);
@@ -78,7 +78,7 @@
         CHECK(platform::readRenewalAnswer(answer(200, text)).outcome == OrderOutcome::Unknown);
 }
 
-TEST_CASE("Transactions and leases are written and their answers decoded")
+TEST_CASE("Transactions and leases are encoded and their answers decoded")
 {
     const json transaction = json::parse(platform::formatTransaction({ .expected = { { "k", 3 } }, .writes = { { "k", std::string("\0\xff", 2), 9 } }, .removals = { "old" } }));
     CHECK(transaction == json::parse(R"({"expected_rev":[{"key":"k","rev":3}],"put":[{"key":"k","value":"AP8=","lease":9}],"remove":["old"]})"));
@@ -95,7 +95,7 @@
     CHECK(json::parse(platform::formatLease(Millis(1'500)))["ttl_ms"] == 1'500);
 }
 
-TEST_CASE("Reads and watches are asked for and decoded")
+TEST_CASE("Reads and watches are encoded and their answers decoded")
 {
     CHECK(platform::keyTarget("a b/c") == "/api/kv-key?key=a%20b/c");
     CHECK(platform::rangeTarget("p/", "p/x") == "/api/kv-range?path_prefix=p/&depends_on=p/x");
@@ -158,7 +158,7 @@
     const Advice advice = platform::readAdvice(answer(200, R"({"good":[["i","t"]],"valid_ms":300})"));
     CHECK(advice.workers.front() == AdvisedWorker { "i", "t" });
     CHECK_FALSE(platform::readAdvice(answer(429, "")).answered);
-    CHECK(json::parse(platform::formatQuestion("j", 0, 1, { "i" })) == json::parse(R"({"step":"j.0.1","workers":["i"]})"));
+    CHECK(json::parse(platform::formatAdviceRequest("j", 0, 1, { "i" })) == json::parse(R"({"step":"j.0.1","workers":["i"]})"));
 }
 
 namespace {
@@ -174,7 +174,7 @@
 }
 
 /// Replaces a random part of `document` by a value of any type.
-void spoil(json& document)
+void corrupt(json& document)
 {
     json* place = &document;
     while (place->is_structured() && !place->empty() && *rc::gen::inRange(0, 4) != 0) {
@@ -188,7 +188,7 @@
 
 } // namespace
 
-TEST_CASE("Whatever stands in documents and callers' jobs, reading them ends with a value or none")
+TEST_CASE("Reading documents and callers' jobs of any content ends with a value or none")
 {
     const json configuration = json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/p/","priority":1,"service":"s","max_attempts":2,"stretch":1.6,"target_latency_ms":600,"public":false,
         "advice":{"decide_ms":1,"each_ms":2,"valid_ms":3}}],"services":[{"name":"s","max_conns":64,"rejects_overload":true,"headroom":false}],"limits":{"max_body_bytes":1000},
@@ -199,7 +199,7 @@
     REQUIRE(rc::check([&] {
         std::array<json, 4> documents { configuration, job, worker, wave };
         for (json& document : documents)
-            spoil(document);
+            corrupt(document);
         static_cast<void>(platform::readConfiguration(documents[0].dump()));
         static_cast<void>(platform::readJob(documents[1].dump()));
         static_cast<void>(platform::readWorker("id", documents[2].dump()));
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -62,8 +62,8 @@
     , m_cluster(cluster)
     , m_promises(promises)
     , m_drainEvents(std::move(drainEvents))
-    , m_client(loop, { .mostConnections = 256 })
-    , m_balancer(loop, { .mostConnections = 2 })
+    , m_client(loop, { .maxConnections = 256 })
+    , m_balancer(loop, { .maxConnections = 2 })
     , m_random(cluster.options().seed)
 {
 }
