--- a/src/aio/http_client.cpp
+++ b/src/aio/http_client.cpp
@@ -20,13 +20,13 @@
 namespace http = beast::http;
 using Tcp = boost::asio::ip::tcp;
 
-/// A call that waits or is under way.
+/// A call that is queued or in progress.
 struct PendingCall {
     HttpCall call;
     std::function<void(HttpReply)> done;
 };
 
-/// One connection, with what it needs while a call is under way.
+/// One connection, with the state of its current call.
 struct Connection {
     explicit Connection(boost::asio::io_context& context)
         : stream(context)
@@ -43,12 +43,12 @@
 
 using ConnectionPointer = std::shared_ptr<Connection>;
 
-/// The connections to one address.
+/// The connections and queued calls of one address.
 struct Peer {
     HttpAddress address;
     std::deque<ConnectionPointer> idle;
-    std::deque<PendingCall> waiting;
-    std::uint32_t connections = 0; ///< Idle ones included.
+    std::deque<PendingCall> queued;
+    std::uint32_t connections = 0; ///< Including idle ones.
 };
 
 http::request<http::string_body> makeRequest(const HttpAddress& address, HttpRequest& from)
@@ -75,7 +75,7 @@
     return response;
 }
 
-/// \returns Whether a kept connection is still open and has nothing unexpected to read.
+/// \returns Whether a kept connection is still open and has no unexpected data to read.
 bool isUsable(Connection& connection)
 {
     char byte = 0;
@@ -99,8 +99,8 @@
         ++counts.calls;
         Peer& peer = m_peers[address.ip + ':' + std::to_string(address.port)];
         peer.address = address;
-        peer.waiting.push_back(std::move(pending));
-        serve(peer);
+        peer.queued.push_back(std::move(pending));
+        sendQueued(peer);
     }
 
     void forget(const HttpAddress& address)
@@ -116,15 +116,15 @@
     HttpClientCounts counts;
 
 private:
-    /// Gives waiting calls to idle or new connections.
-    void serve(Peer& peer)
+    /// Assigns queued calls to idle or new connections.
+    void sendQueued(Peer& peer)
     {
-        while (!peer.waiting.empty()) {
+        while (!peer.queued.empty()) {
             ConnectionPointer connection = takeIdle(peer);
-            if (!connection && peer.connections >= m_options.mostConnections)
+            if (!connection && peer.connections >= m_options.maxConnections)
                 return;
-            PendingCall pending = std::move(peer.waiting.front());
-            peer.waiting.pop_front();
+            PendingCall pending = std::move(peer.queued.front());
+            peer.queued.pop_front();
             if (connection) {
                 connection->pending = std::move(pending);
                 write(peer, connection);
@@ -141,7 +141,7 @@
         while (!peer.idle.empty()) {
             ConnectionPointer connection = peer.idle.back();
             peer.idle.pop_back();
-            if (m_loop.now() - connection->idleSince < m_options.idleTime && isUsable(*connection))
+            if (m_loop.now() - connection->idleSince < m_options.idleTimeout && isUsable(*connection))
                 return connection;
             --peer.connections;
         }
@@ -158,7 +158,7 @@
             boost::asio::post(m_context, [self = shared_from_this(), &peer, connection] { self->finish(peer, connection, { .delivery = Delivery::NotSent }, false); });
             return;
         }
-        connection->stream.expires_at(m_loop.impl().onTimerClock(std::min(connection->pending.call.deadline, m_loop.now() + m_options.connectTime)));
+        connection->stream.expires_at(m_loop.impl().toTimerClock(std::min(connection->pending.call.deadline, m_loop.now() + m_options.connectTimeout)));
         connection->stream.async_connect(Tcp::endpoint(ip, peer.address.port), [self = shared_from_this(), &peer, connection](const beast::error_code& error) {
             if (error) {
                 self->finish(peer, connection, { .delivery = Delivery::NotSent }, false);
@@ -170,7 +170,7 @@
         });
     }
 
-    /// A call whose time is over before it is sent is not sent: it may have waited for a connection, or behind a busy loop.
+    /// A call whose deadline passed while it waited for a connection or for a busy event loop is not sent.
     void write(Peer& peer, const ConnectionPointer& connection)
     {
         if (m_loop.now() >= connection->pending.call.deadline) {
@@ -179,8 +179,8 @@
         }
         connection->request = makeRequest(peer.address, connection->pending.call.request);
         connection->parser.emplace();
-        connection->parser->body_limit(m_options.mostResponseBytes);
-        connection->stream.expires_at(m_loop.impl().onTimerClock(connection->pending.call.deadline));
+        connection->parser->body_limit(m_options.maxResponseBytes);
+        connection->stream.expires_at(m_loop.impl().toTimerClock(connection->pending.call.deadline));
         http::async_write(connection->stream, connection->request, [self = shared_from_this(), &peer, connection](const beast::error_code& error, std::size_t) {
             if (error) {
                 self->finish(peer, connection, {}, false);
@@ -190,7 +190,7 @@
         });
     }
 
-    /// Reads the answer in parts: each one shows that the rest is on its way.
+    /// Reads the response in chunks: each one shows that the transfer progresses.
     void read(Peer& peer, const ConnectionPointer& connection)
     {
         http::async_read_some(connection->stream, connection->buffer, *connection->parser, [self = shared_from_this(), &peer, connection](const beast::error_code& error, std::size_t) {
@@ -211,14 +211,14 @@
         });
     }
 
-    /// Moves the deadline of an answer whose body arrives. \returns Whether the caller wants the rest of it.
+    /// Extends the deadline of a response whose body is arriving. \returns Whether the caller wants the rest of it.
     bool wantsRest(Connection& connection)
     {
         if (!connection.parser->is_header_done() || connection.parser->get().body().empty())
             return true;
         HttpCall& call = connection.pending.call;
         if (call.transferDeadline)
-            connection.stream.expires_at(m_loop.impl().onTimerClock(std::min(m_loop.now() + m_options.stallTime, *call.transferDeadline)));
+            connection.stream.expires_at(m_loop.impl().toTimerClock(std::min(m_loop.now() + m_options.stallTimeout, *call.transferDeadline)));
         const std::function<bool()> begun = std::exchange(call.begun, nullptr);
         return !begun || begun();
     }
@@ -237,14 +237,14 @@
             connection->stream.socket().close(ignored);
             --peer.connections;
         }
-        serve(peer);
+        sendQueued(peer);
         done(std::move(reply));
     }
 
     AsioEventLoop& m_loop;
     boost::asio::io_context& m_context;
     HttpClientOptions m_options;
-    std::map<std::string, Peer> m_peers; ///< By IP:port; peers stay, so references to them last.
+    std::map<std::string, Peer> m_peers; ///< By IP:port; peers are never erased, so references to them stay valid.
 };
 
 HttpClient::HttpClient(AsioEventLoop& loop, HttpClientOptions options)
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -87,14 +87,14 @@
     families.push_back(byReplica("lanemoor_copy_age_seconds", "Since the time as of which a copy of a part of the store is known to hold all", replicas, [](const ReplicaReading& replica) { return replica.ageSeconds; }));
     families.push_back(byReplica("lanemoor_copy_watches_total", "Watches that were answered", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.answers); }));
     families.push_back(byReplica("lanemoor_copy_changes_total", "Changes that watches brought", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.changes); }));
-    families.push_back(byReplica("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.parts); }));
+    families.push_back(byReplica("lanemoor_copy_parts_total", "Answers that may have brought a part of the changes", replicas, [](const ReplicaReading& replica) { return static_cast<double>(replica.counts.partialBatches); }));
 }
 
 void addConfiguration(std::vector<prometheus::MetricFamily>& families, const MetricsReading& reading)
 {
     families.push_back(gauge("lanemoor_configuration_version", "Version in force", static_cast<double>(reading.configurationVersion)));
     families.push_back(gauge("lanemoor_configuration_age_seconds", "Since the store was known to hold no newer configuration", reading.configurationAgeSeconds));
-    const DocumentCopyCounts& counts = reading.configurationReads;
+    const DocumentReplicaCounts& counts = reading.configurationReads;
     prometheus::MetricFamily calls { "lanemoor_configuration_calls_total", "Calls to the store for the configuration", prometheus::MetricType::Counter, {} };
     const auto add = [&](DocumentCall call, std::uint64_t count) {
         prometheus::ClientMetric metric;
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -21,7 +21,7 @@
 #include "lanemoor/jobs/relay/relayed_workers.h"
 #include "lanemoor/jobs/service/job_metrics.h"
 #include "lanemoor/jobs/service/store_access.h"
-#include "lanemoor/jobs/store/document_copy.h"
+#include "lanemoor/jobs/store/document_replica.h"
 #include "lanemoor/jobs/store/store_mirror.h"
 
 #include <algorithm>
@@ -76,7 +76,7 @@
 constexpr Millis stopReserve { 1'500 }; // Part of the grace time that is left for sending the last answers.
 
 /// \returns Options of the configuration's replica. Two checks may fail before requests must be deferred.
-DocumentCopyOptions configurationOptions(const JobServiceSettings& settings, std::string key)
+DocumentReplicaOptions configurationOptions(const JobServiceSettings& settings, std::string key)
 {
     constexpr double shareOfApplyTime = 0.35;
     constexpr double overdueShare = 0.125;
@@ -145,10 +145,10 @@
         , m_meter(*parts.loop)
         , m_holder(holderOf(settings.name, parts.loop->timeOfDay()))
         , m_directory(*parts.loop)
-        , m_jobs(*parts.loop, *parts.store, { .prefix = std::string(jobServicePrefix), .watchTime = watchTime, .leastGap = watchGap, .resumesImmediately = true }, [this](const StoreItem& item) { onItem(item); })
+        , m_jobs(*parts.loop, *parts.store, { .prefix = std::string(jobServicePrefix), .watchTime = watchTime, .minWatchGap = watchGap, .resumesImmediately = true }, [this](const StoreItem& item) { onItem(item); })
         , m_owners(*parts.loop, *parts.store, { .prefix = std::string(ownershipPrefix), .watchTime = ownershipWatchTime }, [this](const StoreItem& item) { onOwnership(item); })
-        , m_configurations(*parts.loop, *parts.store, configurationOptions(settings, parts.documents->configurationKey()), { .changed = [this](const StoreItem& item) { onConfiguration(item); }, .ended = [this](const DocumentReading& reading) { onConfigurationReading(reading); } })
-        , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .leastGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
+        , m_configurations(*parts.loop, *parts.store, configurationOptions(settings, parts.documents->configurationKey()), { .changed = [this](const StoreItem& item) { onConfiguration(item); }, .ended = [this](const DocumentCallResult& reading) { onConfigurationReading(reading); } })
+        , m_workers(*parts.loop, *parts.store, { .prefix = parts.documents->workerPrefix(), .watchTime = watchTime, .minWatchGap = standbyWatchGap }, [this](const StoreItem& item) { onWorker(item); })
         , m_waves(*parts.loop, *parts.store, { .prefix = parts.documents->wavePrefix(), .watchTime = waveWatchTime }, [this](const StoreItem& item) { onWave(item); })
         , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = shardName, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsPerLease, .claimDelay = claimDelayOf(settings) },
               { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", replicaAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", replicaAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .revokingLease = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
@@ -492,7 +492,7 @@
     WorkerDirectory m_directory;
     StoreMirror m_jobs;
     StoreMirror m_owners; ///< Replica of the ownership's keys alone, so that a loss of the ownership is seen at once.
-    DocumentCopy m_configurations;
+    DocumentReplica m_configurations;
     StoreMirror m_workers;
     StoreMirror m_waves;
     OwnershipManager m_ownership;
@@ -657,7 +657,7 @@
             m_parts.log->change("wave-unreadable", { { "key", item.key } });
     }
 
-    void onConfigurationReading(const DocumentReading& reading)
+    void onConfigurationReading(const DocumentCallResult& reading)
     {
         noteConfigurationReading(reading);
         logConfigurationProof();
@@ -672,7 +672,7 @@
     }
 
     /// Logs why a new configuration is read late: no answer, a slow answer, or a busy event loop.
-    void noteConfigurationReading(const DocumentReading& reading)
+    void noteConfigurationReading(const DocumentCallResult& reading)
     {
         constexpr Millis slow { 300 };
         const bool isSlow = reading.call != DocumentCall::Watch && reading.endedAt - reading.dueAt >= slow;
@@ -724,7 +724,7 @@
         const MonotonicInstant now = m_parts.loop->now();
         const bool lags = now - m_jobs.freshAt() > maxCountAge && now - m_jobs.answeredAt() <= maxCountAge;
         if (std::exchange(m_replicaLags, lags) != lags)
-            m_parts.log->change(lags ? "copy-behind" : "copy-caught-up", { { "copy_age_ms", replicaAge() }, { "answer_age_ms", since(m_jobs.answeredAt()) }, { "revision", static_cast<std::int64_t>(m_jobs.revision()) }, { "changes", static_cast<std::int64_t>(m_jobs.counts().changes) }, { "parts", static_cast<std::int64_t>(m_jobs.counts().parts) } });
+            m_parts.log->change(lags ? "copy-behind" : "copy-caught-up", { { "copy_age_ms", replicaAge() }, { "answer_age_ms", since(m_jobs.answeredAt()) }, { "revision", static_cast<std::int64_t>(m_jobs.revision()) }, { "changes", static_cast<std::int64_t>(m_jobs.counts().changes) }, { "parts", static_cast<std::int64_t>(m_jobs.counts().partialBatches) } });
     }
 
     /// Resends waiting calls when the store answers again: the owner at once, other instances spread over time, since all
@@ -769,15 +769,15 @@
         m_evacuations.start();
         m_relay.setOwner({});
         m_relayedWorkers.activate();
-        m_jobs.setPace(ownerWatchGap, ownerWatchTime, true);
+        m_jobs.setWatchOptions(ownerWatchGap, ownerWatchTime, true);
         if (!isStandby()) {
             m_jobs.resume({});
             m_waves.resume({});
         }
         // Heartbeats grow with the number of workers: at a fixed pace the owner of a large fleet reads them late, and starts tasks on
         // draining workers.
-        m_workers.setPace(workerWatchGap, watchTime, true);
-        m_jobs.whenAt(ownership.epoch, [this, ownership] {
+        m_workers.setWatchOptions(workerWatchGap, watchTime, true);
+        m_jobs.whenRevisionReached(ownership.epoch, [this, ownership] {
             if (m_claimed != ownership)
                 return;
             m_parts.log->change("takeover-copy-reached", { { "epoch", static_cast<std::int64_t>(ownership.epoch) }, { "jobs", static_cast<std::int64_t>(m_catalog.all().size()) } });
@@ -806,9 +806,9 @@
     {
         m_claimed.reset();
         m_evacuations.stop();
-        m_jobs.setPace(watchGap, watchTime, true);
+        m_jobs.setWatchOptions(watchGap, watchTime, true);
         if (isStandby())
-            m_workers.setPace(standbyWatchGap, watchTime, false);
+            m_workers.setWatchOptions(standbyWatchGap, watchTime, false);
         else
             m_workers.pause();
         m_fleet.deactivate();
--- a/src/jobs/store/store_mirror.cpp
+++ b/src/jobs/store/store_mirror.cpp
@@ -1,6 +1,6 @@
 #include "lanemoor/jobs/store/store_mirror.h"
 
-#include "answer_part.h"
+#include "partial_batch.h"
 
 #include <algorithm>
 #include <deque>
@@ -12,22 +12,22 @@
 
 namespace {
 
-/// A page of 1 MB takes 1.1 s over a link of 10 Mbit/s; on most links an answer that takes longer than the first is lost.
+/// A page of 1 MB takes 1.1 s over a link of 10 Mbit/s; on most links an answer that takes longer than the minimum is lost.
 constexpr Millis minPagePatience { 1'000 };
 constexpr Millis maxPagePatience { 4'000 };
 
-/// After an outage, a watch that hears nothing should soon prove that the copy is fresh: the owner starts no task before.
-constexpr Millis quickWatchTime { 20 };
+/// After an outage, an idle watch should soon confirm that the mirror is fresh: the owner starts no task before that.
+constexpr Millis maxWatchTimeAfterOutage { 20 };
 
-/// A revision that the store had not passed at a time.
+/// An upper bound of the store's revision at a time.
 struct RevisionBound {
     std::uint64_t revision = 0;
     MonotonicInstant at;
 };
 
-/// Of the revisions that calls tell: one each so often tells the age well enough.
-constexpr Millis boundGap { 20 };
-constexpr std::size_t mostBounds = 128;
+/// Minimum time between two recorded bounds; more frequent ones hardly improve the known age.
+constexpr Millis minBoundGap { 20 };
+constexpr std::size_t maxBounds = 128;
 
 } // namespace
 
@@ -41,7 +41,7 @@
     {
     }
 
-    /// What is under way belongs to an earlier generation, and is not heard any more.
+    /// Starts a new generation: answers to calls of earlier ones are ignored.
     void stop()
     {
         ++m_generation;
@@ -58,10 +58,10 @@
         list();
     }
 
-    void setPace(Millis leastGap, Millis watchTime, bool resumesImmediately)
+    void setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately)
     {
         m_options.resumesImmediately = resumesImmediately;
-        m_options.leastGap = leastGap;
+        m_options.minWatchGap = minWatchGap;
         m_options.watchTime = watchTime;
         if (m_gapTimer == 0)
             return;
@@ -88,18 +88,18 @@
         if (m_call == Call::List)
             listPage();
         else
-            watchFor(std::min(m_options.watchTime, quickWatchTime));
+            watchFor(std::min(m_options.watchTime, maxWatchTimeAfterOutage));
     }
 
     void noteStoreRevision(std::uint64_t storeRevision, MonotonicInstant askedAt)
     {
         if (storeRevision == 0 || askedAt <= freshAt)
             return;
-        if (storeRevision <= m_at) {
+        if (storeRevision <= m_watchRevision) {
             freshAt = askedAt;
             return;
         }
-        if (m_bounds.size() == mostBounds || (!m_bounds.empty() && askedAt < m_bounds.back().at + boundGap))
+        if (m_bounds.size() == maxBounds || (!m_bounds.empty() && askedAt < m_bounds.back().at + minBoundGap))
             return;
         m_bounds.push_back({ storeRevision, askedAt });
     }
@@ -110,7 +110,7 @@
     MonotonicInstant answeredAt;
     StoreMirrorCounts counts;
     std::map<std::string, std::uint64_t> revisions;
-    std::multimap<std::uint64_t, std::function<void()>> waiting;
+    std::multimap<std::uint64_t, std::function<void()>> revisionWaiters;
 
     void note(const StoreItem& item)
     {
@@ -128,22 +128,22 @@
     {
         if (to > revision)
             revision = to;
-        while (!waiting.empty() && waiting.begin()->first <= revision) {
-            const std::function<void()> reached = std::move(waiting.begin()->second);
-            waiting.erase(waiting.begin());
+        while (!revisionWaiters.empty() && revisionWaiters.begin()->first <= revision) {
+            const std::function<void()> reached = std::move(revisionWaiters.begin()->second);
+            revisionWaiters.erase(revisionWaiters.begin());
             reached();
         }
     }
 
 private:
-    /// What is under way, or was last.
+    /// The current call, or the last one.
     enum class Call {
         None,
         List,
         Watch,
     };
 
-    void later(void (Impl::*step)())
+    void retryLater(void (Impl::*step)())
     {
         m_loop.callAt(m_loop.now() + m_options.retryPause, [self = weak_from_this(), generation = m_generation, step] {
             if (const auto impl = self.lock(); impl && impl->m_generation == generation)
@@ -163,14 +163,14 @@
 
     void listed(const ItemsResult& result)
     {
-        // Only the failed page is read again: over a slow link a list that starts anew with each failure may never end.
+        // Only the failed page is read again: over a slow link, a listing that restarts after each failure may never complete.
         if (result.outcome != StoreOutcome::Done) {
             m_pagePatience = std::min(2 * m_pagePatience, maxPagePatience);
-            later(&Impl::listPage);
+            retryLater(&Impl::listPage);
             return;
         }
         m_pagePatience = std::max(m_pagePatience / 2, minPagePatience);
-        // Pages are no snapshot: the watch starts where the first page stood.
+        // Pages are no snapshot: the watch starts at the revision of the first page.
         if (m_listRevision == 0)
             m_listRevision = result.storeRevision;
         for (const StoreItem& item : result.items)
@@ -185,7 +185,7 @@
         freshAt = m_listStart;
         answeredAt = m_listStart;
         m_bounds.clear();
-        m_at = m_listRevision;
+        m_watchRevision = m_listRevision;
         advance(m_listRevision);
         const std::uint64_t generation = m_generation;
         if (const std::function<void()> done = std::exchange(m_whenListed, nullptr))
@@ -194,7 +194,7 @@
             watch();
     }
 
-    /// Keys that were known and are not listed are gone, unless they were written since.
+    /// Removes known keys that are not listed, unless they were written since.
     void applyListing()
     {
         std::set<std::string> present;
@@ -214,7 +214,7 @@
 
     void watchAfterGap()
     {
-        const MonotonicInstant earliest = m_callSentAt + m_options.leastGap;
+        const MonotonicInstant earliest = m_callSentAt + m_options.minWatchGap;
         if (m_loop.now() >= earliest) {
             watch();
             return;
@@ -235,7 +235,7 @@
         const MonotonicInstant sentAt = m_loop.now();
         m_call = Call::Watch;
         m_callSentAt = sentAt;
-        m_store.watch(m_options.prefix, m_at, wait, [self = weak_from_this(), sentAt, generation = m_generation](const ItemsResult& result) {
+        m_store.watch(m_options.prefix, m_watchRevision, wait, [self = weak_from_this(), sentAt, generation = m_generation](const ItemsResult& result) {
             if (const auto impl = self.lock(); impl && impl->m_generation == generation)
                 impl->watched(result, sentAt);
         });
@@ -248,35 +248,35 @@
             return;
         }
         if (result.outcome != StoreOutcome::Done) {
-            later(&Impl::watch);
+            retryLater(&Impl::watch);
             return;
         }
         for (const StoreItem& item : result.items)
             note(item);
         answeredAt = sentAt;
-        if (result.storeRevision > m_at)
-            m_at = result.storeRevision;
-        const bool part = mayBeAnswerPart(result);
+        if (result.storeRevision > m_watchRevision)
+            m_watchRevision = result.storeRevision;
+        const bool isPartial = mayBePartialBatch(result);
         ++counts.answers;
         counts.changes += result.items.size();
-        counts.parts += part ? 1 : 0;
-        if (!part)
+        counts.partialBatches += isPartial ? 1 : 0;
+        if (!isPartial)
             freshAt = sentAt;
         applyBounds();
         const std::uint64_t generation = m_generation;
-        advance(m_at);
+        advance(m_watchRevision);
         if (generation != m_generation)
             return;
-        if (part && m_options.resumesImmediately)
+        if (isPartial && m_options.resumesImmediately)
             watch();
         else
             watchAfterGap();
     }
 
-    /// The copy is as fresh as the newest bound that it has reached.
+    /// The mirror is as fresh as the newest bound that it has reached.
     void applyBounds()
     {
-        while (!m_bounds.empty() && m_bounds.front().revision <= m_at) {
+        while (!m_bounds.empty() && m_bounds.front().revision <= m_watchRevision) {
             freshAt = std::max(freshAt, m_bounds.front().at);
             m_bounds.pop_front();
         }
@@ -287,16 +287,16 @@
     StoreMirrorOptions m_options;
     ItemObserver m_observer;
     std::vector<StoreItem> m_listed;
-    Millis m_pagePatience = minPagePatience; ///< Doubled with each page that failed, halved with each that came.
+    Millis m_pagePatience = minPagePatience; ///< Doubled after each failed page, halved after each received one.
     std::string m_listedUpTo; ///< Last key of the pages listed so far.
     std::uint64_t m_listRevision = 0;
     MonotonicInstant m_listStart;
     TimerId m_gapTimer = 0;
     Call m_call = Call::None;
     MonotonicInstant m_callSentAt;
-    std::uint64_t m_at = 0; ///< Where the watch goes on.
-    std::deque<RevisionBound> m_bounds; ///< Not reached yet, in the order of time.
-    std::uint64_t m_generation = 0; ///< Of the calls under way.
+    std::uint64_t m_watchRevision = 0; ///< Where the next watch continues.
+    std::deque<RevisionBound> m_bounds; ///< Not reached yet, oldest first.
+    std::uint64_t m_generation = 0; ///< Of the calls in progress.
     std::function<void()> m_whenListed;
 };
 
@@ -330,9 +330,9 @@
     m_impl->retryNow(sentBefore);
 }
 
-void StoreMirror::setPace(Millis leastGap, Millis watchTime, bool resumesImmediately)
+void StoreMirror::setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately)
 {
-    m_impl->setPace(leastGap, watchTime, resumesImmediately);
+    m_impl->setWatchOptions(minWatchGap, watchTime, resumesImmediately);
 }
 
 bool StoreMirror::isLoaded() const noexcept
@@ -371,9 +371,9 @@
     return found == m_impl->revisions.end() ? 0 : found->second;
 }
 
-void StoreMirror::whenAt(std::uint64_t revision, std::function<void()> reached)
+void StoreMirror::whenRevisionReached(std::uint64_t revision, std::function<void()> reached)
 {
-    m_impl->waiting.emplace(revision, std::move(reached));
+    m_impl->revisionWaiters.emplace(revision, std::move(reached));
     m_impl->advance(m_impl->revision);
 }
 
--- a/tests/jobs/front_test.cpp
+++ b/tests/jobs/front_test.cpp
@@ -1,4 +1,4 @@
-/// Callers' requests through the platform's front, on the models; and the metrics.
+/// Callers' requests through the platform's HTTP handlers, on the models; and the metrics.
 
 #include "platform/adapters.h"
 #include "support.h"
@@ -15,18 +15,18 @@
 
 constexpr const char* oneTask = R"({"spec":"x","steps":[{"count":1,"cpu":100}]})";
 
-/// \returns The answer of entry `index`, waited for on the simulated clock.
+/// \returns The response of entry `index`, waited for on the simulated clock.
 HttpResponse ask(SmallCluster& cluster, const std::string& method, const std::string& target, const std::string& body = {}, const std::string& host = "h:80", std::size_t index = 0)
 {
     HttpRequest request { .method = method, .target = target, .headers = {}, .body = body };
     request.headers.add("Host", host);
     std::optional<HttpResponse> answer;
     if (method == "POST") {
-        const auto job = platform::makeFront(cluster.entry(index));
+        const auto job = platform::makeJobApiHandler(cluster.entry(index));
         cluster.witness.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
         job(request, [&](HttpResponse response) { answer = std::move(response); });
     } else {
-        platform::makeFront(cluster.entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
+        platform::makeJobApiHandler(cluster.entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
     }
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return answer.has_value(); }));
     return *answer;
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("A job is handed in, looked up, counted and cancelled over HTTP")
+TEST_CASE("A job is submitted, looked up, counted and cancelled over HTTP")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(10'000); };
@@ -50,7 +50,7 @@
     CHECK(cluster.witness.starts() == 1);
 }
 
-TEST_CASE("Wrong requests get a 4xx with a reason, and cost nobody anything")
+TEST_CASE("Invalid requests get a 4xx with a reason, and have no effect")
 {
     SmallCluster cluster;
     CHECK(ask(cluster, "GET", "/other/").status == 404);
@@ -65,7 +65,7 @@
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask).status == 200);
 }
 
-TEST_CASE("A refusal is given at once with a time to come back, and what was refused never runs")
+TEST_CASE("A refusal is sent at once with a Retry-After header, and the refused job never runs")
 {
     SmallCluster cluster;
     cluster.store.trouble.refusing = true;
@@ -78,7 +78,7 @@
     CHECK(ask(cluster, "GET", "/q/" + jobId(1)).status == 410);
 }
 
-TEST_CASE("A job whose fate the store does not tell is answered as unknown, and may be sent again")
+TEST_CASE("A job whose write to the store has an unknown outcome is answered as unknown, and may be sent again")
 {
     SmallCluster cluster;
     cluster.store.trouble.lateWrites = 1.0;
@@ -90,7 +90,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("An entry without a configuration or cut off from the store calls itself not ready")
+TEST_CASE("An entry without a configuration or partitioned from the store reports that it is not ready")
 {
     SmallCluster cluster;
     CHECK(cluster.entry(0).isReady());
@@ -101,10 +101,10 @@
     CHECK(cluster.waitFor(Millis(3'000), [&] { return cluster.entry(0).isReady(); }));
 }
 
-TEST_CASE("An instance whose calls to the store are lost refuses truly, and says that it is not ready")
+TEST_CASE("An instance whose calls to the store are lost refuses jobs with a known outcome, and reports that it is not ready")
 {
-    // Found by an incident on tellelag-drift: for seconds, each job got "unknown" within 20 ms from
-    // an instance whose connections to the store were reset, 305 times.
+    // An incident on tellelag-drift: for seconds, an instance whose connections to the store were reset
+    // answered each job with "unknown" within 20 ms, 305 times.
     SmallCluster cluster;
     const std::size_t entry = (cluster.owner().value() + 1) % cluster.entries();
     cluster.resetStoreCalls(entry, true);
@@ -123,9 +123,9 @@
     CHECK(cluster.waitFor(Millis(100), [&] { return cluster.accepted().contains(jobId(30)); }));
 }
 
-TEST_CASE("A job whose outcome is unknown is not refused as not taken when it is sent again")
+TEST_CASE("A job whose outcome is unknown is not reported as not taken when it is sent again")
 {
-    // Found by reading: its first write may yet be carried out.
+    // The first write of the job may still be applied later.
     SmallCluster cluster;
     const std::size_t entry = (cluster.owner().value() + 1) % cluster.entries();
     cluster.resetStoreCalls(entry, true);
@@ -139,7 +139,7 @@
     cluster.clock.runFor(Millis(50));
     const std::vector<AcceptOutcome> expected { AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::Unknown, AcceptOutcome::NotAccepted };
     CHECK(outcomes == expected);
-    // Refused by the store itself, the first one is still in doubt.
+    // The store itself refuses both; the outcome of the first job is still unknown.
     cluster.resetStoreCalls(entry, false);
     cluster.clock.runFor(Millis(1'500));
     cluster.store.trouble.refusing = true;
@@ -150,7 +150,7 @@
     CHECK(outcomes == std::vector<AcceptOutcome> { AcceptOutcome::Unknown, AcceptOutcome::NotAccepted });
 }
 
-TEST_CASE("A planned stop passes the ownership on at once, and serves callers until they go elsewhere")
+TEST_CASE("A planned stop hands the ownership over at once, and serves callers until they use other instances")
 {
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
@@ -161,7 +161,7 @@
     cluster.entry(owner).stop([&] { stopped = true; });
     CHECK_FALSE(cluster.entry(owner).isReady());
     CHECK(cluster.waitFor(Millis(500), [&] { return cluster.owner().has_value() && cluster.owner() != owner; }));
-    // Found by rolling restarts on the bench: the balancer sent callers to a closed port for 2 s.
+    // In rolling restarts the balancer sent callers to a closed port for 2 s.
     cluster.clock.runFor(Millis(1'800));
     CHECK_FALSE(stopped);
     cluster.submit(owner, "work", jobId(2), job({ step(1) }));
@@ -173,7 +173,7 @@
     CHECK(cluster.witness.breaches().empty());
 }
 
-TEST_CASE("Metrics tell what was answered and who owns")
+TEST_CASE("Metrics show the answers to callers and the owner")
 {
     SmallCluster cluster;
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask).status == 200);
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -1,9 +1,10 @@
-/// A copy of the store said that it was fresh while it was seconds behind: its age told when a watch was last answered, not what
-/// the answer brought. One answer brings about 500 changes; with half a second between two of them a copy that is not the
-/// owner's fell behind for good beyond 1,000 changes a second, and went on saying that it was at most half a second old.
+/// A mirror of the store reported itself as fresh while it lagged by seconds: its age was the time since a watch was last answered,
+/// whatever the answer contained. One answer holds about 500 changes, so with half a second between two watches a mirror that is
+/// not the owner's lagged more and more beyond 1,000 changes a second, and still reported an age of at most half a second.
 ///
-/// Cause: "the store answers" and "all of the store is here" were one figure. What proved it are answers of 500 to 510 changes
-/// whose last one was where the watch was to go on, and a claim that took 2.8 s to reach its own revision with an age of 125 ms.
+/// Cause: one time stood for both "the store answers" and "the mirror holds all that the store holds". It showed in answers of 500
+/// to 510 changes that ended at the revision where the watch continued, and in a claim of ownership that took 2.8 s to reach its
+/// own revision at a reported age of 125 ms.
 
 #include "lanemoor/jobs/store/store_mirror.h"
 #include "support.h"
@@ -22,14 +23,14 @@
 
 constexpr Millis tick { 1 };
 
-/// A copy of the keys under `a/` of a store whose answers bring a part of the changes, and all that was written there.
+/// A mirror of the keys under `a/` of a store that truncates its answers, and all that was written there.
 struct WatchedStore {
-    WatchedStore(std::uint64_t seed, Millis leastGap, bool resumesImmediately = false)
+    WatchedStore(std::uint64_t seed, Millis minWatchGap, bool resumesImmediately = false)
         : random(seed)
         , store(clock, random)
         , process(clock)
         , client(store, process)
-        , mirror(process, client, { .prefix = "a/", .leastGap = leastGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
+        , mirror(process, client, { .prefix = "a/", .minWatchGap = minWatchGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
     {
         store.trouble.mostEvents = 100;
         mirror.start();
@@ -45,7 +46,7 @@
         }
     }
 
-    /// \returns Writes that a copy as fresh as this one says holds, and that it does not hold.
+    /// \returns The number of writes that the mirror lacks though they are older than its `freshAt`.
     [[nodiscard]] std::size_t missing() const
     {
         std::size_t count = 0;
@@ -72,8 +73,8 @@
 
 } // namespace
 
-// Guards against a list that starts anew with each page that fails: instances on slow links took no jobs for the rest of a day.
-TEST_CASE("A listing of many pages ends though pages are lost")
+// Guards against a listing that restarts after each failed page: instances on slow links accepted no jobs for the rest of a day.
+TEST_CASE("A listing of many pages completes although pages are lost")
 {
     WatchedStore watched(1, Millis(0));
     watched.mirror.pause();
@@ -85,7 +86,7 @@
     CHECK(watched.missing() == 0);
 }
 
-TEST_CASE("A copy is called fresh only as of a time of which it holds all")
+TEST_CASE("A mirror is reported as fresh only as of a time whose changes it holds completely")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         WatchedStore watched(seed, Millis(500));
@@ -99,7 +100,7 @@
     }
 }
 
-TEST_CASE("A copy whose answers are all parts is fresh again once it has reached what other calls told")
+TEST_CASE("A mirror that receives only partial batches is fresh again once it has reached revisions that other calls reported")
 {
     WatchedStore watched(1, Millis(500));
     for (int i = 0; i < 300; ++i) {
@@ -115,7 +116,7 @@
     CHECK(watched.missing() == 0);
 }
 
-TEST_CASE("A copy that may lag is not made to hurry, and one that may not reads on at once")
+TEST_CASE("A mirror that may lag waits between watches, and one that may not resumes at once")
 {
     for (const bool resumesImmediately : { false, true }) {
         WatchedStore watched(1, Millis(500), resumesImmediately);
@@ -127,18 +128,18 @@
         CAPTURE(resumesImmediately, watched.store.calls() - before);
         CHECK((watched.mirror.counts().changes > 1'400) == resumesImmediately);
         CHECK(watched.store.calls() - before < 30);
-        CHECK(watched.mirror.counts().parts > 0);
-        // That the store answers is told by either.
+        CHECK(watched.mirror.counts().partialBatches > 0);
+        // Both report that the store answers.
         CHECK(watched.clock.now() - watched.mirror.answeredAt() <= Millis(550));
     }
 }
 
-TEST_CASE("An instance whose copy lags behind gives no count of a queue's waiting jobs that it can't know")
+TEST_CASE("An instance whose mirror lags reports no outdated count of a queue's waiting jobs")
 {
     SmallCluster cluster(1, 2, 0, 0);
     cluster.store.trouble.mostEvents = 100;
     cluster.store.trouble.answerTime = Millis(600);
-    std::deque<std::size_t> accepted; // At the end of each tenth of a second.
+    std::deque<std::size_t> accepted; // At the end of each 100 ms.
     std::uint64_t number = 0;
     std::size_t counts = 0;
     for (int tenth = 0; tenth < 120; ++tenth) {
--- a/tests/jobs/suspended_machine_test.cpp
+++ b/tests/jobs/suspended_machine_test.cpp
@@ -1,6 +1,6 @@
-/// A machine that is suspended for seconds: the steady clock does not count that time. An owner that goes by it believes, once it
-/// runs again, that it still holds a lease which has long lapsed and which another instance has taken since; where nobody
-/// checks fences it might then act on instances out of turn.
+/// A machine is suspended for seconds, and the steady clock does not count that time. An owner that used it would assume after the
+/// resume that it still holds a lease which has expired and which another instance has taken; where fencing tokens are not checked,
+/// it could then act on instances without the right to.
 
 #include "lanemoor/aio/http_client.h"
 #include "support.h"
@@ -17,26 +17,26 @@
 
 namespace {
 
-/// A machine that was suspended for an hour since it started: what counts that time is as far ahead of what does not.
+/// The clock of a machine that was suspended for an hour: it is an hour ahead of the steady clock, which does not count that time.
 jobs::MonotonicInstant anHourAhead()
 {
     return std::chrono::time_point_cast<std::chrono::microseconds>(std::chrono::steady_clock::now()) + std::chrono::hours(1);
 }
 
 constexpr Millis soon { 100 };
-constexpr std::chrono::seconds patience { 10 };
+constexpr std::chrono::seconds timeout { 10 };
 
-/// \returns Whether `happened` was set before patience ended, by the steady clock.
+/// \returns Whether `happened` was set before the timeout on the steady clock.
 bool runUntil(AsioEventLoop& loop, const bool& happened)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
-    std::function<void()> look = [&] {
+    const auto end = std::chrono::steady_clock::now() + timeout;
+    std::function<void()> checkAgain = [&] {
         if (happened || std::chrono::steady_clock::now() > end)
             loop.stop();
         else
-            loop.callAt(loop.now(), look);
+            loop.callAt(loop.now(), checkAgain);
     };
-    look();
+    checkAgain();
     loop.run();
     return happened;
 }
@@ -48,7 +48,7 @@
     CHECK(loopClock == CLOCK_BOOTTIME);
 }
 
-TEST_CASE("Timers are due by the clock of the loop")
+TEST_CASE("Timers are due by the clock of the event loop")
 {
     AsioEventLoop loop(anHourAhead);
     bool called = false;
@@ -56,7 +56,7 @@
     CHECK(runUntil(loop, called));
 }
 
-TEST_CASE("Calls are given up by the clock of the loop")
+TEST_CASE("Calls time out by the clock of the event loop")
 {
     const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address {};
@@ -68,8 +68,8 @@
     REQUIRE(::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &length) == 0);
     AsioEventLoop loop(anHourAhead);
     HttpClient client(loop, {});
-    bool givenUp = false;
-    client.send({ "127.0.0.1", ntohs(address.sin_port) }, { .request = { .method = "GET", .target = "/", .headers = {}, .body = {} }, .deadline = loop.now() + soon }, [&](const HttpReply&) { givenUp = true; });
-    CHECK(runUntil(loop, givenUp));
+    bool timedOut = false;
+    client.send({ "127.0.0.1", ntohs(address.sin_port) }, { .request = { .method = "GET", .target = "/", .headers = {}, .body = {} }, .deadline = loop.now() + soon }, [&](const HttpReply&) { timedOut = true; });
+    CHECK(runUntil(loop, timedOut));
     ::close(listener);
 }
