--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Measures of admission at the planned size: one pool's queue fed by 180 teams under a
-/// fake clock, with bursts of cancellations and declared times that are wrong.
+/// Benchmark of admission at the planned size: the queue of one pool with 180 teams on a
+/// simulated clock, with bursts of cancellations and run times that vary around their mean.
 /// Figures don't depend on the machine. Exits non-zero if a bound is missed.
 
 #include "lanemoor/decisions/admission.h"
@@ -25,13 +25,13 @@
 constexpr Millis batchTime { 4'000 };
 constexpr Millis urgentLimit { 3'100 };
 
-/// A request that runs until it ends.
+/// A running request and its end time.
 struct Running {
     std::uint64_t id = 0;
     Instant endsAt;
 };
 
-/// What one load came to.
+/// Result of one load.
 struct LoadResult {
     std::uint64_t urgentStarted = 0;
     std::uint64_t urgentRefused = 0;
@@ -40,11 +40,11 @@
     std::uint64_t expired = 0;
     Millis longestUrgentWait { 0 };
     Millis longestBatchWait { 0 };
-    double busyShare = 0; ///< Of the slots, over time.
+    double busyShare = 0; ///< Mean share of slots in use.
     std::map<std::string, std::uint64_t> startsByTeam;
 };
 
-/// Offers requests at `load` times what the slots can do, and plays time forward.
+/// Simulates arrivals at `load` times the capacity of the slots.
 class LoadRun {
 public:
     LoadRun(double load, double batchShare, std::uint64_t seed)
@@ -91,7 +91,7 @@
     void offer()
     {
         const bool batch = std::uniform_real_distribution<>(0, 1)(m_random) < m_batchShare;
-        // A tenth of the teams asks for half of everything.
+        // A tenth of the teams sends half of the requests, beside its share of the rest.
         const std::uint64_t team = m_random() % 2 == 0 ? m_random() % (teams / 10) : m_random() % teams;
         const Ticket ticket { .id = ++m_lastId, .requestClass = batch ? RequestClass::Batch : RequestClass::Check, .team = "team" + std::to_string(team), .deadline = m_now + (batch ? Millis(std::chrono::minutes(5)) : urgentLimit) };
         m_result.batchOffered += batch ? 1 : 0;
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Measures of the decisions: buffer, roll-out time, moves, breaches and their lower
-/// bounds and baselines, for three fleets. Figures with bounds don't depend on the machine.
+/// Benchmark of the decisions for three fleets: buffer, roll-out time, moves and breaches against
+/// lower bounds and baselines. Figures with bounds don't depend on the machine.
 /// Usage: bench_decisions [RANDOM-STEPS [SEED]]. Exits non-zero if a bound is missed.
 
 #include "baselines.h"
@@ -27,7 +27,7 @@
 constexpr int changesPerFleet = 300;
 constexpr std::uint32_t mostWaveSteps = 20'000;
 
-/// What a benchmark run is asked for.
+/// Command-line options.
 struct RunOptions {
     std::uint32_t randomSteps = 100'000;
     std::uint64_t seed = 20261202;
@@ -38,7 +38,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/// A fleet whose pools are filled.
+/// A simulated fleet with filled pools.
 struct FilledFleet {
     explicit FilledFleet(FleetCase fleetCase, FakeFleetOptions options = {})
         : configuration(std::move(fleetCase.configuration))
@@ -62,7 +62,7 @@
     FakeHolder holder { 1, std::make_unique<StickyMembershipPlanner>() };
 };
 
-/// Instances that pools hold for their budgets, beyond the minimum.
+/// \returns The number of instances that pools hold for their budgets beyond the minimum.
 std::uint32_t bufferHeld(const FleetView& view)
 {
     const FleetIndex index(view.configuration, view.instances);
@@ -105,7 +105,7 @@
     report.told(fleetCase.name + ": ledger writes in the wave", static_cast<double>(filled.store.writes()));
 }
 
-/// One random change by an operator: a label, a selector, a size or a budget.
+/// Makes one random change of an operator: labels, a selector, a size or a budget.
 void changeAtRandom(FilledFleet& filled, std::mt19937_64& random)
 {
     const auto pick = [&](std::size_t count) { return static_cast<std::size_t>(random() % count); };
@@ -146,7 +146,7 @@
         filled.fleet.advance();
         const MovesBound bound = movesBound(filled.view());
         if (bound.unfilled > 0) {
-            // More is asked for than there is: no bound is known that budgets permit.
+            // The pools request more instances than exist; no lower bound within the budgets is known.
             filled.configuration = before;
             filled.step();
             continue;
@@ -154,7 +154,7 @@
         const FleetIndex index(filled.configuration, filled.fleet.truth());
         reassigned += reassignment.plan(filled.view(), index, {}).moves.size();
         const std::uint64_t movesBefore = filled.holder.acceptedMoves();
-        // Moves that wait for a budget follow in later steps.
+        // Moves that wait for a budget are made in later steps.
         for (int step = 0; step < 5; ++step)
             filled.step();
         const std::uint64_t made = filled.holder.acceptedMoves() - movesBefore;
@@ -190,7 +190,7 @@
     }
 }
 
-/// Processor time of one step in the middle of a wave, and how it grows.
+/// Measures the processor time of one step amid a wave, and its growth with the fleet.
 void measureCost(Report& report)
 {
     double previous = 0;
--- a/bench/evacuations.cpp
+++ b/bench/evacuations.cpp
@@ -1,4 +1,4 @@
-/// How soon nothing starts in a data hall that operators ask to evacuate, and how soon it is empty, on the models of store and workers.
+/// Time from an evacuation request to the last start in the data hall and until the hall is empty, on simulated store and workers.
 /// Usage: bench_evacuations [RUNS [FIRST-SEED [DAY]]]
 
 #include "../tests/jobs/support.h"
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr std::size_t instances = 18; // Of three data halls in turn,
-constexpr std::size_t reserve = 6; // beside those that are off.
+constexpr std::size_t instances = 18; // Spread over three data halls round-robin.
+constexpr std::size_t reserve = 6; // Instances of the reserve pool.
 constexpr Millis tick { 5 };
 constexpr Millis betweenJobs { 50 };
 constexpr Millis warmUp { 5'000 };
@@ -26,13 +26,13 @@
 
 struct Day {
     const char* name;
-    Millis answerTime { 4 }; ///< Of the store.
-    bool losesOwner = false; ///< At the request.
-    Millis cutFor { 0 }; ///< The data hall is cut off at the request.
-    Millis refusesFor { 0 }; ///< The store refuses to list the requests, from the request on.
+    Millis answerTime { 4 }; ///< Response time of the store.
+    bool losesOwner = false; ///< The owner crashes at the request.
+    Millis cutFor { 0 }; ///< Time for which the data hall is partitioned from the request on.
+    Millis refusesFor { 0 }; ///< Time for which the store refuses to list evacuation requests, from the request on.
 };
 
-/// What one run measured, from the request on.
+/// Result of one run, in times from the request.
 struct Measured {
     double lastStart = 0; ///< ms; 0: none started.
     double emptyAfter = 0; ///< ms.
@@ -62,7 +62,7 @@
     Measured play()
     {
         playUntil(m_cluster.clock.now() + warmUp, [] {});
-        // Requests come at any time between two reads of them.
+        // Operators' requests arrive at a random time between two polls of the owner.
         m_cluster.clock.runFor(Millis(std::uniform_int_distribution<int>(0, 1'000)(m_cluster.random)));
         const MonotonicInstant begin = m_cluster.clock.now();
         disturb();
@@ -121,7 +121,7 @@
             worker.trouble.cutOff = isCut && worker.entry.dataHall == evacuated;
     }
 
-    /// \returns When the youngest attempt that runs in the data hall started; nothing: none runs.
+    /// \returns The latest start of an attempt running in the data hall; nullopt if none runs.
     std::optional<MonotonicInstant> latestStart()
     {
         std::optional<MonotonicInstant> latest;
--- a/bench/job_owner.cpp
+++ b/bench/job_owner.cpp
@@ -1,5 +1,5 @@
-/// Processor time of a shard's owner on the models of store and workers, by the size of the
-/// fleet. The models' own share is in it, so that only the slope and its change count.
+/// Processor time of a shard's owner on simulated store and workers, by the size of the fleet.
+/// The figures include the simulation, so that only the slope and its change are meaningful.
 
 #include "../tests/jobs/support.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double tasksPerInstance = 5; // That run at once, each for 640 ms.
+constexpr double tasksPerInstance = 5; // Concurrent tasks of 640 ms each.
 constexpr int seconds = 10;
 
 double processorSeconds()
@@ -20,7 +20,7 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// Plays jobs of two steps of eight tasks that keep `instances` busy. \returns Microseconds a task.
+/// Runs jobs of two steps of eight tasks that keep `instances` busy. \returns Processor time per task in microseconds.
 double microsecondsPerTask(std::size_t instances)
 {
     test::SmallCluster cluster(1, 1, instances, 0);
--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -1,5 +1,5 @@
-/// What tasks that end their workers cost all others, by the way they are dealt with, on the models of store and
-/// workers. Usage: bench_lost_workers [RUNS [FIRST-SEED [DAY]]]
+/// Cost of poison tasks to all other tasks, by the handling of worker crashes, on simulated store and workers.
+/// Usage: bench_lost_workers [RUNS [FIRST-SEED [DAY]]]
 
 #include "../tests/jobs/support.h"
 #include "report.h"
@@ -23,27 +23,27 @@
 constexpr Millis tick { 20 };
 constexpr Millis betweenJobs { 100 };
 constexpr Millis dayLength { 30'000 };
-constexpr Millis dayEnd { 15'000 }; // In which all that was handed in should end.
+constexpr Millis dayEnd { 15'000 }; // Time after the load in which all submitted jobs should end.
 
-/// What happens on a day beside its load.
+/// Faults of a scenario, beside its load.
 struct Day {
     const char* name;
-    Millis betweenEnding { 0 }; ///< Jobs with a task that ends its workers; 0: there are none.
+    Millis betweenEnding { 0 }; ///< Interval between jobs with a poison task; 0 for none.
     Millis betweenTakeovers { 0 };
-    Millis betweenCrashes { 0 }; ///< Workers that end by themselves.
+    Millis betweenCrashes { 0 }; ///< Interval between independent worker crashes.
 };
 
-/// How tasks that end their workers are dealt with.
+/// A policy for poison tasks.
 struct Way {
     const char* name;
     CrashOptions options;
 };
 
 struct Outcome {
-    double workersEnded = 0; ///< By tasks, for each such task.
-    double givenUpInnocent = 0; ///< Jobs.
-    double latency = 0; ///< Of quick jobs, mean, ms; those that don't end count with the rest of the run.
-    double latencyWorst = 0; ///< Of the worst twentieth, mean, ms.
+    double workersEnded = 0; ///< Workers crashed per poison task.
+    double givenUpInnocent = 0; ///< Jobs without a poison task that failed.
+    double latency = 0; ///< Mean of the short jobs, ms; jobs that don't end count with the rest of the run.
+    double latencyWorst = 0; ///< Mean of the worst twentieth, ms.
     double longAway = 0; ///< Seconds of long-running tasks without a worker.
     double breaches = 0;
 };
@@ -157,7 +157,7 @@
 
     const Day& m_day;
     SmallCluster m_cluster;
-    std::vector<std::pair<std::uint64_t, Millis>> m_open; ///< Quick jobs that have not ended, and when they came.
+    std::vector<std::pair<std::uint64_t, Millis>> m_open; ///< Short jobs that have not ended, with their submission times.
     std::vector<double> m_latencies;
     std::uint64_t m_quick = 0;
     std::uint64_t m_ending = 0;
--- a/bench/lower_bounds.cpp
+++ b/bench/lower_bounds.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A flow of least cost by cheapest augmenting paths.
+/// A min-cost flow by successive shortest paths.
 class CheapestFlow {
 public:
     std::size_t addNode()
@@ -21,7 +21,7 @@
         return m_edgesOf.size() - 1;
     }
 
-    /// \returns The edge's number.
+    /// \returns The index of the edge.
     std::size_t addEdge(std::size_t from, std::size_t to, std::uint32_t capacity, int cost = 0)
     {
         m_edgesOf[from].push_back(m_edges.size());
@@ -31,7 +31,7 @@
         return m_edges.size() - 2;
     }
 
-    /// Sends one unit through `edges` if each has room. \returns Whether it did.
+    /// Sends one unit through `edges` if each has residual capacity. \returns Whether the unit was sent.
     bool push(std::initializer_list<std::size_t> edges)
     {
         if (!std::all_of(edges.begin(), edges.end(), [&](std::size_t edge) { return m_edges[edge].left > 0; }))
@@ -41,7 +41,7 @@
         return true;
     }
 
-    /// Sends one more unit along the cheapest path. \returns Its cost, or nothing if none is left.
+    /// Sends one more unit along the cheapest path. \returns The path's cost, or nullopt if no path is left.
     std::optional<int> augment(std::size_t source, std::size_t sink)
     {
         std::vector<int> cost(m_edgesOf.size(), unreached);
@@ -140,7 +140,7 @@
                 return;
             const bool atHome = entry.pool == view.configuration.pools[pool].name;
             const std::size_t edge = flow.addEdge(nodes[i], domainNodes[domains.of(i)], 1, atHome || strays[i] ? 0 : 1);
-            // Those who stay fill their places first, at no cost.
+            // Members that stay are assigned first, at no cost.
             if (atHome)
                 bound.unfilled -= flow.push({ sourceEdges[i], edge, domainEdges[domains.of(i)], poolEdge }) ? 1 : 0;
         });
--- a/bench/report.h
+++ b/bench/report.h
@@ -7,12 +7,12 @@
 
 namespace lanemoor::bench {
 
-/// \brief Prints rows and counts those that miss their bound.
+/// \brief Prints figures and counts those that exceed their bound.
 class Report {
 public:
     explicit Report(const char* title) { std::printf("\n%s\n", title); }
 
-    /// \brief A figure with a bound that it must not exceed.
+    /// \brief Prints a figure that must not exceed a bound.
     void bounded(const std::string& what, double figure, double bound)
     {
         const bool kept = figure <= bound;
@@ -20,7 +20,7 @@
         m_missed += kept ? 0 : 1;
     }
 
-    /// \brief A figure that is told and not bounded.
+    /// \brief Prints a figure without a bound.
     void told(const std::string& what, double figure) const
     {
         std::printf("  %-58s %10.3f\n", what.c_str(), figure);
--- a/bench/restarted_workers.cpp
+++ b/bench/restarted_workers.cpp
@@ -1,5 +1,5 @@
-/// How soon tasks run again that were lost with a worker which starts again under its id, against one that comes back under a
-/// new id, on the models of store and workers. Usage: bench_restarted_workers [RUNS [FIRST-SEED]]
+/// Time until tasks run again after a worker failure, for a worker that restarts under its id against one under a new id, on
+/// simulated store and workers. Usage: bench_restarted_workers [RUNS [FIRST-SEED]]
 
 #include "../tests/jobs/support.h"
 #include "report.h"
@@ -22,9 +22,9 @@
 constexpr Millis minAbsence { 50 };
 constexpr Millis maxAbsence { 2'500 };
 constexpr Millis dayLength { 40'000 };
-constexpr Millis dayEnd { 20'000 }; // In which all that was submitted should end.
+constexpr Millis dayEnd { 20'000 }; // Time after the load in which all submitted jobs should end.
 
-/// How a lost worker comes back.
+/// The id under which a failed worker restarts.
 enum class Return {
     SameId,
     NewId,
@@ -33,16 +33,16 @@
 struct Day {
     const char* name;
     Return lostWorkers = Return::SameId;
-    Millis betweenTakeovers { 0 }; ///< 0: no owner is lost.
+    Millis betweenTakeovers { 0 }; ///< 0: no owner crashes.
 };
 
-/// A task that ran at a worker when it was lost.
+/// A task that was running on a worker when the worker failed.
 struct LostTask {
     std::string job;
     TaskId task;
     std::string instance;
-    std::uint64_t life = 0; ///< Of the worker that was lost.
-    std::optional<MonotonicInstant> backAt; ///< When the instance's next worker first reported.
+    std::uint64_t life = 0; ///< Incarnation of the failed worker.
+    std::optional<MonotonicInstant> backAt; ///< Time of the first report of the instance's next worker.
     std::optional<MonotonicInstant> restartedAt;
 };
 
@@ -55,8 +55,8 @@
         m_cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
     }
 
-    /// \returns Milliseconds from the first report of each lost worker's successor to the restart of each task; 0 if the task
-    /// had started elsewhere before.
+    /// \returns Milliseconds from the first report of each failed worker's successor to the restart of each task; 0 if the task
+    /// had already started elsewhere.
     std::vector<double> play()
     {
         const MonotonicInstant begin = m_cluster.clock.now();
--- a/bench/traffic.cpp
+++ b/bench/traffic.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// Measures of one entry instance with real processes: added latency and throughput as
-/// ratios to the endpoint asked directly, the cost of a held listener, and what control
-/// costs an idle entry. Usage: bench_traffic BUILD-FOLDER
+/// Benchmark of one entry instance with real processes: added latency and throughput relative
+/// to direct calls of the endpoint, the cost of an open listener, and the cost of control on
+/// an idle entry. Usage: bench_traffic BUILD-FOLDER
 
 #include "support/cluster.h"
 
@@ -27,7 +27,7 @@
 constexpr std::chrono::seconds throughputTime { 4 };
 constexpr std::chrono::seconds idleTime { 10 };
 
-/// Sends requests one after the other on one kept connection.
+/// Sends requests sequentially on one keep-alive connection.
 class Caller {
 public:
     explicit Caller(HttpAddress address)
@@ -83,7 +83,7 @@
     return done / std::chrono::duration<double>(throughputTime).count();
 }
 
-/// What the system tells of a process.
+/// Resource usage of a process, from /proc.
 struct ProcessCost {
     double cpuSeconds = 0;
     double residentMegabytes = 0;
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -1,14 +1,14 @@
 /// \file
-/// A worker's stand-in as a process: it serves requests, drains and reboots.
-/// Usage: endpoint_standin ID [REBOOT-MS]. It prints "listening PORT" and runs until its
-/// standard input ends.
+/// Stand-in process for a worker that serves requests, drains and reboots.
+/// Usage: endpoint_standin ID [REBOOT-MS]. Prints "listening PORT" and runs until the end of
+/// standard input.
 ///
-/// /check?ms=N        answers after N ms with the request's id and body
+/// /check?ms=N        responds after N ms with the request's id and body
 /// /listen?events=N&gapMs=M   streams N events
 /// /order             counts a run of the Idempotency-Key
-/// /cut, /close, /fail   cut the answer, close before it, answer 500
-/// /runs              tells all keys and how often each ran
-/// /platform/...      how the platform sees and controls it
+/// /cut, /close, /fail   abort amid the response, close before the response, respond with 500
+/// /runs              returns the run count of each key
+/// /platform/...      state and control calls of the platform
 
 #include "lanemoor/net/http_server.h"
 
--- a/standins/fleet_standin.cpp
+++ b/standins/fleet_standin.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t mostAnswerBytes = 65536;
 constexpr std::string_view listPath = "/v1/instances";
 
-/// \returns The worker's answer, or nothing if it can't be reached.
+/// \returns The worker's response body; empty if the worker can't be reached.
 std::string ask(const HttpAddress& address, const std::string& method, const std::string& target)
 {
     HttpRequest request;
@@ -114,7 +114,7 @@
         }
         m_newestEpoch[id] = epoch;
         address = worker->second.address;
-        // A repeat of the same act under the same grant changes nothing.
+        // A reboot is idempotent per grant.
         if (act == "reboot" && !m_rebooted.emplace(id, grant).second) {
             exchange.respond({ 202, {}, {} });
             return;
--- a/standins/fleet_standin.h
+++ b/standins/fleet_standin.h
@@ -16,9 +16,9 @@
 
 namespace lanemoor::standins {
 
-/// \brief Workers that registered, as seen a little while ago.
+/// \brief Registered workers, listed with a delay.
 ///
-/// A thread asks each worker how it is; the list shows what it said `lag` ago. A worker
+/// A thread polls the state of each worker; the list shows the states of `lag` ago. A worker
 /// that can't be reached is missing from the list.
 class FleetStandin {
 public:
@@ -27,7 +27,7 @@
     FleetStandin(const FleetStandin&) = delete;
     FleetStandin& operator=(const FleetStandin&) = delete;
 
-    /// \brief Answers a call whose path begins with /v1/instances.
+    /// \brief Handles a request whose path begins with /v1/instances.
     void handle(HttpExchange& exchange);
 
     void setListAway(bool away);
@@ -37,11 +37,11 @@
 
     struct Worker {
         HttpAddress address;
-        std::string description; ///< The JSON it was registered with.
-        std::string state; ///< The JSON it told last; empty: can't be reached.
+        std::string description; ///< The JSON of the registration.
+        std::string state; ///< The last reported JSON; empty if unreachable.
     };
 
-    /// What the list said at one time.
+    /// The list as of one time.
     struct Listing {
         Clock::time_point at;
         std::string text;
@@ -57,7 +57,7 @@
     std::chrono::milliseconds m_lag;
     mutable std::mutex m_mutex;
     std::map<std::string, Worker> m_workers;
-    std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance: late acts of an older holder are refused.
+    std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance; late acts of an older holder are refused.
     std::set<std::pair<std::string, std::uint64_t>> m_rebooted; ///< Instance and grant.
     std::deque<Listing> m_listings;
     bool m_listAway = false;
--- a/standins/job_platform/control_service.h
+++ b/standins/job_platform/control_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The connection over which a test sets faults and writes as the platform's operators do.
+/// The interface over which a test injects faults and makes the writes of the platform's operators.
 
 #include "fleet.h"
 #include "lanemoor/aio/http_listener.h"
@@ -10,11 +10,11 @@
 
 namespace lanemoor::standin {
 
-/// \brief Answers POST requests with JSON bodies:
+/// \brief Handles POST requests with JSON bodies:
 ///
 /// | path | fields |
 /// | --- | --- |
-/// | `/begin` | `addresses`: by instance, under which its worker is entered in the store |
+/// | `/begin` | `addresses`: by instance, the address in the store entry of its worker |
 /// | `/store-faults` | `refusing`, `silent`, `lost_answers`, `late_writes`, `answer_ms` |
 /// | `/put`, `/remove` | `key`, `value` |
 /// | `/kill` | `instance`, `back_ms`, `keeps_id` |
--- a/standins/job_platform/event_writer.h
+++ b/standins/job_platform/event_writer.h
@@ -1,13 +1,13 @@
 #pragma once
 /// \file
-/// What the stand-in tells its observer: one JSON object a line on standard output.
+/// The stand-in's event output: one JSON object per line on standard output.
 
 #include <nlohmann/json.hpp>
 #include <string>
 
 namespace lanemoor::standin {
 
-/// \brief Writes events in the order in which they happen, each with its time of day in Unix ms (`at`).
+/// \brief Writes events in order of occurrence, each with its time in Unix ms (`at`).
 class EventWriter {
 public:
     void write(const char* event, nlohmann::json fields);
--- a/standins/job_platform/fleet.cpp
+++ b/standins/job_platform/fleet.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis moveTime { 1'500 };
 constexpr Millis maintenanceTime { 2'000 };
-constexpr Millis entryOutlives { 4'500 }; // A lost worker's entry stays this long.
+constexpr Millis entryOutlives { 4'500 }; // The entry of a crashed worker stays this long.
 constexpr std::size_t pageSize = 100;
 const HttpAddress anyPort { "127.0.0.1", 0 };
 
@@ -114,7 +114,7 @@
 
 void Fleet::serveWorker(Instance& instance, const HttpRequest& request, const aio::HttpResponder& respond)
 {
-    // Without an answer the connection ends.
+    // Dropping the responder closes the connection without a response.
     if (!instance.worker)
         return;
     if (instance.faults.mute) {
--- a/standins/job_platform/fleet.h
+++ b/standins/job_platform/fleet.h
@@ -18,7 +18,7 @@
 
 namespace lanemoor::standin {
 
-/// Where an instance stands and what it has.
+/// Location and capacity of an instance.
 struct InstanceSettings {
     std::string id;
     std::string pool;
@@ -29,26 +29,26 @@
     std::int64_t memoryMb = 16'384;
 };
 
-/// How a worker fails while it runs on.
+/// Faults of a running worker.
 struct WorkerFaults {
-    bool mute = false; ///< Reads calls, does nothing and answers nothing.
-    Millis answerTime { 0 }; ///< Calls are carried out and answered this much later.
+    bool mute = false; ///< Reads calls without effect and response.
+    Millis answerTime { 0 }; ///< Delay before a call is handled.
 
     [[nodiscard]] bool operator==(const WorkerFaults&) const = default;
 };
 
-/// \brief Instances with one port each, on which the workers of an instance serve one after the other.
+/// \brief Instances with one port each, on which the successive workers of an instance serve.
 class Fleet {
 public:
     Fleet(aio::AsioEventLoop& loop, StoreService& store, EventWriter& events);
 
-    /// \brief Adds an instance. It is down until `begin`.
+    /// \brief Adds an instance, which is down until `begin`.
     void add(const InstanceSettings& settings);
 
-    /// \param pool Its instances are off.
+    /// \brief Declares a reserve pool, whose instances run no workers.
     void addReserve(const std::string& pool) { m_reserves.insert(pool); }
 
-    /// \brief Starts the workers. \param addresses Under which each instance's worker is entered in the store; absent: its own port.
+    /// \brief Starts the workers. \param addresses Address in the store entry of each instance's worker; by default its own port.
     void begin(const std::map<std::string, std::string>& addresses);
 
     [[nodiscard]] std::uint16_t port() const { return m_listener.port(); }
@@ -56,13 +56,13 @@
     /// \returns The ports of the instances' workers, by instance.
     [[nodiscard]] std::map<std::string, std::uint16_t> workerPorts() const;
 
-    /// \brief Ends a worker with all that runs there.
-    /// \param backAfter The next worker of the instance starts this much later.
-    /// \param keepsId The next worker has the id of this one, and its entry stays.
-    /// \returns Whether there was a worker.
+    /// \brief Kills the worker of an instance with all its attempts.
+    /// \param backAfter Time until the instance's next worker starts.
+    /// \param keepsId Whether the next worker has the same id and the entry stays.
+    /// \returns Whether the instance had a worker.
     bool kill(const std::string& instance, Millis backAfter, bool keepsId);
 
-    /// \returns Whether there is such an instance.
+    /// \returns Whether the instance exists.
     bool setFaults(const std::string& instance, const WorkerFaults& faults);
 
 private:
@@ -74,7 +74,7 @@
         std::unique_ptr<Worker> worker;
         WorkerFaults faults;
         std::vector<aio::HttpResponder> unanswered;
-        std::int64_t fence = 0; ///< Highest that an act has brought.
+        std::int64_t fence = 0; ///< Highest fencing token of an act.
     };
 
     void beginWorker(const std::string& instance, const std::string& formerId);
@@ -93,7 +93,7 @@
     EventWriter& m_events;
     std::map<std::string, Instance> m_instances;
     std::set<std::string> m_reserves;
-    std::set<std::pair<std::int64_t, std::string>> m_maintained; ///< Waves and instances.
+    std::set<std::pair<std::int64_t, std::string>> m_maintained; ///< Wave numbers and instances.
     std::uint64_t m_lastWorker = 0;
     aio::HttpListener m_listener;
 };
--- a/standins/job_platform/main.cpp
+++ b/standins/job_platform/main.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// A stand-in of the platform for the job service: store, fleet interface and workers over HTTP on loopback.
+/// Stand-in for the platform of the job service: store, fleet interface and workers over HTTP on loopback.
 /// Usage: job_platform_standin [--seed N] [--instances N] [--reserve N] [--halls N]
 ///
-/// The first line of its output names its ports. Workers start with the control call `/begin`. Ends with SIGTERM.
+/// The first line of output has the ports. Workers start at the control call `/begin`. SIGTERM ends the process.
 
 #include "control_service.h"
 #include "lanemoor/aio/asio_event_loop.h"
@@ -22,7 +22,7 @@
 constexpr unsigned racksPerHall = 2;
 const std::string reservePool = "reserve";
 
-/// Numbers on the command line, by name.
+/// Command-line options.
 struct Options {
     std::uint64_t seed = 1;
     unsigned instances = 12;
@@ -44,7 +44,7 @@
     return options;
 }
 
-/// Instances of the pools `alpha` and `beta` in turn, then those of the reserve, spread evenly over data halls and racks.
+/// Adds instances alternately to the pools `alpha` and `beta`, then to the reserve, spread evenly over data halls and racks.
 void addInstances(Fleet& fleet, const Options& options)
 {
     fleet.addReserve(reservePool);
--- a/standins/job_platform/store_core.h
+++ b/standins/job_platform/store_core.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The data of the platform's store: keys, history and leases, with the time passed in.
+/// The data of the platform's store: keys, history and leases. Callers pass the current time.
 
 #include "lanemoor/jobs/model/key_value_store.h"
 
@@ -16,20 +16,20 @@
 /// \brief A linearizable key-value store with revisions, leases and a bounded history.
 class StoreCore {
 public:
-    /// \brief Commits all writes and removals if every condition holds and every lease named is in force.
+    /// \brief Commits all writes and removals if every condition holds and every referenced lease is valid.
     [[nodiscard]] jobs::CommitResult commit(const jobs::Transaction& transaction, jobs::MonotonicInstant now);
 
     [[nodiscard]] jobs::ReadResult read(const std::string& key) const;
     [[nodiscard]] jobs::ItemsResult range(const std::string& prefix, const std::string& afterKey) const;
 
-    /// \returns The changes under `prefix` after revision `after`, or HistoryGone if they are no longer kept.
+    /// \returns The changes under `prefix` after revision `after`, or HistoryGone if the history no longer has them.
     [[nodiscard]] jobs::ItemsResult eventsAfter(const std::string& prefix, std::uint64_t after) const;
 
     [[nodiscard]] jobs::LeaseResult grant(Millis timeToLive, jobs::MonotonicInstant now);
     [[nodiscard]] jobs::LeaseResult renew(std::uint64_t lease, jobs::MonotonicInstant now);
     [[nodiscard]] jobs::LeaseResult end(std::uint64_t lease, jobs::MonotonicInstant now);
 
-    /// \brief Ends the leases that are over and drops old history.
+    /// \brief Ends the expired leases and drops old history.
     /// \returns Whether a key has changed.
     bool expire(jobs::MonotonicInstant now);
 
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr Millis leaseCheck { 20 };
-constexpr int leastLateness = 1'000; // Of a late write, ms.
+constexpr int leastLateness = 1'000; // Min delay of a late write, ms.
 constexpr int mostLateness = 6'000;
 constexpr std::string_view keepPath = "/api/kv-keep/";
 constexpr std::string_view endPath = "/api/kv-lease-end/";
@@ -72,7 +72,7 @@
     return answerJson(statusOf(result.outcome), body);
 }
 
-/// \returns The transaction in a body, or nothing if it is no transaction or has too many entries.
+/// \returns The transaction in a body, or nullopt if the body is malformed or has too many entries.
 std::optional<Transaction> readTransaction(const json& body)
 {
     Transaction transaction;
--- a/standins/job_platform/store_service.h
+++ b/standins/job_platform/store_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The platform's store over HTTP, with switches for its faults.
+/// The platform's store over HTTP, with fault injection.
 
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/aio/http_listener.h"
@@ -15,29 +15,29 @@
 
 namespace lanemoor::standin {
 
-/// How the store fails. Shares are of the writes.
+/// Faults of the store. Shares are probabilities per write.
 struct StoreFaults {
-    bool refusing = false; ///< Calls are answered with 503 and do nothing.
-    bool silent = false; ///< Calls do nothing and are not answered.
-    double lostAnswers = 0; ///< Writes that are carried out and not answered.
-    double lateWrites = 0; ///< Writes that are not answered and carried out seconds later, if their conditions still hold.
+    bool refusing = false; ///< Calls get status 503 and have no effect.
+    bool silent = false; ///< Calls have no effect and get no response.
+    double lostAnswers = 0; ///< Share of writes that take effect without a response.
+    double lateWrites = 0; ///< Share of writes that take effect seconds later, if their conditions still hold, without a response.
     Millis answerTime { 2 };
 
     [[nodiscard]] bool operator==(const StoreFaults&) const = default;
 };
 
-/// \brief Serves the calls of the store on a port that the kernel chooses.
+/// \brief Serves the calls of the store on an ephemeral port.
 class StoreService {
 public:
-    /// \param seed Of the choice which calls a fault meets.
+    /// \param seed Seed of the random choice of calls that a fault affects.
     StoreService(aio::AsioEventLoop& loop, std::uint64_t seed);
 
     [[nodiscard]] std::uint16_t port() const { return m_listener.port(); }
 
-    /// \brief Sets the faults from now on. Calls that were not answered stay unanswered, and their connections end.
+    /// \brief Sets the faults of later calls. The connections of unanswered calls are closed without a response.
     void setFaults(const StoreFaults& faults);
 
-    /// \name Writes of operators and workers, which meet no faults
+    /// \name Access of operators and workers, not subject to faults
     ///@{
     std::uint64_t put(const std::string& key, const std::string& value);
     void remove(const std::string& key);
--- a/standins/job_platform/wire_text.h
+++ b/standins/job_platform/wire_text.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Pieces of the platform's wire format that the stand-in's services share.
+/// Wire-format helpers shared by the stand-in's services.
 
 #include "lanemoor/net/http_message.h"
 
@@ -10,7 +10,7 @@
 
 namespace lanemoor::standin {
 
-/// Statuses that the platform answers with.
+/// HTTP statuses of the platform's responses.
 namespace status {
 constexpr unsigned ok = 200;
 constexpr unsigned badRequest = 400;
@@ -22,25 +22,25 @@
 constexpr unsigned unavailable = 503;
 } // namespace status
 
-/// \returns An answer with a JSON body.
+/// \returns A response with a JSON body.
 [[nodiscard]] HttpResponse answerJson(unsigned code, const nlohmann::json& body);
 
-/// \returns A 409 that names its reason.
+/// \returns A 409 response with a reason.
 [[nodiscard]] HttpResponse answerConflict(std::string_view reason, std::int64_t clock = 0);
 
-/// \returns The object in a request's body; an empty one if there is none.
+/// \returns The JSON object in a request's body; an empty object if there is none.
 [[nodiscard]] nlohmann::json objectIn(const HttpRequest& request);
 
-/// \returns The value of a query field, decoded; empty if it is absent.
+/// \returns The percent-decoded value of a query field; empty if absent.
 [[nodiscard]] std::string queryText(const HttpRequest& request, std::string_view name);
 
-/// \returns The value of a query field as a number; 0 if it is absent.
+/// \returns The value of a query field as a number; 0 if absent or not a number.
 [[nodiscard]] std::uint64_t queryNumber(const HttpRequest& request, std::string_view name);
 
-/// \returns The field of an object as a whole number; 0 if it is absent.
+/// \returns The field of an object as an integer; 0 if absent or not a number.
 [[nodiscard]] std::int64_t integerIn(const nlohmann::json& object, const char* name);
 
-/// \returns The field of an object as text; empty if it is absent.
+/// \returns The field of an object as text; empty if absent or not a string.
 [[nodiscard]] std::string textIn(const nlohmann::json& object, const char* name);
 
 } // namespace lanemoor::standin
--- a/standins/job_platform/worker.h
+++ b/standins/job_platform/worker.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One incarnation of a worker: leases on its own clock, fencing, and the reports it keeps until they are acknowledged.
+/// One incarnation of a worker: leases on its own clock, fencing, and reports kept until acknowledged.
 
 #include "event_writer.h"
 #include "lanemoor/aio/http_listener.h"
@@ -17,17 +17,17 @@
 
 namespace lanemoor::standin {
 
-/// Who a worker is.
+/// Identity and location of a worker.
 struct WorkerIdentity {
     std::string id;
     std::string instance;
     std::string dataHall;
-    std::int64_t startedAt = 0; ///< Of this incarnation, Unix ms.
+    std::int64_t startedAt = 0; ///< Start time of this incarnation, Unix ms.
 };
 
-/// \brief Carries out the calls of one incarnation. Its runs end with it.
+/// \brief Handles the calls to one incarnation. Destruction ends its runs.
 ///
-/// A payload is a JSON object: `ms` is the run time and `fails` (optional) ends the run as a failure.
+/// A payload is a JSON object: `ms` is the run time, and the optional `fails` makes the run fail.
 class Worker {
 public:
     Worker(jobs::EventLoop& loop, EventWriter& events, WorkerIdentity identity);
@@ -38,7 +38,7 @@
     [[nodiscard]] const WorkerIdentity& identity() const noexcept { return m_identity; }
 
     /// \name Calls
-    /// Each takes the body of the request and answers once, now or later.
+    /// Each gets the body of the request and responds once, at once or later.
     ///@{
     void start(const nlohmann::json& body, const aio::HttpResponder& respond);
     void stop(const nlohmann::json& body, const aio::HttpResponder& respond);
@@ -47,7 +47,7 @@
     ///@}
 
 private:
-    using Run = std::pair<std::string, std::uint64_t>; ///< Task and number of the attempt.
+    using Run = std::pair<std::string, std::uint64_t>; ///< Task and attempt number.
 
     struct Progress {
         std::string checkpoint;
@@ -82,15 +82,15 @@
     jobs::EventLoop& m_loop;
     EventWriter& m_events;
     WorkerIdentity m_identity;
-    jobs::MonotonicInstant m_clockStart; ///< When its clock showed 0.
+    jobs::MonotonicInstant m_clockStart; ///< Zero of the worker's clock.
     std::int64_t m_fence = 0;
     jobs::MonotonicInstant m_leaseUntil;
     jobs::TimerId m_lapse = 0;
     std::map<Run, Progress> m_running;
     std::deque<End> m_ended;
     std::uint64_t m_lastEnd = 0;
-    std::uint64_t m_lapsedUpTo = 0; ///< Acknowledging an end before a lapse does not record it.
-    std::map<std::string, std::uint64_t> m_settled; ///< Highest attempt stopped or ended, by task.
+    std::uint64_t m_lapsedUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
+    std::map<std::string, std::uint64_t> m_settled; ///< Highest stopped or ended attempt number, by task.
     std::vector<jobs::TimerId> m_stops;
     std::map<std::uint64_t, Waiting> m_waiting;
     std::uint64_t m_lastWaiting = 0;
--- a/standins/model/hall_cuts.h
+++ b/standins/model/hall_cuts.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Cuts of the network between data halls.
+/// Network partitions between data halls.
 
 #include <set>
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace lanemoor::model {
 
-/// \brief Directions between data halls in which nothing arrives, without a word.
+/// \brief The directions between data halls in which messages are dropped silently.
 class HallCuts {
 public:
-    /// \brief Cuts or restores what goes from one data hall to another.
+    /// \brief Cuts or restores the direction from one data hall to another.
     void setOneWay(const std::string& from, const std::string& to, bool cut)
     {
         if (cut)
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -12,18 +12,18 @@
 
 using namespace jobs;
 
-constexpr Millis cancelBound { 3'000 }; // In which a cancelled job's starts must stop.
-constexpr Millis evacuationBound { 5'000 }; // In which starts in an evacuated data hall must stop.
-constexpr Millis atWorkAfter { 500 }; // A long-running task is at work so long after its start.
-constexpr Millis noticeTime { 4'500 }; // A task away for so long counts, whatever the cause.
-constexpr Millis holderTime { 3'000 }; // Two holders may not act on one instance within it.
-constexpr Millis quotaInForce { 3'000 }; // After a change, in which the former quota still counts.
-constexpr double quotaSlack = 0.1; // Of a quota, and one task more: attempts of former owners may not all be known.
-constexpr std::uint32_t endsToGiveUp = 2; // Workers that a task has ended before it may be given up,
-constexpr std::uint32_t endsThatCount = 3; // and after which its starts are counted:
-constexpr std::uint32_t startsTooMany = 3; // so many break the promise.
-constexpr Millis contactTime { 3'000 }; // Without trouble, until an instance is in touch.
-constexpr Millis resend { 500 }; // Between a caller's attempts.
+constexpr Millis cancelBound { 3'000 }; // From a job's cancel to the last start of its tasks.
+constexpr Millis evacuationBound { 5'000 }; // From an evacuation request to the last start in the data hall.
+constexpr Millis atWorkAfter { 500 }; // From the start of a long-running task until the task is ready.
+constexpr Millis noticeTime { 4'500 }; // A task without a worker for this long counts against the disruption budget, regardless of the cause.
+constexpr Millis holderTime { 3'000 }; // Min time between acts of two holders on one instance.
+constexpr Millis quotaInForce { 3'000 }; // After a change, the previous quota still applies for this long.
+constexpr double quotaSlack = 0.1; // Permitted excess as a share of a quota, beside one task: a new owner may not have all attempts of previous owners yet.
+constexpr std::uint32_t endsToGiveUp = 2; // Worker crashes under a task from which the task may fail permanently.
+constexpr std::uint32_t endsThatCount = 3; // Worker crashes caused by a task, after which its further starts are counted.
+constexpr std::uint32_t startsTooMany = 3; // Counted starts from which the guarantee is violated.
+constexpr Millis contactTime { 3'000 }; // Time without faults after which entries count as connected.
+constexpr Millis resend { 500 }; // Between a caller's retries.
 
 std::string nameOf(const std::string& job, const TaskId& task)
 {
@@ -126,7 +126,7 @@
     const Task task { attempt.job, attempt.task };
     const auto found = m_jobs.find(attempt.job);
     if (found == m_jobs.end()) {
-        breach("UNASKED", "no caller handed in " + attempt.job);
+        breach("UNASKED", "no caller submitted " + attempt.job);
         return;
     }
     const Job& job = found->second;
@@ -144,7 +144,7 @@
     if (!step.longRunning && m_storedFailures[task].size() >= job.mostAttempts)
         breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts after its last attempt");
     if (!late && m_clock.now() >= m_inTouchFrom && workersEndedBy(attempt.job, attempt.task) >= endsThatCount && ++m_startsSince[task] >= startsTooMany)
-        breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts again and again after it has ended three workers");
+        breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts repeatedly after it has crashed three workers");
     if (!late && job.cancelledAt && m_clock.now() - *job.cancelledAt > cancelBound)
         breach("UNASKED", nameOf(attempt.job, attempt.task) + " starts though its job was cancelled");
     if (labelsOf && !step.requiredLabel.empty()) {
@@ -187,7 +187,7 @@
     }
     const auto allowed = static_cast<std::int64_t>(static_cast<double>(most) * (1 + quotaSlack)) + step.needs.milliCpu;
     if (used > allowed)
-        breach("QUOTA", organisation->second + " has " + std::to_string(used) + " thousandths of a core running where " + std::to_string(most) + " are its quota");
+        breach("QUOTA", organisation->second + " has " + std::to_string(used) + " milli-cores running, its quota is " + std::to_string(most) + " milli-cores");
 }
 
 void JobWitness::leave(const std::string& worker, const Attempt& attempt)
@@ -217,14 +217,14 @@
             ++away;
     }
     if (away >= step.disruptionBudget)
-        breach("AVAIL", nameOf(attempt.job, attempt.task) + " is taken away while " + std::to_string(away) + " others are");
+        breach("AVAIL", nameOf(attempt.job, attempt.task) + " is taken down while " + std::to_string(away) + " others are away");
 }
 
 void JobWitness::noteDeparture(const Attempt& attempt, const Departure& departure)
 {
     const auto taken = m_takenByOrder.find({ attempt.job, attempt.task });
     if (!departure.byOrder) {
-        // Once it was back at work, what ends it is another matter.
+        // The task has become ready since the command, so that the command no longer explains its absence.
         if (taken != m_takenByOrder.end() && taken->second <= m_clock.now())
             m_takenByOrder.erase(taken);
         return;
@@ -234,7 +234,7 @@
     m_takenByOrder[{ attempt.job, attempt.task }] = MonotonicInstant::max();
 }
 
-/// One success of a gang's member stands for all.
+/// The success of one gang member counts for all members.
 void JobWitness::noteSuccess(const Attempt& attempt)
 {
     m_succeeded.insert({ attempt.job, attempt.task });
@@ -278,9 +278,9 @@
     if (last != m_lastAct.end()) {
         const auto& [epoch, at] = last->second;
         if (holder.epoch < epoch)
-            breach("ONE", instance + " hears an older holder");
+            breach("ONE", instance + " accepts an act of an older holder");
         else if (holder.epoch > epoch && m_clock.now() - at < holderTime)
-            breach("ONE", instance + " hears two holders in turn");
+            breach("ONE", instance + " accepts acts of two holders within the min time");
     }
     m_lastAct[instance] = { holder.epoch, m_clock.now() };
 }
@@ -329,7 +329,7 @@
 
 void JobWitness::onOverload(const std::string& worker, const Attempt& attempt)
 {
-    breach("LIMIT", nameOf(attempt.job, attempt.task) + " takes " + worker + " over its capacity");
+    breach("LIMIT", nameOf(attempt.job, attempt.task) + " starts on " + worker + " beyond its capacity");
 }
 
 JobCluster::JobCluster(std::uint64_t seed, std::size_t entries)
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Entry instances of the job service on the models of store, workers and instances.
+/// Entry instances of the job service on simulated store, workers and instances.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/platform_documents.h"
@@ -17,7 +17,7 @@
 
 namespace lanemoor::model {
 
-/// \brief Documents for models: objects are handed over by key instead of text.
+/// \brief Documents for simulations: the text is a key to the object, so that nothing is parsed.
 class ModelDocuments final : public jobs::PlatformDocuments {
 public:
     std::map<std::string, jobs::ServiceConfiguration> configurations;
@@ -35,13 +35,13 @@
     [[nodiscard]] std::string formatWaveStatus(bool finished) const override { return finished ? "finished" : "running"; }
 };
 
-/// A promise that was broken, as seen from outside.
+/// A violated guarantee, as observed from outside.
 struct Breach {
     std::string rule;
     std::string detail;
 };
 
-/// \brief Watches workers and callers and checks the promises of the job service.
+/// \brief Observes workers and callers and checks the guarantees of the job service.
 class JobWitness final : public WorkerWitness {
 public:
     explicit JobWitness(const SimClock& clock)
@@ -49,23 +49,23 @@
     {
     }
 
-    std::function<void(const Breach&)> onBreach; ///< Null: nobody is told at once.
+    std::function<void(const Breach&)> onBreach; ///< Called at each breach; may be null.
     std::function<std::vector<std::string>(const std::string& worker)> labelsOf; ///< Null: labels are not checked.
     std::function<std::string(const std::string& worker)> hallOf; ///< Null: evacuations are not checked.
 
     void noteSubmitted(const std::string& id, const jobs::JobSpec& spec, std::uint32_t mostAttempts);
-    /// \brief Names the organisation whose quota a job counts for.
+    /// \brief Sets the organisation whose quota a job counts against.
     void noteOrganisation(const std::string& id, const std::string& organisation) { m_organisations[id] = organisation; }
 
-    /// \brief Notes a quota that operators set. One that is lowered holds once instances must have heard of it.
+    /// \brief Records a quota set by operators. A lowered quota is enforced once all entries must have received it.
     void noteQuota(const std::string& organisation, const jobs::Resources& quota);
-    /// \brief Notes that instances or the store are in trouble until `end` at the latest: what is bound in time only for instances
-    /// that are in touch is not judged until they are again.
+    /// \brief Records that entries or the store have faults until `end`. Time bounds that hold only for connected entries are not
+    /// checked until the entries are connected again.
     void noteTrouble(MonotonicInstant end);
     void noteCancelSent(const std::string& id);
     void noteCancelled(const std::string& id);
     void noteWave(const jobs::WaveRequest& wave);
-    /// \brief Notes that operators ask to evacuate a data hall, or take that back.
+    /// \brief Records an evacuation request for a data hall, or its withdrawal.
     void noteEvacuation(const std::string& dataHall, bool on);
     void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
@@ -80,17 +80,17 @@
     [[nodiscard]] const jobs::JobSpec* job(const std::string& id) const;
     [[nodiscard]] std::uint32_t mostAttempts(const std::string& id) const { return m_jobs.at(id).mostAttempts; }
 
-    /// \returns Whether every task of the job has ended as a success.
+    /// \returns Whether every task of the job has succeeded.
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
 
-    /// \returns Whether a job may be shown as failed: a task of it, or a gang, has failed as often as it may, or two
-    /// workers have crashed under one of its tasks: the platform's owners ask no more before a task is given up.
+    /// \returns Whether a job may be reported as failed: one of its tasks or gangs has used all attempts, or two workers have
+    /// crashed under one of its tasks. The platform's owners permit a task to fail permanently after two crashes.
     [[nodiscard]] bool mayHaveFailed(const std::string& id) const;
 
-    /// \returns Workers that a task has ended.
+    /// \returns The number of workers that a task has crashed.
     [[nodiscard]] std::uint32_t workersEndedBy(const std::string& id, const jobs::TaskId& task) const;
 
-    /// \returns Where a task runs now; empty: nowhere.
+    /// \returns The worker that runs a task; empty if none does.
     [[nodiscard]] std::string workerOf(const std::string& id, const jobs::TaskId& task) const;
 
     [[nodiscard]] std::uint64_t starts() const noexcept { return m_starts; }
@@ -102,7 +102,7 @@
         jobs::JobSpec spec;
         std::uint32_t mostAttempts = 0;
         bool cancelSent = false;
-        std::optional<MonotonicInstant> cancelledAt; ///< When the caller was told so.
+        std::optional<MonotonicInstant> cancelledAt; ///< When the caller received the acknowledgement.
     };
 
     void breach(const std::string& rule, const std::string& detail);
@@ -119,25 +119,25 @@
     std::set<Task> m_succeeded;
     std::set<Task> m_storedSuccess;
     std::map<Task, std::set<std::uint64_t>> m_storedFailures;
-    std::map<Task, std::set<std::uint64_t>> m_failures; ///< Attempts; those of a gang stand with its first task.
-    std::map<Task, std::uint32_t> m_workersEnded; ///< By a task.
-    std::map<Task, std::uint32_t> m_workersCrashed; ///< Under a task, whatever ended them.
+    std::map<Task, std::set<std::uint64_t>> m_failures; ///< Attempt numbers, by task; a gang's under its first task.
+    std::map<Task, std::uint32_t> m_workersEnded; ///< Workers crashed by the task.
+    std::map<Task, std::uint32_t> m_workersCrashed; ///< Workers that crashed under the task for any reason.
     MonotonicInstant m_inTouchFrom;
-    std::map<Task, std::uint32_t> m_startsSince; ///< Of tasks that had ended as many workers as they may.
-    std::map<Task, MonotonicInstant> m_takenByOrder; ///< Until at work again.
+    std::map<Task, std::uint32_t> m_startsSince; ///< Starts of tasks that had already crashed as many workers as permitted.
+    std::map<Task, MonotonicInstant> m_takenByOrder; ///< Time until which a command accounts for the task's absence.
     std::map<std::string, std::pair<std::uint64_t, MonotonicInstant>> m_lastAct; ///< Epoch and time, by instance.
     std::map<std::uint64_t, std::uint32_t> m_mostAtOnce; ///< By wave.
-    std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Of the instances taken down, by wave.
+    std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Return times of the instances in maintenance, by wave.
     std::map<std::string, MonotonicInstant> m_evacuatedSince; ///< By data hall.
-    std::map<Task, MonotonicInstant> m_awaySince; ///< Long-running tasks that run nowhere.
-    /// A quota, and until when it still counts beside the next one.
+    std::map<Task, MonotonicInstant> m_awaySince; ///< Time since which a task runs on no worker.
+    /// A quota and, once replaced, the time until which it still applies.
     struct Quota {
         jobs::Resources most;
         std::optional<MonotonicInstant> until;
     };
 
     std::map<std::string, std::string> m_organisations; ///< By job.
-    std::map<std::string, std::vector<Quota>> m_quotas; ///< By organisation, in their order.
+    std::map<std::string, std::vector<Quota>> m_quotas; ///< By organisation, oldest first.
     std::uint64_t m_starts = 0;
     std::vector<Breach> m_breaches;
 };
@@ -148,7 +148,7 @@
     explicit JobCluster(std::uint64_t seed, std::size_t entries = 3);
     ~JobCluster();
 
-    /// \name Parts
+    /// \name Components
     ///@{
     std::mt19937_64 random;
     SimClock clock;
@@ -164,7 +164,7 @@
     [[nodiscard]] std::size_t entries() const noexcept { return m_entries.size(); }
     [[nodiscard]] jobs::JobService& entry(std::size_t index) { return *m_entries[index].service; }
     [[nodiscard]] bool isUp(std::size_t index) const { return m_entries[index].service != nullptr; }
-    /// \param silently Its peers hear nothing of it, as after a loss of power.
+    /// \param silently Peers are not notified, as after a power loss.
     void kill(std::size_t index, bool silently = false);
     void start(std::size_t index);
     void freeze(std::size_t index);
@@ -173,61 +173,60 @@
     void cutWatches(std::size_t index, bool cut);
     void resetStoreCalls(std::size_t index, bool reset);
 
-    /// \brief Sets what the link of an entry's machine carries of the store's answers, until the entry starts again; 0: all at once.
+    /// \brief Sets the bandwidth of the link from the store to an entry's machine until the entry restarts; 0 for unlimited.
     void setStoreLink(std::size_t index, std::size_t bytesPerMs);
 
-    /// \brief Lets owners that start from now on have their calls relayed, from the first worker on
-    /// or by as many as one machine's core carries.
+    /// \brief Sets the number of workers per core above which owners that start later have calls relayed; 0 for no relays.
     void relayAt(double workersPerCore) { m_workersPerCore = workersPerCore; }
 
-    /// \brief Sets the policies of entries that start from now on.
+    /// \brief Sets the policies of entries that start later.
     void setPolicies(const jobs::Policies& policies) { m_policies = policies; }
 
-    /// \brief Sets the bound of evacuations of entries that start from now on; 0: none.
+    /// \brief Sets the evacuation bound of entries that start later; 0 for none.
     void setEvacuationTime(Millis time) { m_evacuationTime = time; }
 
-    /// \returns How other entries reach entry `index`.
+    /// \returns The address of entry `index` for its peers.
     [[nodiscard]] std::string peerAddress(std::size_t index) const { return m_entries[index].name; }
 
-    /// \brief Sets where an entry stands, for its next start. Cuts concern the links of entries and their calls to workers.
+    /// \brief Sets the data hall of an entry for its next start. Cuts affect its peer links and its calls to workers.
     void setDataHall(std::size_t index, const std::string& dataHall) { m_entries[index].dataHall = dataHall; }
 
-    /// \brief Sets the processor time of an entry's machine, for its next start.
+    /// \brief Sets the core count of an entry's machine for its next start.
     void setCores(std::size_t index, double cores) { m_entries[index].cores = cores; }
 
-    /// \returns The entry that holds the ownership by the store's word, or nothing.
+    /// \returns The running entry that holds the ownership according to the store, or nullopt.
     [[nodiscard]] std::optional<std::size_t> owner() const;
     ///@}
 
     /// \name Operators and callers
     ///@{
-    /// \param bytes Least size of the document.
+    /// \param bytes Min size of the document.
     void configure(const jobs::ServiceConfiguration& configuration, std::size_t bytes = 0);
     void askWave(const jobs::WaveRequest& wave);
     void evacuate(const std::string& dataHall, bool on = true);
 
-    /// \brief Hands a job in and sends it again until it is accepted or refused.
-    /// \param organisation Whose key the caller has; empty: none.
+    /// \brief Submits a job and retries at random entries until the job is accepted.
+    /// \param organisation Organisation of the caller's key; empty for a caller without a key.
     void submit(std::size_t index, const std::string& queue, const std::string& id, const jobs::JobSpec& spec, const std::string& organisation = {});
     void cancel(std::size_t index, const std::string& id);
 
-    /// \returns Jobs that a caller was told are kept.
+    /// \returns Jobs whose acceptance a caller has received.
     [[nodiscard]] const std::set<std::string>& accepted() const noexcept { return m_accepted; }
 
-    /// \returns The status that an entry shows; nothing if it has no answer within two seconds.
+    /// \returns The status that an entry reports; nullopt if it does not respond within two seconds.
     [[nodiscard]] std::optional<jobs::JobStatus> status(std::size_t index, const std::string& id);
     ///@}
 
-    /// \returns The count of waiting jobs that an entry shows; nothing if it knows none or has no answer within two seconds.
+    /// \returns The count of waiting jobs that an entry reports; nullopt if it has no count or does not respond within two seconds.
     [[nodiscard]] std::optional<std::uint64_t> pending(std::size_t index, const std::string& queue);
 
-    /// \brief Plays until `holds` or until `time` has passed. \returns Whether it held.
+    /// \brief Runs the clock until `holds` returns true or `time` has passed. \returns Whether the condition became true.
     bool waitFor(Millis time, const std::function<bool()>& holds);
 
 private:
     struct Entry {
         std::string name;
-        std::string holder; ///< The name of its present process as an owner.
+        std::string holder; ///< Owner name of the current process.
         double cores = 0;
         std::string dataHall;
         std::unique_ptr<SimProcess> process;
@@ -238,7 +237,7 @@
         std::unique_ptr<jobs::JobService> service;
     };
 
-    /// Parts of killed entries: events under way still name them.
+    /// Components of a killed entry, kept because pending events refer to them.
     struct Remains {
         std::unique_ptr<SimProcess> process;
         std::unique_ptr<StoreClient> storeClient;
@@ -251,7 +250,7 @@
     EventLog m_log;
     jobs::Policies m_policies;
     Millis m_evacuationTime { 0 };
-    double m_workersPerCore = 0; ///< 0: owners call every worker themselves.
+    double m_workersPerCore = 0; ///< 0: owners call all workers directly.
     std::vector<Entry> m_entries;
     std::vector<Remains> m_remains;
     std::set<std::string> m_accepted;
--- a/standins/model/peers_model.cpp
+++ b/standins/model/peers_model.cpp
@@ -6,13 +6,13 @@
 
 namespace lanemoor::model {
 
-/// A connection: two ends, and whether it still carries.
+/// A connection with its two ends and its state.
 struct PeersModel::Wire {
     std::array<std::weak_ptr<End>, 2> ends;
     std::array<std::string, 2> addresses;
     bool open = true;
     bool silent = false;
-    bool refused = false; ///< Nobody listened.
+    bool refused = false; ///< No process listened at the address.
 };
 
 /// One end of a connection.
--- a/standins/model/peers_model.h
+++ b/standins/model/peers_model.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Links between entry instances, on a simulated clock: they break, go silent and carry late.
+/// Simulated links between entry instances that can break, drop messages silently and delay them.
 
 #include "hall_cuts.h"
 #include "lanemoor/jobs/relay/peer_transport.h"
@@ -17,11 +17,11 @@
 
 class PeerPort;
 
-/// Troubles of the links.
+/// Faults of the links.
 struct PeersTrouble {
-    std::set<std::string> cutOff; ///< Addresses that nothing reaches or leaves, without a word.
-    double silenced = 0; ///< Share of new links that carry nothing, and do not say so.
-    Millis delay { 1 }; ///< One way.
+    std::set<std::string> cutOff; ///< Addresses whose messages are dropped silently in both directions.
+    double silenced = 0; ///< Share of new links that drop all messages silently.
+    Millis delay { 1 }; ///< One-way latency.
 };
 
 /// \brief The network between entry instances.
@@ -36,13 +36,13 @@
     PeersTrouble trouble;
     HallCuts cuts; ///< Between data halls.
 
-    /// \brief Says where a process stands; without that, no cut concerns it.
+    /// \brief Sets the data hall of a process. Cuts don't affect a process without one.
     void place(const std::string& address, const std::string& dataHall) { m_halls[address] = dataHall; }
 
-    /// \brief Breaks every open link at once; both ends are told.
+    /// \brief Resets every open link; both ends are notified.
     void resetAll();
 
-    /// \brief Open links carry nothing from now on, and do not say so; new ones work.
+    /// \brief Makes all open links drop messages silently; new links work.
     void silenceAll();
 
 private:
@@ -61,7 +61,7 @@
     std::map<std::string, std::string> m_halls; ///< By address.
 };
 
-/// \brief One process's place in the network. Gone with the process.
+/// \brief The network endpoint of one process.
 class PeerPort final : public jobs::PeerTransport {
 public:
     PeerPort(PeersModel& peers, SimProcess& process, std::string address);
@@ -72,7 +72,7 @@
     void accept(std::function<void(std::shared_ptr<jobs::PeerLink>)> accepted) override;
     [[nodiscard]] std::shared_ptr<jobs::PeerLink> connect(const std::string& address) override;
 
-    /// \brief The process is gone. \param silently Its peers hear nothing of it, as after a loss of power.
+    /// \brief Closes all links at the end of the process. \param silently Peers are not notified, as after a power loss.
     void close(bool silently);
 
 private:
@@ -82,8 +82,8 @@
     SimProcess& m_process;
     std::string m_address;
     std::function<void(std::shared_ptr<jobs::PeerLink>)> m_accepted;
-    bool m_isClosed = false; ///< Its process ended.
-    bool m_isDark = false; ///< The same, and its machine says nothing.
+    bool m_isClosed = false; ///< The process has ended.
+    bool m_isDark = false; ///< The process has ended and its machine does not respond to connection attempts.
 };
 
 } // namespace lanemoor::model
--- a/standins/model/sim_loop.cpp
+++ b/standins/model/sim_loop.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The Unix time at which simulated runs begin.
+/// Unix time in ms at the epoch of the simulated clock.
 constexpr std::int64_t firstTimeOfDay = 1'800'000'000'000;
 
 } // namespace
--- a/standins/model/sim_loop.h
+++ b/standins/model/sim_loop.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A simulated clock, and the loops of processes that can be killed and frozen on it.
+/// A simulated clock, and event loops of processes that can be killed and frozen.
 
 #include "lanemoor/jobs/model/event_loop.h"
 
@@ -16,19 +16,19 @@
 using jobs::MonotonicInstant;
 using jobs::TimerId;
 
-/// \brief Time that passes only by events. One for a whole run.
+/// \brief A discrete-event clock, shared by all processes of a run.
 class SimClock {
 public:
     [[nodiscard]] MonotonicInstant now() const noexcept { return m_now; }
 
-    /// \brief Calls `callback` at `when`; events of one time in the order in which they were made.
+    /// \brief Calls `callback` at `when`. Events at the same time run in the order of their creation.
     TimerId at(MonotonicInstant when, std::function<void()> callback);
 
     TimerId after(Millis pause, std::function<void()> callback) { return at(m_now + pause, std::move(callback)); }
 
     void cancel(TimerId timer);
 
-    /// \brief Plays all events up to `until`.
+    /// \brief Runs all events up to `until` and advances the clock to it.
     void runUntil(MonotonicInstant until);
 
     void runFor(Millis time) { runUntil(m_now + time); }
@@ -42,8 +42,7 @@
     TimerId m_last = 0;
 };
 
-/// \brief The loop of one process. After `kill` none of its callbacks is called any more;
-/// while frozen they wait.
+/// \brief The event loop of one process. After `kill` no callback runs; while frozen, callbacks are deferred.
 class SimProcess final : public jobs::EventLoop {
 public:
     explicit SimProcess(SimClock& clock);
@@ -57,7 +56,7 @@
     void freeze();
     void thaw();
 
-    /// \returns `callback`, called within this process: never after `kill`, late after a freeze.
+    /// \returns `callback` bound to this process: dropped after `kill`, deferred while frozen.
     template <typename Result>
     [[nodiscard]] std::function<void(Result)> deliver(std::function<void(Result)> callback)
     {
--- a/standins/model/store_model.cpp
+++ b/standins/model/store_model.cpp
@@ -9,7 +9,7 @@
 
 using namespace jobs;
 
-constexpr Millis callTime { 1'000 }; // After which a client gives a call up, as the adapters do.
+constexpr Millis callTime { 1'000 }; // Client timeout, equal to that of the adapters.
 constexpr std::size_t pageSize = 500;
 
 bool hasPrefix(const std::string& key, const std::string& prefix)
@@ -17,7 +17,7 @@
     return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-constexpr std::size_t headBytes = 200; // Of any answer.
+constexpr std::size_t headBytes = 200; // Size of a response without its items.
 
 std::size_t bytesOf(const StoreItem& item)
 {
@@ -138,7 +138,7 @@
 
 void StoreModel::expire()
 {
-    constexpr Millis look { 100 }; // While leases wait, they are made to last longer this often.
+    constexpr Millis look { 100 }; // Interval at which leases are extended while they must not expire.
     if (trouble.leasesWait) {
         for (auto& [id, lease] : m_leases)
             lease.endsAt = m_clock.now() + lease.timeToLive;
@@ -182,7 +182,7 @@
     for (const StoreItem& item : m_history) {
         if (item.revision <= after || !hasPrefix(item.key, prefix))
             continue;
-        // The rest comes with the next watch, which goes on after the last one of these. Those of one transaction stay together.
+        // The next watch resumes after the last of these events. Events of one transaction are not split.
         if (trouble.mostEvents > 0 && result.items.size() >= trouble.mostEvents && item.revision != result.items.back().revision) {
             result.storeRevision = result.items.back().revision;
             return result;
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A model of the platform's store, with its failures.
+/// A simulation of the platform's store and its faults.
 
 #include "lanemoor/jobs/model/key_value_store.h"
 #include "sim_loop.h"
@@ -13,20 +13,20 @@
 
 namespace lanemoor::model {
 
-/// How the store fails. Shares are of the calls.
+/// Faults of the store. Shares are probabilities per call.
 struct StoreTrouble {
-    bool leasesWait = false; ///< Leases do not run out meanwhile.
-    bool silent = false; ///< Calls do nothing and get no answer.
+    bool leasesWait = false; ///< No lease expires.
+    bool silent = false; ///< Calls have no effect and get no response.
     bool refusing = false; ///< Calls are refused.
-    double lostAnswers = 0; ///< Of writes: carried out, and not answered.
-    double lateWrites = 0; ///< Of writes: not answered, and carried out seconds later.
+    double lostAnswers = 0; ///< Share of writes that take effect without a response.
+    double lateWrites = 0; ///< Share of writes that take effect seconds later, without a response.
     Millis answerTime { 4 };
-    double lostPages = 0; ///< Of pages of a range: not answered.
-    std::string refusedRanges; ///< Ranges of keys with this prefix are refused; empty: none.
-    std::size_t mostEvents = 0; ///< That one answer of a watch brings; 0: all there are.
+    double lostPages = 0; ///< Share of range pages without a response.
+    std::string refusedRanges; ///< Range reads of keys with this prefix are refused; empty for none.
+    std::size_t mostEvents = 0; ///< Max events per watch response; 0 for unlimited.
 };
 
-/// \brief The store: linearizable, with revisions, leases, watches and a short history.
+/// \brief A linearizable store with revisions, leases, watches and a history that can be compacted.
 class StoreModel {
 public:
     StoreModel(SimClock& clock, std::mt19937_64& random);
@@ -40,10 +40,10 @@
     [[nodiscard]] const jobs::StoreItem* find(const std::string& key) const;
     [[nodiscard]] std::vector<jobs::StoreItem> under(const std::string& prefix) const;
 
-    /// \brief Forgets its history; watches that wait are cut.
+    /// \brief Drops the history and ends pending watches with an unknown outcome.
     void compact();
 
-    /// \brief Ends all leases at once, as the platform may.
+    /// \brief Ends all leases, as the platform may do.
     void revokeLeases();
     ///@}
 
@@ -81,12 +81,12 @@
     std::uint64_t m_lastLease = 0;
     std::uint64_t m_lastWatch = 0;
     std::uint64_t m_calls = 0;
-    bool m_looksAgain = false; ///< A look at leases that wait is due.
+    bool m_looksAgain = false; ///< A lease check is scheduled.
     std::map<std::uint64_t, Lease> m_leases;
     std::map<std::uint64_t, Watch> m_watches;
 };
 
-/// \brief One process's way to the store.
+/// \brief The store client of one process.
 class StoreClient final : public jobs::KeyValueStore {
 public:
     StoreClient(StoreModel& store, SimProcess& process)
@@ -95,10 +95,10 @@
     {
     }
 
-    bool resetting = false; ///< Calls are lost on their way and fail at once, without an answer.
-    bool watchesCutOff = false; ///< Watches get no answer; all else does.
-    bool cutOff = false; ///< This process does not reach the store.
-    /// What the machine's link carries of the store's answers, one after the other; 0: answers take no time on it.
+    bool resetting = false; ///< Calls are lost in transit and fail at once with an unknown outcome.
+    bool watchesCutOff = false; ///< Watches get no response; other calls do.
+    bool cutOff = false; ///< The process is partitioned from the store.
+    /// Bandwidth for responses, which are transferred one after the other; 0 for unlimited.
     std::size_t linkBytesPerMs = 0;
 
     void read(const std::string& key, std::function<void(jobs::ReadResult)> done) override;
@@ -117,7 +117,8 @@
     void list(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
     void await(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
 
-    /// Brings an answer over the link. One that has not begun to arrive by `deadline` is lost, as the adapters give the call up.
+    /// Transfers a response over the link. A response that has not begun to arrive by `deadline` is lost, because the adapters
+    /// time the call out.
     template <typename Result>
     void transfer(const Result& result, MonotonicInstant deadline, const std::function<void(Result)>& answer, const std::function<bool()>& begun);
 
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -8,18 +8,18 @@
 
 using namespace jobs;
 
-constexpr Millis callTime { 800 }; // After which a client gives an order up.
+constexpr Millis callTime { 800 }; // Client timeout of commands.
 constexpr Millis halfTrip { 1 };
 constexpr Millis stopTime { 100 };
-constexpr Millis shrinkInForce { 4'500 }; // By the platform's bounds: 3 s to be in touch, and a heartbeat of 1.5 s.
-constexpr Millis betweenLives { 1'000 }; // Of one instance, after a planned end.
-constexpr Millis startOfService { 500 }; // Until a long-running task is at work.
+constexpr Millis shrinkInForce { 4'500 }; // By the platform's bounds: 3 s until an entry is connected, and a heartbeat of 1.5 s.
+constexpr Millis betweenLives { 1'000 }; // From a planned end to the start of the instance's next worker.
+constexpr Millis startOfService { 500 }; // From the start of a long-running task until the task is ready.
 constexpr Millis longestLease { 10'000 };
 constexpr std::uint32_t whole = 100;
-constexpr Millis saveEvery { 500 }; // Between two checkpoints of a task.
-constexpr Millis restoreTime { 600 }; // Of a checkpoint.
-constexpr Millis clockAtStart { 1'000 }; // Of a worker that starts again under its id.
-constexpr std::int64_t firstStart = 1'700'000'000'000; // Time of day, Unix ms, at the beginning of the simulated clock.
+constexpr Millis saveEvery { 500 }; // Interval between checkpoints of a task.
+constexpr Millis restoreTime { 600 }; // Time to restore a checkpoint.
+constexpr Millis clockAtStart { 1'000 }; // Clock value of a worker that restarts under its id.
+constexpr std::int64_t firstStart = 1'700'000'000'000; // Unix ms at the epoch of the simulated clock.
 
 } // namespace
 
@@ -49,7 +49,7 @@
     enter(instance, id, std::move(life));
 }
 
-/// Puts a life that has just begun on an instance and writes its entry.
+/// Places a new incarnation on an instance and writes its entry.
 void WorkersModel::enter(const std::string& instance, const std::string& id, WorkerModel life)
 {
     FleetInstance& on = m_instances[instance];
@@ -106,7 +106,7 @@
 {
     if (until == 0)
         return;
-    // A longer lease is cut.
+    // Leases are capped at a max length.
     const MonotonicInstant end = std::min(instantOf(worker, until), m_clock.now() + longestLease);
     if (end <= worker.leaseUntil)
         return;
@@ -115,7 +115,7 @@
     worker.lapse = m_clock.at(end, [this, id = worker.entry.id] { lapse(id); });
 }
 
-/// \returns The work that the newest checkpoint holds, ms; empty: there is none.
+/// \returns The newest checkpoint, which is the completed work in ms; empty if there is none.
 std::string WorkersModel::checkpointOf(const WorkerModel::Run& run) const
 {
     if (!saves || run.longRunning)
@@ -270,7 +270,7 @@
     if (!model.entry.capacity.covers(used)) {
         if (guards)
             return refuse(OrderOutcome::NoRoom);
-        // An order that was held up is not judged.
+        // A delayed command is exempt from the check.
         if (witness && !late && !model.largestOfLate.covers(used))
             witness->onOverload(worker, order.attempt);
     }
@@ -305,7 +305,7 @@
     model.epoch = epoch;
     std::uint64_t& settled = model.settled[{ attempt.job, attempt.task }];
     settled = std::max(settled, attempt.number);
-    // An order that was held up is not judged against the budget.
+    // A delayed command is exempt from the budget check.
     m_clock.after(stopTime, [this, worker, attempt, late, life = model.life] {
         if (isLife(worker, life))
             endRun(m_workers[worker], attempt, AttemptEnd::Stopped, !late);
@@ -348,7 +348,7 @@
     }
     if (share(m_workers.m_random) < model->trouble.lateOrders) {
         std::uniform_int_distribution<int> pause(2'000, 12'000);
-        // It came on a connection to one process, and ends with that.
+        // The command is bound to a connection to this incarnation and is dropped with it.
         clock.after(Millis(pause(m_workers.m_random)), [this, worker, act, life = model->life] {
             if (m_workers.isLife(worker, life) && m_workers.find(worker)->alive)
                 static_cast<void>(act(true));
@@ -365,7 +365,7 @@
             return;
         }
         const OrderResult result = act(false);
-        // A worker that its own task has crashed answers nothing.
+        // A worker that crashed while starting the task sends no response.
         if (lost || !m_workers.find(worker)->alive || !answerArrives(m_workers.find(worker)->entry))
             later.after(callTime, [answer] { answer({}); });
         else
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A model of the platform's workers and instances, with their failures.
+/// A simulation of the platform's workers and instances and their faults.
 
 #include "hall_cuts.h"
 #include "lanemoor/jobs/model/fleet_control.h"
@@ -20,52 +20,52 @@
 
 namespace lanemoor::model {
 
-/// How a worker fails.
+/// Faults of a worker.
 struct WorkerTrouble {
-    bool dark = false; ///< Silent, and nothing runs any more: it has crashed.
-    bool cutOff = false; ///< Silent, but it runs on.
-    double lostAnswers = 0; ///< Share of orders carried out and not answered.
-    double lostOrders = 0; ///< Share of orders neither carried out nor answered.
-    double lateOrders = 0; ///< Share of orders not answered and carried out seconds later.
-    double lostRenewals = 0; ///< Share of renewals neither carried out nor answered.
+    bool dark = false; ///< Unreachable because of a crash; no command arrives.
+    bool cutOff = false; ///< Partitioned: unreachable, but its tasks continue.
+    double lostAnswers = 0; ///< Share of commands that take effect without a response.
+    double lostOrders = 0; ///< Share of commands without effect and response.
+    double lateOrders = 0; ///< Share of commands that take effect seconds later, without a response.
+    double lostRenewals = 0; ///< Share of renewals without effect and response.
     double failing = 0; ///< Share of tasks that fail.
-    int slowBy = 1; ///< Tasks take so many times as long.
-    bool hanging = false; ///< Tasks stand still.
+    int slowBy = 1; ///< Factor on the run time of tasks.
+    bool hanging = false; ///< Tasks are stalled.
 };
 
-/// How the interface to the instances fails.
+/// Faults of the fleet interface.
 struct FleetTrouble {
-    double lostAnswers = 0; ///< Share of acts carried out and not answered.
-    double dropped = 0; ///< Share of acts neither carried out nor answered.
+    double lostAnswers = 0; ///< Share of acts that take effect without a response.
+    double dropped = 0; ///< Share of acts without effect and response.
 };
 
-/// How long an attempt takes, if nothing goes wrong.
+/// Run time of an attempt without faults.
 using RunTimes = std::function<Millis(const jobs::Attempt&)>;
 
-/// How an attempt came to its end.
+/// Circumstances of an attempt's end.
 struct Departure {
-    bool byOrder = false; ///< By a stop, a move or a maintenance.
-    bool wasAtWork = false; ///< A long-running task that was serving.
+    bool byOrder = false; ///< Ended by a stop, a move or a maintenance.
+    bool wasAtWork = false; ///< A long-running task that was ready.
 };
 
-/// Hears what happens on workers, for checks from outside.
+/// Receives the events on workers and instances, for checks from outside.
 class WorkerWitness {
 public:
     virtual ~WorkerWitness() = default;
-    /// \param late The order was carried out long after it was sent.
+    /// \param late The command arrived long after it was sent.
     virtual void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) = 0;
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
     virtual void onDead(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
     virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
     virtual void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) = 0;
     virtual void onStored(const std::string& worker, const jobs::EndedAttempt& ended) = 0;
-    /// \brief A task has ended the worker that started it.
+    /// \brief A poison task has crashed its worker.
     virtual void onWorkerEnded(const std::string& worker, const jobs::Attempt& attempt) = 0;
-    /// \brief A start takes a worker that does not guard its room over its capacity.
+    /// \brief A start exceeds the capacity of a worker that does not enforce it.
     virtual void onOverload(const std::string& worker, const jobs::Attempt& attempt) = 0;
 };
 
-/// One life of a worker.
+/// One incarnation of a worker.
 struct WorkerModel {
     struct Run {
         std::string checkpoint;
@@ -75,13 +75,13 @@
         jobs::Resources needs;
         bool longRunning = false;
         std::uint32_t percentAllowed = 100;
-        Millis doneBefore { 0 }; ///< Of its work, by attempts whose checkpoint it goes on from.
+        Millis doneBefore { 0 }; ///< Work done by previous attempts up to the restored checkpoint.
     };
 
     jobs::WorkerEntry entry;
-    std::uint64_t life = 0; ///< Unique over all lives, also those under one id.
-    Millis clockBehind { 0 }; ///< Its clock stands this much before the simulated one.
-    jobs::Resources largestOfLate; ///< Its room, and what it was before it shrank while instances may not know.
+    std::uint64_t life = 0; ///< Unique over all incarnations, also those with the same id.
+    Millis clockBehind { 0 }; ///< The worker's clock is behind the simulated one by this much.
+    jobs::Resources largestOfLate; ///< Capacity, or the previous one while entries may not have received a reduction yet.
     std::string instance;
     WorkerTrouble trouble;
     bool alive = true;
@@ -91,9 +91,9 @@
     std::map<jobs::Attempt, Run> running;
     std::deque<jobs::EndedAttempt> ended;
     std::uint64_t lastEnd = 0;
-    std::uint64_t lapsedUpTo = 0; ///< Ends up to this one came before a lapse of the lease: no note of them counts.
-    std::map<std::pair<std::string, jobs::TaskId>, std::uint64_t> settled; ///< Highest attempt stopped or ended, by task.
-    std::vector<std::function<void()>> waiting; ///< Renewals that wait for an end.
+    std::uint64_t lapsedUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
+    std::map<std::pair<std::string, jobs::TaskId>, std::uint64_t> settled; ///< Highest stopped or ended attempt number, by task.
+    std::vector<std::function<void()>> waiting; ///< Long-polling renewals, answered when an attempt ends.
 };
 
 /// \brief All workers and instances.
@@ -102,22 +102,22 @@
     WorkersModel(SimClock& clock, std::mt19937_64& random);
 
     RunTimes runTimes;
-    bool saves = false; ///< Batch tasks save checkpoints, from which their next attempts go on.
-    bool guards = true; ///< Workers refuse what does not fit.
-    double farFactor = 2.0; ///< Work away from the rack of its data takes this many times as long.
-    /// \returns What a task needs; the model knows it as a real worker does from the payload.
+    bool saves = false; ///< Batch tasks save checkpoints from which their next attempts resume.
+    bool guards = true; ///< Workers refuse starts beyond their capacity.
+    double farFactor = 2.0; ///< Factor on the run time of tasks outside their preferred rack.
+    /// \returns The specification of an attempt's step, which a real worker has from the payload.
     std::function<jobs::StepSpec(const jobs::Attempt&)> stepOf;
-    /// \returns Whether an attempt ends the worker that starts it; null: none does.
+    /// \returns Whether an attempt crashes its worker; null if no attempt does.
     std::function<bool(const jobs::Attempt&)> endsWorker;
-    Millis endsWorkerAfter { 10 }; ///< 0: before the start is answered.
-    Millis backAfterEnd { 2'500 }; ///< The instance of a worker that a task has ended is up again.
+    Millis endsWorkerAfter { 10 }; ///< Time from the start to the crash; 0 for a crash before the response.
+    Millis backAfterEnd { 2'500 }; ///< Time from a crash by a poison task until the instance is up again.
     WorkerWitness* witness = nullptr;
-    std::function<void(const WorkerModel&)> onEntry; ///< A worker's entry is to be written.
-    std::function<void(const std::string& worker)> onGone; ///< A worker's entry is to be removed.
+    std::function<void(const WorkerModel&)> onEntry; ///< Writes a worker's entry to the store.
+    std::function<void(const std::string& worker)> onGone; ///< Removes a worker's entry from the store.
     FleetTrouble fleetTrouble;
-    const HallCuts* cuts = nullptr; ///< Between data halls; null: none.
-    std::set<std::string> hidden; ///< Instances that the list leaves out.
-    std::set<std::string> unlisted; ///< Lives that the list of instances leaves out.
+    const HallCuts* cuts = nullptr; ///< Cuts between data halls; may be null.
+    std::set<std::string> hidden; ///< Instances missing from the fleet list.
+    std::set<std::string> unlisted; ///< Worker ids missing from the fleet list.
     Millis moveTime { 1'500 };
     Millis maintenanceTime { 2'000 };
 
@@ -126,30 +126,29 @@
 
     void addReserve(const std::string& pool) { m_reserves.insert(pool); }
 
-    /// \returns The life on an instance, or null.
+    /// \returns The current worker on an instance, or null.
     [[nodiscard]] WorkerModel* on(const std::string& instance);
     [[nodiscard]] WorkerModel* find(const std::string& worker);
 
-    /// \brief Ends a life with all that runs there; `returnsAfter` it the instance is up again.
+    /// \brief Crashes a worker with all its attempts. The instance is up again after `returnsAfter`.
     void crash(const std::string& worker, Millis returnsAfter);
 
-    /// \brief Cuts the power of a data hall: all lives there end, and the instances, also those that are off, are up again after
-    /// `returnsAfter`, with new lives.
+    /// \brief Cuts the power of a data hall: all its workers crash, and its instances, also those without a worker, are up again
+    /// after `returnsAfter` with new workers.
     void losePower(const std::string& dataHall, Millis returnsAfter);
 
-    /// \brief Ends a life with all that runs there; `returnsAfter` it another one begins under the same id, which knows nothing of
-    /// the first and counts anew. Its entry stays for as long as that of any silent worker.
+    /// \brief Crashes a worker with all its attempts. After `returnsAfter` a new incarnation starts under the same id, without
+    /// state and with a clock of its own. The entry stays as long as that of any unresponsive worker.
     void restart(const std::string& worker, Millis returnsAfter);
 
-    /// \brief Changes the room of a living worker, which its entry shows at once.
+    /// \brief Changes the capacity of a running worker and updates its entry at once.
     void resize(const std::string& worker, const jobs::Resources& capacity);
 
-    /// \brief A planned end: the worker serves on for `serving`, then ends, and its instance is
-    /// up again with a new life.
-    /// \param announced Its entry says that it drains; if not, the entry is removed at once.
+    /// \brief Drains a worker for `serving` and then ends it. The instance is up again later with a new worker.
+    /// \param announced The entry shows the drain; otherwise the entry is removed at once.
     void leave(const std::string& worker, bool announced, Millis serving);
 
-    /// \returns Acts on instances that were neither carried out nor answered.
+    /// \returns The number of acts on instances without effect and response.
     [[nodiscard]] std::uint64_t dropped() const noexcept { return m_dropped; }
 
     [[nodiscard]] const std::map<std::string, jobs::FleetInstance>& instances() const noexcept { return m_instances; }
@@ -162,7 +161,7 @@
     jobs::OrderResult start(const std::string& worker, const jobs::StartOrder& order, bool late);
     jobs::OrderResult stop(const std::string& worker, const jobs::Attempt& attempt, std::uint64_t epoch, bool late);
     void beginLife(const std::string& instance);
-    /// Ends a life; `begin` gets its instance `returnsAfter` it.
+    /// Ends an incarnation and calls `begin` with its instance after `returnsAfter`.
     void endAndReturn(const std::string& worker, Millis returnsAfter, std::function<void(const std::string& instance)> begin);
     void enter(const std::string& instance, const std::string& id, WorkerModel life);
     void endLife(WorkerModel& worker, bool byOrder);
@@ -179,7 +178,7 @@
 
     SimClock& m_clock;
     std::mt19937_64& m_random;
-    std::map<std::string, WorkerModel> m_workers; ///< By id of the life; those that are over stay.
+    std::map<std::string, WorkerModel> m_workers; ///< By worker id; ended workers stay.
     std::map<std::string, jobs::FleetInstance> m_instances;
     std::set<std::string> m_reserves;
     std::map<std::uint64_t, std::set<std::string>> m_maintained; ///< By wave.
@@ -187,7 +186,7 @@
     std::uint64_t m_dropped = 0;
 };
 
-/// \brief One process's way to the workers.
+/// \brief The worker client of one process.
 class WorkerClient final : public jobs::WorkerControl {
 public:
     WorkerClient(WorkersModel& workers, SimProcess& process)
@@ -196,7 +195,7 @@
     {
     }
 
-    std::string dataHall; ///< Of the process; empty: cuts do not concern it.
+    std::string dataHall; ///< Data hall of the process; empty if cuts don't affect it.
 
     void start(const jobs::WorkerLife& worker, const jobs::StartOrder& order, std::function<void(jobs::OrderResult)> done) override;
     void stop(const jobs::WorkerLife& worker, const jobs::Attempt& attempt, std::uint64_t epoch, std::function<void(jobs::OrderResult)> done) override;
@@ -207,7 +206,7 @@
 private:
     void order(const std::string& worker, const std::function<jobs::OrderResult(bool late)>& act, std::function<void(jobs::OrderResult)> done);
 
-    /// \returns Whether a call to the worker arrives, or its answer does.
+    /// \returns Whether a call to the worker arrives despite the cuts.
     [[nodiscard]] bool callArrives(const jobs::WorkerEntry& worker) const { return !m_workers.cuts || m_workers.cuts->carries(dataHall, worker.dataHall); }
     [[nodiscard]] bool answerArrives(const jobs::WorkerEntry& worker) const { return !m_workers.cuts || m_workers.cuts->carries(worker.dataHall, dataHall); }
 
@@ -215,7 +214,7 @@
     SimProcess& m_process;
 };
 
-/// \brief One process's way to the instances.
+/// \brief The fleet client of one process.
 class FleetClient final : public jobs::FleetControl, public jobs::PlacementAdvisor {
 public:
     FleetClient(WorkersModel& workers, SimProcess& process)
@@ -230,7 +229,7 @@
     void advise(const std::string& job, std::uint32_t occurrence, std::uint32_t step, const std::vector<std::string>& workers, std::function<void(jobs::Advice)> done) override;
 
 private:
-    /// Sends an act, and its answer back, as far as the trouble lets them through.
+    /// Sends an act and delivers the response, subject to the faults.
     void send(const std::function<jobs::FleetOutcome()>& act, std::function<void(jobs::FleetOutcome)> done);
 
     WorkersModel& m_workers;
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The platform's stand-in as a process: store, instance list and worker control.
-/// Usage: platform_standin [LIST-LAG-MS [PORT]]. It prints "listening PORT" and runs until its
-/// standard input ends.
+/// Stand-in process for the platform: store, instance list and worker control.
+/// Usage: platform_standin [LIST-LAG-MS [PORT]]. Prints "listening PORT" and runs until the end
+/// of standard input.
 
 #include "fleet_standin.h"
 #include "store_standin.h"
@@ -41,7 +41,7 @@
     }
 
 private:
-    /// Takes `{"storeAway":true,"answersToLose":1,"delayMs":50,"listAway":true}`.
+    /// Sets the faults in a body such as `{"storeAway":true,"answersToLose":1,"delayMs":50,"listAway":true}`.
     void setFaults(HttpExchange& exchange)
     {
         const nlohmann::json json = nlohmann::json::parse(exchange.request().body, nullptr, false);
--- a/standins/store_standin.h
+++ b/standins/store_standin.h
@@ -14,22 +14,22 @@
 
 namespace lanemoor::standins {
 
-/// How the store misbehaves.
+/// Faults of the store.
 struct StoreFaults {
-    bool away = false; ///< Every call is cut with no answer and no effect.
-    int answersToLose = 0; ///< So many writes take effect and are not answered.
-    std::chrono::milliseconds delay { 0 }; ///< Before each call.
+    bool away = false; ///< Every call is aborted without response and effect.
+    int answersToLose = 0; ///< Number of writes that take effect without a response.
+    std::chrono::milliseconds delay { 0 }; ///< Delay of each call.
 };
 
-/// \brief Keys with compare-and-swap, watches and leases, in memory.
+/// \brief An in-memory store with compare-and-swap, watches and leases.
 class StoreStandin {
 public:
-    /// \brief Answers a call whose path begins with /v1/kv/ or /v1/leases/.
+    /// \brief Handles a request whose path begins with /v1/kv/ or /v1/leases/.
     void handle(HttpExchange& exchange);
 
     void setFaults(const StoreFaults& faults);
 
-    /// \returns Calls so far, a waiting watch as one.
+    /// \returns The number of calls so far; a long-polling watch counts as one.
     [[nodiscard]] std::uint64_t calls() const;
 
 private:
--- a/tests/jobs/support.h
+++ b/tests/jobs/support.h
@@ -9,7 +9,7 @@
 
 namespace lanemoor::jobs::test {
 
-/// \returns One queue `work` on pool `main`, beside a reserve.
+/// \returns A configuration with queue `work` on pool `main`, and reserve pool `off`.
 [[nodiscard]] inline ServiceConfiguration smallConfiguration(std::uint64_t version = 1)
 {
     ServiceConfiguration configuration;
@@ -26,7 +26,7 @@
     return { .count = count, .needs = { .milliCpu = 1'000, .memoryMb = 100 }, .estimate = Millis(500), .dependsOn = std::move(dependsOn) };
 }
 
-/// \returns A step of tasks that run until cancelled, one on an instance, one away at a time.
+/// \returns A step of long-running tasks, max one per instance, with a disruption budget of one.
 [[nodiscard]] inline StepSpec longStep(std::uint32_t count)
 {
     StepSpec spec = step(count);
@@ -41,14 +41,14 @@
     return { .payload = "do it", .steps = std::move(steps) };
 }
 
-/// \returns A job's id made from `number`.
+/// \returns A 16-digit job id made from `number`.
 [[nodiscard]] inline std::string jobId(std::uint64_t number)
 {
     std::string id = std::to_string(number);
     return std::string(16 - id.size(), '0') + id;
 }
 
-/// \returns Two queues, `work` on pool `main` and `other` on pool `side`, beside a reserve.
+/// \returns A configuration with queue `work` on pool `main`, queue `other` on pool `side`, and reserve pool `off`.
 [[nodiscard]] inline ServiceConfiguration twoPools()
 {
     ServiceConfiguration configuration = smallConfiguration(2);
@@ -61,17 +61,17 @@
     return configuration;
 }
 
-/// \returns A step that needs a label.
+/// \returns `spec` with a required label.
 [[nodiscard]] inline StepSpec labelled(StepSpec spec, const std::string& label)
 {
     spec.requiredLabel = label;
     return spec;
 }
 
-/// Where entries and instances stand in turn, in clusters of several data halls.
+/// Data halls that entries and instances are assigned to round-robin, in clusters of several data halls.
 inline const std::array<std::string, 3> threeHalls { "hall-a", "hall-b", "hall-c" };
 
-/// A cluster with `instances` in the pool and `reserve` beside it, four to a rack.
+/// A cluster with `instances` in pool `main` and `reserve` in the reserve pool, four per rack.
 struct SmallCluster : model::JobCluster {
     explicit SmallCluster(std::uint64_t seed = 1, std::size_t entries = 3, std::size_t instances = 4, std::size_t reserve = 2, double workersPerCore = 0, Millis evacuationTime = Millis(0), bool hasHalls = false)
         : model::JobCluster(seed, entries)
@@ -89,7 +89,7 @@
         clock.runFor(Millis(1'000));
     }
 
-    /// \returns Whether entry `index` shows `status` for the job.
+    /// \returns Whether entry `index` reports status `expected` for the job.
     [[nodiscard]] bool shows(const std::string& id, JobStatus expected, std::size_t index = 0) { return status(index, id) == expected; }
 };
 
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -17,17 +17,17 @@
 constexpr unsigned gone = 410;
 constexpr unsigned unknownOutcome = 504;
 constexpr Millis callTime { 6'000 };
-constexpr Millis closeMargin { 200 }; // An unanswered call that ends earlier than its deadline by this was closed.
+constexpr Millis closeMargin { 200 }; // An unanswered call that ends this long before its deadline counts as closed by the peer.
 constexpr Millis balancerPause { 100 };
 constexpr Millis balancerTime { 500 };
 constexpr Millis retryPause { 1'000 };
-constexpr std::int64_t meanPause = 80; // Between submissions, ms.
+constexpr std::int64_t meanPause = 80; // Milliseconds between submissions.
 constexpr unsigned burstJobs = 16;
 constexpr unsigned mostTries = 4;
 constexpr unsigned mostSteps = 2;
 constexpr unsigned mostTasks = 4;
 constexpr unsigned probeTime = 50; // ms
-constexpr std::uint32_t attempts = 3; // As the configuration has it.
+constexpr std::uint32_t attempts = 3; // Equals max_attempts in the configuration.
 constexpr unsigned failingOneIn = 30;
 constexpr unsigned longOneIn = 15;
 constexpr unsigned cancelledOneIn = 10;
@@ -200,7 +200,7 @@
     m_client.send(target.front(), { .request = std::move(request), .deadline = deadline }, [this, &target, id, deadline, incarnation = target.incarnation, wasReady = target.isReady, done = std::move(done)](const aio::HttpReply& reply) {
         const bool isClosed = reply.delivery == Delivery::Unanswered && m_loop.now() + closeMargin < deadline;
         const bool mayHaveBeenKilled = target.isKilled || target.incarnation != incarnation;
-        // A balancer sends nothing to a process that says it is not ready.
+        // A load balancer sends no requests to a process that reports not ready.
         if (isClosed && wasReady && !mayHaveBeenKilled)
             m_promises.noteCut(target.name, id, now());
         done(reply);
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Callers of the job service, and the balancer that sends them to a process.
+/// Simulated callers of the job service, and the load balancer that chooses a process for each request.
 
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/aio/http_client.h"
@@ -15,7 +15,7 @@
 
 namespace lanemoor::soak {
 
-/// Counts of what callers saw.
+/// Counts of the callers' requests and their outcomes.
 struct CallerCounts {
     std::uint64_t submitted = 0;
     std::uint64_t refusals = 0;
@@ -23,25 +23,25 @@
     std::uint64_t cancels = 0;
 };
 
-/// \brief Submits jobs, cancels some of them, and asks for their status.
+/// \brief Submits jobs, cancels some of them, and requests their status.
 class Callers {
 public:
-    /// \param drainEvents Reads what workers have told so far; called before a status is judged.
+    /// \param drainEvents Reads the worker events written so far; called before a status is checked.
     Callers(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<void()> drainEvents);
 
     /// \brief Submits jobs at random times until `end`.
     void submitUntil(jobs::MonotonicInstant end);
 
-    /// \brief Submits some jobs at a process at once, so that requests are under way there.
+    /// \brief Submits several jobs to a process at once, so that it has requests in flight.
     void burst(unsigned entry);
 
-    /// \brief Asks each process whether it takes requests, again and again.
+    /// \brief Polls the readiness of each process periodically.
     void balance();
 
-    /// \brief Submits a job of one short task at a process. \returns Its id.
+    /// \brief Submits a job of one short task to a process. \returns The job's id.
     std::string probe(unsigned entry);
 
-    /// \brief Asks for the status of all jobs that are not known to have ended.
+    /// \brief Requests the status of each accepted job without a final status.
     void askForOpenJobs();
 
     [[nodiscard]] const CallerCounts& counts() const noexcept { return m_counts; }
@@ -61,7 +61,7 @@
     void cancelLater(const Call& call);
     void cancel(const std::string& id, unsigned triesLeft);
     void ask(const std::string& id);
-    /// Sends a request about a job and notes a connection that is closed before the answer.
+    /// Sends a request about a job and records a connection that is closed before the response.
     void send(unsigned entry, HttpRequest request, const std::string& id, std::function<void(const aio::HttpReply&)> done);
     [[nodiscard]] unsigned readyEntry();
     [[nodiscard]] bool happens(unsigned oneIn) { return m_random() % oneIn == 0; }
@@ -75,8 +75,8 @@
     std::mt19937_64 m_random;
     jobs::MonotonicInstant m_end;
     std::map<std::string, std::string> m_queues; ///< By job.
-    std::set<std::string> m_cancelled; ///< Jobs that a cancel is on its way for.
-    std::set<std::string> m_asked; ///< Jobs whose status is being asked for.
+    std::set<std::string> m_cancelled; ///< Jobs with a cancel request in flight.
+    std::set<std::string> m_asked; ///< Jobs with a status request in flight.
     CallerCounts m_counts;
 };
 
--- a/tests/soak/checks_test.cpp
+++ b/tests/soak/checks_test.cpp
@@ -1,4 +1,4 @@
-// The checks and the plan of the soak. A check that notices nothing would let every run of the soak pass.
+// Tests of the soak's guarantee checks and fault plan. A check that never fires would let every soak run pass.
 #include "soak/fault_plan.h"
 #include "soak/promises.h"
 
--- a/tests/soak/child.cpp
+++ b/tests/soak/child.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int signalBase = 128; // Of exit codes that tell a signal, as in shells.
+constexpr int signalBase = 128; // Added to the signal number in an exit code, as shells do.
 constexpr mode_t logMode = 0644;
 
 /// Runs in the child, between fork and exec.
--- a/tests/soak/child.h
+++ b/tests/soak/child.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Child processes of the soak, which end with it however it ends.
+/// Child processes of the soak, which are killed when the soak ends for any reason.
 
 #include <optional>
 #include <string>
@@ -13,8 +13,9 @@
 /// destruction kills and reaps it.
 class Child {
 public:
-    /// \param program Path; \param arguments Without the program's name; \param output Is appended to.
-    /// \throws std::runtime_error if no process can be made.
+    /// \param program Path of the program. \param arguments Arguments without the program's name.
+    /// \param output File to which stdout and stderr are appended.
+    /// \throws std::runtime_error if the process can't be forked.
     Child(const std::string& program, const std::vector<std::string>& arguments, const std::string& output);
     ~Child();
     Child(const Child&) = delete;
@@ -23,7 +24,7 @@
     /// \brief Sends a signal, unless the process has been reaped.
     void signal(int number);
 
-    /// \returns The exit code, or 128 and the number of the signal that ended it; nothing while it runs.
+    /// \returns The exit code, or 128 plus the number of the signal that ended the process; nullopt while the process runs.
     [[nodiscard]] std::optional<int> exitCode();
 
     [[nodiscard]] pid_t id() const noexcept { return m_pid; }
--- a/tests/soak/connection_source.cpp
+++ b/tests/soak/connection_source.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Asks the kernel for one socket. Reading /proc/net/tcp instead takes 100 ms on a machine with 10,000 sockets.
+/// A netlink query for one socket. Reading /proc/net/tcp instead takes 100 ms on a machine with 10,000 sockets.
 struct Question {
     nlmsghdr header;
     inet_diag_req_v2 request;
@@ -41,7 +41,7 @@
     return question;
 }
 
-/// \returns The inode of the socket whose own port is `own` and whose other end is `other`; 0 if there is none.
+/// \returns The inode of the socket with local port `own` and remote port `other`; 0 if none exists.
 std::uint32_t socketInode(std::uint16_t own, std::uint16_t other)
 {
     constexpr std::size_t mostBytes = 8'192;
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Millis cycle { 30'000 };
-constexpr Millis calmFrom { 18'000 }; // In each cycle; until its end.
+constexpr Millis calmFrom { 18'000 }; // From this offset to the end of each cycle, only workers fail and operators act.
 constexpr Millis evacuationFrom { 15'000 };
 constexpr Millis evacuationTime { 14'000 };
-constexpr unsigned ownerOneIn = 2; // Faults of processes that meet the owner.
+constexpr unsigned ownerOneIn = 2; // One in this many process faults targets the owner.
 
-/// Faults of a series, one at a time, with pauses between them.
+/// A sequence of non-overlapping faults with random pauses between them.
 struct Series {
     std::vector<FaultKind> kinds;
     Millis leastPause { 0 };
@@ -39,7 +39,7 @@
 
 Millis between(std::mt19937_64& random, Millis least, Millis most)
 {
-    // Not std::uniform_int_distribution: its results differ between libraries.
+    // Not std::uniform_int_distribution: its results differ between standard libraries.
     const auto span = static_cast<std::uint64_t>((most - least).count()) + 1;
     return least + Millis(static_cast<std::int64_t>(random() % span));
 }
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The faults of a run, as its seed determines them.
+/// The fault plan of a soak run, generated from its seed.
 
 #include "lanemoor/decisions/time.h"
 
@@ -10,11 +10,11 @@
 
 namespace lanemoor::soak {
 
-/// What goes wrong, or what operators ask for.
+/// A fault or an operator's action.
 enum class FaultKind {
     PauseProcess, ///< SIGSTOP, and SIGCONT at the end.
     KillProcess, ///< SIGKILL, and a restart at the end.
-    StopProcess, ///< SIGTERM, and a restart once it has ended and the time is over.
+    StopProcess, ///< SIGTERM, and a restart once the process has ended and the duration has passed.
     RefuseStore,
     SilenceStore,
     SlowStore,
@@ -22,39 +22,39 @@
     DelayStoreWrites,
     CutProcessFromStore,
     ResetProcessFromStore,
-    SilenceProcessFromStore, ///< Open connections are dead for good; new ones work.
-    CutHallForward, ///< Calls of a process to the workers of a data hall arrive late.
-    CutHallBackward, ///< The answers to them arrive late.
-    CutGroups, ///< A group of processes and a data hall don't reach each other.
+    SilenceProcessFromStore, ///< Open connections carry no more data; new ones work.
+    CutHallForward, ///< Calls from a process to the workers of a data hall arrive late.
+    CutHallBackward, ///< The responses to these calls arrive late.
+    CutGroups, ///< A group of processes is partitioned from a data hall.
     DelayHall,
     KillWorker,
-    RestartWorker, ///< It comes back under its id.
+    RestartWorker, ///< The worker restarts under the same id.
     MuteWorker,
     SlowWorker,
     ChangeConfiguration,
     EvacuateHall,
 };
 
-/// \returns A short name of `kind`.
+/// \returns The name of `kind` in the fault log.
 [[nodiscard]] std::string_view nameOf(FaultKind kind) noexcept;
 
-/// One fault. Numbers that choose a target are reduced to the number of targets there are.
+/// One fault. `target` and `hall` are taken modulo the number of available targets.
 struct PlannedFault {
-    Millis at { 0 }; ///< From the beginning of the run.
+    Millis at { 0 }; ///< Offset from the start of the run.
     Millis duration { 0 };
     FaultKind kind = FaultKind::PauseProcess;
-    bool onOwner = false; ///< Meets the process that owns when the fault begins, in place of `target`.
-    unsigned target = 0; ///< Process, or instance of a worker.
+    bool onOwner = false; ///< Targets the owner at the start of the fault instead of `target`.
+    unsigned target = 0; ///< Number of a process, or of a worker's instance.
     unsigned hall = 0;
 
     [[nodiscard]] bool operator==(const PlannedFault&) const = default;
 };
 
-/// \brief Makes overlapping series of faults, each from random numbers of its own.
+/// \brief Generates overlapping series of faults, each from its own random sequence.
 ///
-/// Time is divided into cycles. In the last part of each, only workers fail and operators act, so that bounds which hold
-/// only for processes in contact can be judged there; evacuations begin shortly before that part.
-/// \param seconds All faults are over by then. \returns The faults in the order in which they begin.
+/// Time is divided into cycles. In the last phase of each, only workers fail and operators act, so that bounds which hold
+/// only for connected processes can be checked there; evacuations begin shortly before that phase.
+/// \param seconds Time by which all faults are over. \returns The faults in order of their start.
 [[nodiscard]] std::vector<PlannedFault> planFaults(std::uint64_t seed, unsigned seconds);
 
 } // namespace lanemoor::soak
--- a/tests/soak/fault_runner.cpp
+++ b/tests/soak/fault_runner.cpp
@@ -12,10 +12,10 @@
 
 using nlohmann::json;
 
-constexpr Millis requestsLeave { 2 }; // Less than the store takes for an answer.
+constexpr Millis requestsLeave { 2 }; // Shorter than the store's response time, so that the burst is still in flight at SIGTERM.
 constexpr Millis stopCheck { 20 };
-constexpr Millis stopLimit { 12'000 }; // Twice the grace that the settings give.
-constexpr Millis slowAnswer { 240 }; // 60 times the store's usual time.
+constexpr Millis stopLimit { 12'000 }; // Twice the grace period in the settings.
+constexpr Millis slowAnswer { 240 }; // 60 times the store's usual response time.
 constexpr double lostShare = 0.35;
 constexpr Millis hallDelay { 40 };
 constexpr Millis slowWorker { 400 };
@@ -103,7 +103,7 @@
 void FaultRunner::beginOnProcess(const PlannedFault& fault)
 {
     const unsigned process = processOf(fault);
-    // One process at least goes on.
+    // At least one process stays undisturbed.
     if (m_disturbed.contains(process) || m_disturbed.size() + 1 >= m_cluster.entries().size())
         return;
     tell(nameOf(fault.kind), { { "process", m_cluster.entries()[process].name }, { "ms", fault.duration.count() } });
@@ -220,7 +220,7 @@
     default:
         break;
     }
-    // The group is every other process, beginning with this one.
+    // The group has every second process, including this one.
     for (std::size_t other = process % 2; other < m_cluster.entries().size(); other += 2)
         cut(m_cluster.entries()[other].toHalls[hall], { .cutForward = true, .cutBackward = true }, fault.duration);
 }
--- a/tests/soak/fault_runner.h
+++ b/tests/soak/fault_runner.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Carries out a plan of faults on a cluster.
+/// Executes a fault plan on a cluster.
 
 #include "fault_plan.h"
 #include "lanemoor/aio/asio_event_loop.h"
@@ -18,15 +18,15 @@
 
 namespace lanemoor::soak {
 
-/// \brief Begins and ends faults at their times, and tells the checks when something is in trouble.
+/// \brief Begins and ends faults at their planned times, and reports them to the guarantee checks.
 class FaultRunner {
 public:
-    /// \param owner Tells which process owns by its log; beyond the last one: none is known.
-    /// \param beforeStop Called with a process just before it is asked to stop.
-    /// \param record Gets a line for each fault.
+    /// \param owner Returns the index of the owner according to the logs; an index past the last process if unknown.
+    /// \param beforeStop Called with the index of a process just before SIGTERM.
+    /// \param record Receives one JSON line per fault.
     FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record);
 
-    /// \brief Carries out `plan` from now on.
+    /// \brief Schedules `plan` relative to the current time.
     void run(const std::vector<PlannedFault>& plan);
 
     /// \returns Whether every fault is over and every process runs again.
@@ -57,8 +57,8 @@
     std::function<unsigned()> m_owner;
     std::function<void(unsigned)> m_beforeStop;
     std::ostream& m_record;
-    std::set<unsigned> m_disturbed; ///< Processes that are paused, or don't run.
-    std::size_t m_pending = 0; ///< Beginnings and ends of faults that are still to come.
+    std::set<unsigned> m_disturbed; ///< Processes that are paused, stopping or not running.
+    std::size_t m_pending = 0; ///< Scheduled callbacks that have not run yet.
     std::uint64_t m_faults = 0;
 };
 
--- a/tests/soak/log_tail.h
+++ b/tests/soak/log_tail.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Reads the log of a running process.
+/// Reads log files that processes may still write to.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace lanemoor::soak {
 
-/// \returns The time of day of a log line in Unix ms, by its field `at` or `time`; 0 if it has none.
+/// \returns The time of a log line in Unix ms, from its field `at` or `time`; 0 if it has neither.
 [[nodiscard]] std::int64_t timeOf(const nlohmann::json& line);
 
-/// \brief Reads the lines that are new in a file since the last call.
+/// \brief Reads the lines appended to a file since the previous call.
 class LogTail {
 public:
     explicit LogTail(std::string file)
@@ -19,7 +19,7 @@
     {
     }
 
-    /// \returns The whole lines that are JSON objects.
+    /// \returns The complete new lines that are JSON objects.
     [[nodiscard]] std::vector<nlohmann::json> read();
 
 private:
@@ -27,7 +27,7 @@
     std::size_t m_offset = 0;
 };
 
-/// \returns The lines of all `files` that contain `text`, in order of time, each with its file's name.
+/// \returns The lines of all `files` that contain `text`, in order of time, each prefixed with its time and file name.
 [[nodiscard]] std::vector<std::string> linesAbout(const std::string& text, const std::vector<std::string>& files);
 
 } // namespace lanemoor::soak
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// A soak of real processes under faults.
+/// Soak test of real processes under injected faults.
 /// Usage: soak [--seed N] [--seconds S] [--processes P] [--keep DIR] [--programs DIR]
 ///
-/// The programs `lanemoor` and `job_platform_standin` are those of the build, unless another folder is named.
-/// Exits with 0 if every promise was kept, with 1 after a breach and with 2 if the processes can't be started.
+/// The programs `lanemoor` and `job_platform_standin` are taken from the build folder unless --programs names another.
+/// Exits with 0 if no guarantee was violated, with 1 after a violation and with 2 if the processes can't be started.
 
 #include "log_tail.h"
 #include "soak_run.h"
@@ -20,8 +20,8 @@
 
 namespace {
 
-constexpr std::size_t mostLines = 200; // Of the logs, for each id of a breach.
-constexpr std::size_t mostBreaches = 20; // Printed; the summary counts all.
+constexpr std::size_t mostLines = 200; // Log lines printed for each id of a breach.
+constexpr std::size_t mostBreaches = 20; // Breaches printed in full; the summary counts all.
 constexpr int breached = 1;
 constexpr int notStarted = 2;
 
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::int64_t contactTime = 4'000; // ms after a fault; a process is in contact again by then.
+constexpr std::int64_t contactTime = 4'000; // ms after a fault by which a process is connected again.
 constexpr std::int64_t evacuationBound = 5'000; // ms from the acknowledgement of an evacuation to the last start.
 constexpr std::int64_t cancelBound = 4'000; // ms from the acknowledgement of a cancel to the last start.
-constexpr std::int64_t holderTime = 3'000; // ms between acts of two owners on one instance.
-constexpr std::uint32_t crashesThatExplain = 2; // Of workers under a task, before its job may be shown as failed.
+constexpr std::int64_t holderTime = 3'000; // Min ms between acts of two owners on one instance.
+constexpr std::uint32_t crashesThatExplain = 2; // Worker crashes under a task from which its job may be reported as failed.
 
 bool isFinal(const std::string& status)
 {
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What a run must keep to, checked from outside: by what workers, callers and operators observe.
+/// The guarantees of the job service, checked from outside by the observations of workers, callers and operators.
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace lanemoor::soak {
 
-/// \name Promises
+/// \name Guarantees
 ///@{
 namespace promise {
 constexpr const char* oneAttemptAtOnce = "one-attempt-at-once"; ///< No two attempts of a task run at the same time.
@@ -21,33 +21,33 @@
 constexpr const char* stepsInOrder = "steps-in-order"; ///< No step starts before the steps that it depends on have succeeded.
 constexpr const char* acceptedJobsEnd = "accepted-jobs-end"; ///< Each accepted job ends.
 constexpr const char* acceptedJobsKnown = "accepted-jobs-known"; ///< Each accepted job has a status.
-constexpr const char* statusIsTrue = "status-is-true"; ///< A job succeeds only if its tasks have, and fails only for a cause.
-constexpr const char* refusalsAreTrue = "refusals-are-true"; ///< A job that was only ever refused never runs.
-constexpr const char* nothingUnasked = "nothing-unasked"; ///< Nothing starts that nobody submitted, or once a cancel is in force.
-constexpr const char* evacuatedHallsRest = "evacuated-halls-rest"; ///< No start in an evacuated data hall after its bound.
-constexpr const char* plannedStopsCutNothing = "planned-stops-cut-nothing"; ///< A process cuts no request unless it was killed.
-constexpr const char* plannedStopsEnd = "planned-stops-end"; ///< A process that is asked to stop ends within its grace.
-constexpr const char* configurationNeverReverts = "configuration-never-reverts"; ///< No process takes an older one.
-constexpr const char* ownersApart = "owners-apart"; ///< Acts of two owners on one instance are apart.
-constexpr const char* servesAgain = "serves-again"; ///< After the last fault all processes serve, with the last configuration.
+constexpr const char* statusIsTrue = "status-is-true"; ///< A job is reported as succeeded only if its tasks have, and as failed only with a cause.
+constexpr const char* refusalsAreTrue = "refusals-are-true"; ///< A job whose submissions were all refused never runs.
+constexpr const char* nothingUnasked = "nothing-unasked"; ///< No task starts without a submission of its job, or once a cancel is in force.
+constexpr const char* evacuatedHallsRest = "evacuated-halls-rest"; ///< No task starts in an evacuated data hall after the evacuation bound.
+constexpr const char* plannedStopsCutNothing = "planned-stops-cut-nothing"; ///< A process closes no connection before the response unless it was killed.
+constexpr const char* plannedStopsEnd = "planned-stops-end"; ///< A process ends within its grace period after SIGTERM.
+constexpr const char* configurationNeverReverts = "configuration-never-reverts"; ///< No process applies an older configuration than before.
+constexpr const char* ownersApart = "owners-apart"; ///< Acts of two owners on one instance are separated by a minimum time.
+constexpr const char* servesAgain = "serves-again"; ///< After the last fault all processes serve with the latest configuration.
 } // namespace promise
 ///@}
 
-/// A promise that was broken.
+/// A violated guarantee.
 struct Breach {
     std::string promise;
     std::string detail;
-    std::vector<std::string> ids; ///< Of jobs or instances that it concerns; log lines about it contain them.
+    std::vector<std::string> ids; ///< Ids of the jobs, instances or processes concerned; they select the log lines to print.
     std::int64_t at = 0; ///< Unix ms.
 
     [[nodiscard]] bool operator==(const Breach&) const = default;
 };
 
-/// How an answer to a submission counts.
+/// Outcome of a submission.
 enum class Submission {
     Accepted,
-    Refused, ///< The answer says that the job was not taken.
-    Unknown, ///< It may have been taken.
+    Refused, ///< The response states that the job was not accepted.
+    Unknown, ///< The job may have been accepted.
 };
 
 /// A job that a caller submits.
@@ -59,7 +59,7 @@
     [[nodiscard]] bool operator==(const SubmittedJob&) const = default;
 };
 
-/// \brief Checks the promises. All times are Unix ms of this machine.
+/// \brief Checks the guarantees. All times are Unix ms on this machine's clock.
 class Promises {
 public:
     /// \name Callers
@@ -68,15 +68,15 @@
     void noteAnswer(const std::string& id, Submission answer);
     void noteCancelSent(const std::string& id) { m_jobs[id].cancelSent = true; }
     void noteCancelled(const std::string& id, std::int64_t at) { m_jobs[id].cancelledAt = at; }
-    /// \param status As the service names it; empty: no such job is known.
+    /// \param status Status name reported by the service; empty if the service reports no such job.
     void noteStatus(const std::string& id, const std::string& status, std::int64_t at);
-    /// \brief A connection was closed before the answer, by a process that was not killed.
+    /// \brief Records that a process which was not killed closed a connection before the response.
     void noteCut(const std::string& entry, const std::string& id, std::int64_t at);
     ///@}
 
     /// \name Workers and instances
     ///@{
-    /// \param event A line of the stand-in's output.
+    /// \param event A parsed line of the stand-in's output.
     void noteEvent(const nlohmann::json& event);
     ///@}
 
@@ -84,28 +84,28 @@
     ///@{
     void noteEvacuation(const std::string& dataHall, std::int64_t acknowledgedAt) { m_evacuatedSince[dataHall] = acknowledgedAt; }
     void noteEvacuationOver(const std::string& dataHall) { m_evacuatedSince.erase(dataHall); }
-    /// \brief What holds only for processes in contact is not judged until some time after `until`.
+    /// \brief Suspends the checks that hold only for connected processes until some time after `until`.
     void noteTrouble(std::int64_t until);
     void noteConfiguration(const std::string& entry, std::uint64_t version, std::int64_t at);
     void noteStopTooLong(const std::string& entry, std::int64_t at);
     void noteNotServing(const std::string& entry, const std::string& detail, std::int64_t at);
     ///@}
 
-    /// \returns Accepted jobs that no final status was seen of.
+    /// \returns Accepted jobs without a final status.
     [[nodiscard]] std::vector<std::string> openJobs() const;
 
     /// \returns Whether the job was seen to have succeeded.
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
 
-    /// \brief Judges what can be judged only when nothing more happens.
+    /// \brief Runs the checks that are possible only after all activity has ended.
     void finish(std::int64_t at);
 
     [[nodiscard]] const std::vector<Breach>& breaches() const noexcept { return m_breaches; }
     [[nodiscard]] std::uint64_t starts() const noexcept { return m_starts; }
     [[nodiscard]] std::size_t accepted() const;
-    /// \returns When a task last started in a data hall; 0: never.
+    /// \returns The time of the last task start in a data hall; 0 if none.
     [[nodiscard]] std::int64_t lastStartIn(const std::string& dataHall) const;
-    /// \returns Starts that an evacuation forbade nothing of, but that were judged against one.
+    /// \returns The number of starts that were checked while an evacuation was in force.
     [[nodiscard]] std::uint64_t judgedEvacuations() const noexcept { return m_judgedEvacuations; }
 
 private:
@@ -117,11 +117,11 @@
         std::optional<std::int64_t> cancelledAt;
         std::string status;
         bool hasStarted = false;
-        bool isTold = false; ///< That it is not known.
+        bool isTold = false; ///< The missing status has been reported as a breach.
     };
 
     struct Task {
-        std::map<std::string, std::uint64_t> running; ///< Attempts by worker.
+        std::map<std::string, std::uint64_t> running; ///< Attempt numbers, by worker.
         bool succeeded = false;
         bool successStored = false;
         std::uint32_t failures = 0;
@@ -149,7 +149,7 @@
     std::map<std::string, Task> m_tasks;
     std::map<std::string, std::int64_t> m_evacuatedSince;
     std::map<std::string, std::uint64_t> m_configurations;
-    std::map<std::string, std::pair<std::int64_t, std::int64_t>> m_lastAct; ///< Fence and time, by instance.
+    std::map<std::string, std::pair<std::int64_t, std::int64_t>> m_lastAct; ///< Fencing token and time, by instance.
     std::map<std::string, std::int64_t> m_lastStart; ///< By data hall.
     std::int64_t m_troubleUntil = 0;
     std::uint64_t m_starts = 0;
--- a/tests/soak/soak_cluster.cpp
+++ b/tests/soak/soak_cluster.cpp
@@ -26,9 +26,9 @@
 constexpr std::chrono::milliseconds standinCheck { 10 };
 constexpr double machineCores = 1;
 constexpr double relayedWorkersPerCore = 4; // Fewer than the workers of a pool, so that calls are relayed.
-constexpr unsigned changes = 3; // Configurations differ in the priority of a queue, one of so many.
+constexpr unsigned changes = 3; // Number of priorities; successive configurations differ in the priority of one queue.
 
-/// \returns An address in 127.0.0.0/8 that belongs to this run and process alone.
+/// \returns A loopback address derived from this program's process id and `index`, so that parallel runs don't collide.
 std::string addressOf(unsigned index)
 {
     constexpr unsigned perByte = 256;
@@ -134,7 +134,7 @@
 {
     json addresses = json::object();
     for (const auto& [instance, port] : ports.items()) {
-        // As the stand-in spreads them: pairs of instances over the data halls in turn.
+        // Matches the stand-in's placement: pairs of instances, round-robin over the data halls.
         const auto number = static_cast<unsigned>(std::stoul(instance.substr(instance.find('-') + 1)));
         const unsigned hall = number / 2 % m_options.halls;
         m_workerProxies.push_back(std::make_unique<TcpProxy>(m_loop, HttpAddress { "127.0.0.1", port.get<std::uint16_t>() }, [this, hall](std::uint16_t localPort, std::uint16_t remotePort) { return pathToHall(hall, localPort, remotePort); }));
--- a/tests/soak/soak_cluster.h
+++ b/tests/soak/soak_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The processes of a run and the paths between them.
+/// The processes of a soak run and the network paths between them.
 
 #include "child.h"
 #include "lanemoor/aio/asio_event_loop.h"
@@ -18,19 +18,19 @@
 
 namespace lanemoor::soak {
 
-/// How a run is made up.
+/// Size and layout of a cluster.
 struct ClusterOptions {
     std::string programs; ///< Folder of `lanemoor` and `job_platform_standin`.
-    std::string folder; ///< For settings and logs; exists.
+    std::string folder; ///< Existing folder for settings and logs.
     std::uint64_t seed = 1;
     unsigned processes = 4;
     unsigned instances = 12;
     unsigned reserve = 4;
     unsigned halls = 3;
-    bool relays = false; ///< Owners have calls to workers relayed by other processes.
+    bool relays = false; ///< Owners relay calls to workers through other processes.
 };
 
-/// Names the queues, their hosts and the keys that operators write.
+/// Host name of the queues, and the store keys that operators write.
 namespace names {
 constexpr const char* host = "soak.test";
 constexpr const char* configurationKey = "op/config";
@@ -42,19 +42,19 @@
 
 /// \brief The stand-in, the `lanemoor serve` processes, and a proxy in front of the store, the fleet interface and each worker.
 ///
-/// Callers reach the processes, and these each other, without a proxy.
+/// Callers connect to the processes without a proxy, and so do the processes to each other.
 class SoakCluster {
 public:
-    /// What a balancer and the soak know of one process.
+    /// One `lanemoor serve` process and the paths from it.
     struct Entry {
         std::string name;
-        std::string ip; ///< On loopback; no other process listens there.
+        std::string ip; ///< Loopback address that no other process listens on.
         std::string settings;
         std::string log;
-        std::unique_ptr<Child> process; ///< Null: none runs.
+        std::unique_ptr<Child> process; ///< Null if not running.
         std::unique_ptr<LogTail> tail;
         unsigned incarnation = 0;
-        bool isReady = false; ///< By its last answer to the balancer.
+        bool isReady = false; ///< According to the last readiness response.
         bool isKilled = false; ///< This incarnation was killed.
         bool isStopping = false; ///< This incarnation was asked to stop.
         std::shared_ptr<Path> toStore;
@@ -76,20 +76,20 @@
     [[nodiscard]] std::vector<Entry>& entries() noexcept { return m_entries; }
     [[nodiscard]] const ClusterOptions& options() const noexcept { return m_options; }
 
-    /// \brief Sends a call to the stand-in's control connection. \param done Called with the time at which the answer came, Unix ms.
+    /// \brief Sends a call to the stand-in's control service. \param done Called with the time of the response, Unix ms.
     void control(const std::string& path, const nlohmann::json& body, std::function<void(std::int64_t)> done = {});
 
     /// \brief Writes the configuration with the next version.
     void configure();
     [[nodiscard]] std::uint64_t configurationVersion() const noexcept { return m_version; }
 
-    /// \returns The ids of the instances with workers at the beginning.
+    /// \returns The id of instance `index`, modulo the number of instances that have a worker from the start.
     [[nodiscard]] std::string instance(unsigned index) const;
 
-    /// \returns New lines of the stand-in.
+    /// \returns The stand-in's events since the previous call.
     [[nodiscard]] std::vector<nlohmann::json> events() { return m_events.read(); }
 
-    /// \returns All logs.
+    /// \returns The paths of all log files.
     [[nodiscard]] std::vector<std::string> logs() const;
 
 private:
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// Bounds are several times what an idle machine needs, so that a busy one changes no verdict.
+// Several times what an idle machine needs, so that load on the machine fails no run.
 constexpr Millis recoveryLimit { 60'000 };
 constexpr Millis endLimit { 60'000 };
-constexpr std::uint64_t relaysOneIn = 2; // Seeds with which calls are relayed.
+constexpr std::uint64_t relaysOneIn = 2; // Calls are relayed with one in this many seeds.
 
 class SoakRun {
 public:
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// One run of the soak from its start to its verdict.
+/// One soak run from its start to its result.
 
 #include "promises.h"
 
@@ -10,24 +10,24 @@
 
 namespace lanemoor::soak {
 
-/// What a run is asked to do.
+/// Parameters of a soak run.
 struct SoakOptions {
     std::uint64_t seed = 1;
-    unsigned seconds = 60; ///< During which faults begin.
+    unsigned seconds = 60; ///< Time in which faults are injected.
     unsigned processes = 4;
-    std::string keep; ///< Folder for settings and logs, which stay; empty: one that is removed after a run without a breach.
-    std::string programs; ///< Folder of the programs.
+    std::string keep; ///< Folder that keeps settings and logs; empty for a temporary one, which is removed after a run without a breach.
+    std::string programs; ///< Folder of `lanemoor` and `job_platform_standin`.
 };
 
-/// What came of a run.
+/// Result of a soak run.
 struct SoakResult {
     std::vector<Breach> breaches;
-    std::string folder; ///< Where the logs are; empty if they are removed.
+    std::string folder; ///< Folder of the logs; empty if removed.
     std::vector<std::string> logs;
     std::string summary; ///< Counts, on one line.
 };
 
-/// \brief Starts a cluster, disturbs it by the plan of its seed, and checks the promises.
+/// \brief Starts a cluster, injects the faults that its seed determines, and checks the guarantees.
 /// \throws std::runtime_error if the cluster can't be started.
 [[nodiscard]] SoakResult runSoak(const SoakOptions& options);
 
--- a/tests/soak/soak_session.cpp
+++ b/tests/soak/soak_session.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis tailPause { 20 };
 constexpr Millis statusPause { 500 };
-// Bounds are several times what an idle machine needs, so that a busy one changes no verdict.
+// Several times what an idle machine needs, so that load on the machine fails no run.
 constexpr Millis startLimit { 60'000 };
 constexpr Millis stopLimit { 20'000 };
 
@@ -29,7 +29,7 @@
 {
     if (!keep.empty()) {
         std::filesystem::create_directories(keep);
-        // Logs of a former run would be taken for those of this one.
+        // Logs of a previous run would be attributed to this one.
         if (!std::filesystem::is_empty(keep))
             throw std::runtime_error(keep + " is not empty");
         return keep;
--- a/tests/soak/soak_session.h
+++ b/tests/soak/soak_session.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A cluster with its callers and checks, and the loop that all of them run on.
+/// A cluster with its callers and guarantee checks, all on one event loop.
 
 #include "callers.h"
 #include "lanemoor/aio/asio_event_loop.h"
@@ -17,8 +17,8 @@
 /// \returns The time of day, Unix ms.
 [[nodiscard]] std::int64_t unixNow();
 
-/// \brief Makes a folder for settings and logs. \param keep Its name; empty: a new one for temporary files.
-/// \throws std::runtime_error if it can't be made or is not empty.
+/// \brief Creates a folder for settings and logs. \param keep Path of the folder; empty for a new temporary one.
+/// \throws std::runtime_error if the folder can't be created or is not empty.
 [[nodiscard]] std::string makeFolder(const std::string& keep);
 
 /// \brief Runs a cluster: reads its logs, feeds the checks, and waits for conditions.
@@ -31,31 +31,31 @@
     [[nodiscard]] Callers& callers() noexcept { return m_callers; }
     [[nodiscard]] Promises& promises() noexcept { return m_promises; }
 
-    /// \returns The process that took the ownership last, by the logs.
+    /// \returns The index of the process that took the ownership last, according to the logs.
     [[nodiscard]] unsigned owner() const noexcept { return m_owner; }
 
-    /// \returns How late a timer of the loop has fired at most. The proxies delay calls by as much.
+    /// \returns The max delay of a timer on the loop. The proxies delay calls by up to this much.
     [[nodiscard]] Millis mostLateness() const noexcept { return m_mostLateness; }
 
     /// \brief Starts all processes and waits until they serve.
     /// \throws std::runtime_error if they don't.
     void start();
 
-    /// \brief Asks for the status of accepted jobs from now on, until each has ended.
+    /// \brief Polls the status of accepted jobs until each has ended.
     void watchJobs();
 
-    /// \brief Runs the loop until `holds` or until `limit` has passed. \returns Whether it held.
+    /// \brief Runs the loop until `holds` returns true or `limit` has passed. \returns Whether the condition became true.
     bool waitFor(Millis limit, const std::function<bool()>& holds);
 
     [[nodiscard]] bool areAllReady();
 
-    /// \returns The version in force at a process by its log; 0: none since it started.
+    /// \returns The configuration version in force at a process according to its log; 0 if none since its start.
     [[nodiscard]] std::uint64_t configurationAt(unsigned process);
 
-    /// \returns Whether the last version written is in force everywhere.
+    /// \returns Whether the latest configuration version is in force at every process.
     [[nodiscard]] bool haveLastConfiguration();
 
-    /// \brief Asks all processes to stop and notes those that do not.
+    /// \brief Stops all processes and reports those that keep running.
     void stopAll();
 
 private:
@@ -69,7 +69,7 @@
     Callers m_callers;
     unsigned m_owner = 0;
     Millis m_mostLateness { 0 };
-    std::map<unsigned, std::uint64_t> m_versions; ///< In force by the logs, by process.
+    std::map<unsigned, std::uint64_t> m_versions; ///< Configuration version in force according to the logs, by process.
 };
 
 } // namespace lanemoor::soak
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -15,12 +15,12 @@
 using Tcp = boost::asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr Millis cutCheck { 10 }; // Data that waits for the end of a cut is looked at again this often.
+constexpr Millis cutCheck { 10 }; // Interval at which data held back by a cut is retried.
 constexpr std::size_t pieceBytes = 65'536;
 
 } // namespace
 
-/// One connection and its continuation to the server. It owns itself through its callbacks.
+/// A client connection and its upstream connection to the server. Pending callbacks keep the link alive.
 class Link : public std::enable_shared_from_this<Link> {
 public:
     Link(aio::AsioEventLoop& loop, Tcp::socket client, std::shared_ptr<Path> path)
@@ -51,7 +51,7 @@
     void silence() { m_isSilent = true; }
 
 private:
-    /// What flows from one end to the other.
+    /// The data flow from one end to the other.
     struct Direction {
         Tcp::socket from;
         std::array<char, pieceBytes> piece;
@@ -88,7 +88,7 @@
         });
     }
 
-    /// \param bytes 0: the end of what this direction carries.
+    /// \param bytes 0 at the end of the stream in this direction.
     void passOn(Direction& direction, std::size_t bytes)
     {
         if (isCut(direction)) {
--- a/tests/soak/tcp_proxy.h
+++ b/tests/soak/tcp_proxy.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A TCP proxy that disturbs the connections which pass through it.
+/// A TCP proxy that injects faults into the connections that it forwards.
 
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/net/http_message.h"
@@ -14,12 +14,12 @@
 
 class Link;
 
-/// Disturbances of a path from now on.
+/// Faults currently injected on a path.
 struct PathFaults {
-    Millis delay { 0 }; ///< Of each piece of data, in each direction.
+    Millis delay { 0 }; ///< Added to each chunk of data, in each direction.
     bool refusing = false; ///< New connections are reset.
-    bool cutForward = false; ///< Nothing gets from the client to the server; it arrives once the cut is over.
-    bool cutBackward = false; ///< Nothing gets from the server to the client; it arrives once the cut is over.
+    bool cutForward = false; ///< Data from the client to the server is held back until the cut is over.
+    bool cutBackward = false; ///< Data from the server to the client is held back until the cut is over.
 
     [[nodiscard]] bool operator==(const PathFaults&) const = default;
 };
@@ -32,7 +32,7 @@
     /// \brief Resets the open connections.
     void reset();
 
-    /// \brief Lets nothing through the open connections any more, in either direction, and leaves them open.
+    /// \brief Stops all data on the open connections in both directions, for good, and leaves them open.
     void silence();
 
 private:
@@ -42,10 +42,10 @@
     std::vector<std::weak_ptr<Link>> m_links;
 };
 
-/// \brief Listens on a port that the kernel chooses and passes connections on.
+/// \brief Listens on an ephemeral port and forwards connections to a target.
 class TcpProxy {
 public:
-    /// Chooses the path of a new connection by its ports on the proxy's and on the client's side; null: it is reset.
+    /// Chooses the path of a new connection by its local port (the proxy's) and remote port (the client's); null resets it.
     using PathChoice = std::function<std::shared_ptr<Path>(std::uint16_t localPort, std::uint16_t remotePort)>;
 
     TcpProxy(aio::AsioEventLoop& loop, const HttpAddress& target, PathChoice choose);
@@ -55,7 +55,7 @@
 
     [[nodiscard]] std::uint16_t port() const;
 
-    /// \returns The address on which it listens, such as `127.0.0.1:8080`.
+    /// \returns The listening address, such as `127.0.0.1:8080`.
     [[nodiscard]] std::string address() const;
 
 private:
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The demonstration: a cluster of real processes on loopback, one pass over the main
-/// job, and a table of what happened. Exits non-zero on any violation.
+/// Demonstration of the request service: runs its main functions on a cluster of real processes
+/// on loopback and prints a table of results. Exits non-zero on any violation.
 
 #include "support/cluster.h"
 
@@ -20,7 +20,7 @@
 const std::vector<std::string> services { "counter", "misc", "orders", "quoting", "settlement" };
 const std::vector<std::string> entryNames { "entry-1", "entry-2", "entry-3" };
 
-/// Lines of the table that the demonstration ends with.
+/// Prints results as table rows and counts violations.
 class Table {
 public:
     void add(const std::string& what, const std::string& seen, bool good)
@@ -115,7 +115,7 @@
     table.add("an operator's change in force on every entry within 5 s", inMilliseconds(secondsSince(start)), everywhere);
 }
 
-/// Drains an instance that holds a request and a listener.
+/// Drains an instance that has requests and listeners in flight.
 void showDrain(Cluster& cluster, Table& table)
 {
     std::vector<Answer> held(8);
--- a/tools/job_demo_main.cpp
+++ b/tools/job_demo_main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The demonstration of the job service: real processes on loopback and a stand-in of the platform. Jobs are submitted and
-/// watched to their end while a worker and the owner are killed, and a data hall is evacuated. Exits non-zero on any violation.
+/// Demonstration of the job service on real processes on loopback and a stand-in for the platform. Jobs are submitted and
+/// followed to their end while a worker and the owner are killed and a data hall is evacuated. Exits non-zero on any violation.
 
 #include "soak/soak_session.h"
 
@@ -25,7 +25,7 @@
 constexpr Millis watchedAfterBound { 3'000 };
 const std::string evacuated = hallName(0);
 
-/// Lines of the table.
+/// Prints results as table rows and counts violations.
 class Table {
 public:
     void add(const std::string& what, const std::string& seen, bool good)
@@ -91,7 +91,7 @@
 
 void showEvacuation(SoakSession& session, Table& table)
 {
-    // Until the loss of the owner no longer excuses anything.
+    // Time after which the owner's crash no longer suspends the time bounds.
     constexpr Millis contactTime { 4'000 };
     pass(session, contactTime);
     std::int64_t acknowledged = 0;
