--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -38,8 +38,8 @@
     std::uint64_t batchOffered = 0;
     std::uint64_t batchStarted = 0;
     std::uint64_t expired = 0;
-    Millis longestUrgentWait { 0 };
-    Millis longestBatchWait { 0 };
+    Millis maxUrgentWait { 0 };
+    Millis maxBatchWait { 0 };
     double busyShare = 0; ///< Mean share of slots in use.
     std::map<std::string, std::uint64_t> startsByTeam;
 };
@@ -118,8 +118,8 @@
             const auto [ticket, offeredAt] = m_offered.at(*id);
             m_offered.erase(*id);
             const bool batch = ticket.requestClass == RequestClass::Batch;
-            Millis& longest = batch ? m_result.longestBatchWait : m_result.longestUrgentWait;
-            longest = std::max(longest, m_now - offeredAt);
+            Millis& maxWait = batch ? m_result.maxBatchWait : m_result.maxUrgentWait;
+            maxWait = std::max(maxWait, m_now - offeredAt);
             ++(batch ? m_result.batchStarted : m_result.urgentStarted);
             ++m_result.startsByTeam[ticket.team];
             const std::int64_t mean = (batch ? batchTime : checkTime).count();
@@ -146,12 +146,12 @@
     for (const double load : { 0.7, 1.0, 2.0 }) {
         const LoadResult result = LoadRun(load, 0.02, 20261202).run();
         const std::string name = "load " + std::to_string(load).substr(0, 3) + ": ";
-        report.told(name + "slots in use, share", result.busyShare);
-        report.told(name + "urgent requests started", static_cast<double>(result.urgentStarted));
-        report.told(name + "urgent requests refused at once", static_cast<double>(result.urgentRefused));
-        report.told(name + "given up while waiting", static_cast<double>(result.expired));
-        report.bounded(name + "longest wait of an urgent request that started, s", std::chrono::duration<double>(result.longestUrgentWait).count(), 3.1);
-        report.told(name + "longest wait of a batch request, s", std::chrono::duration<double>(result.longestBatchWait).count());
+        report.unbounded(name + "slots in use, share", result.busyShare);
+        report.unbounded(name + "urgent requests started", static_cast<double>(result.urgentStarted));
+        report.unbounded(name + "urgent requests refused at once", static_cast<double>(result.urgentRefused));
+        report.unbounded(name + "given up while waiting", static_cast<double>(result.expired));
+        report.bounded(name + "longest wait of an urgent request that started, s", std::chrono::duration<double>(result.maxUrgentWait).count(), 3.1);
+        report.unbounded(name + "longest wait of a batch request, s", std::chrono::duration<double>(result.maxBatchWait).count());
         report.bounded(name + "batch requests not started, share", 1 - static_cast<double>(result.batchStarted) / static_cast<double>(std::max<std::uint64_t>(1, result.batchOffered)), load > 1 ? 0.9 : 0.6);
     }
     return report.missed() == 0 ? 0 : 1;
--- a/bench/baselines.cpp
+++ b/bench/baselines.cpp
@@ -29,7 +29,7 @@
     return plan;
 }
 
-FixedSpare fixedSpareBaseline(const Configuration& configuration, const Instances& instances, Millis timeOfOne)
+FixedSpare fixedSpareBaseline(const Configuration& configuration, const Instances& instances, Millis timePerInstance)
 {
     FixedSpare result;
     std::map<std::string_view, std::uint32_t> domainSizes;
@@ -42,7 +42,7 @@
             largest = std::max(largest, size);
         const std::uint32_t spare = std::min(largest, pool.budget.minimum) + 1;
         result.buffer += spare;
-        result.rollOut = std::max(result.rollOut, timeOfOne * (pool.budget.minimum + spare));
+        result.rollOut = std::max(result.rollOut, timePerInstance * (pool.budget.minimum + spare));
     }
     return result;
 }
--- a/bench/baselines.h
+++ b/bench/baselines.h
@@ -20,6 +20,6 @@
 
 /// \brief Each pool keeps a spare for a whole failure domain, since all its members may be in
 /// one, and one more for maintenance; pools are maintained in parallel.
-[[nodiscard]] FixedSpare fixedSpareBaseline(const Configuration& configuration, const Instances& instances, Millis timeOfOne);
+[[nodiscard]] FixedSpare fixedSpareBaseline(const Configuration& configuration, const Instances& instances, Millis timePerInstance);
 
 } // namespace lanemoor::bench
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -74,14 +74,14 @@
     const double perSecond = (static_cast<double>(configurationBytes.size()) * changesPerDay * scale + (static_cast<double>(ledgerBytes.size()) + listBytes) * instanceEventsPerDay * changesPerEvent * scale) / secondsPerDay;
     char name[32];
     std::snprintf(name, sizeof name, "%.2f: ", scale);
-    report.told(std::string(name) + "instances", instances);
-    report.told(std::string(name) + "ledger, bytes", static_cast<double>(ledgerBytes.size()));
-    report.told(std::string(name) + "ledger, bytes an instance", static_cast<double>(ledgerBytes.size()) / instances);
-    report.told(std::string(name) + "configuration, bytes", static_cast<double>(configurationBytes.size()));
-    report.told(std::string(name) + "a quiet control step, ms", quiet);
-    report.told(std::string(name) + "reading a configuration, ms", reading);
-    report.told(std::string(name) + "decoding a ledger, ms", decoding);
-    report.told(std::string(name) + "resident memory added by it all, MB", residentMegabytes() - before);
+    report.unbounded(std::string(name) + "instances", instances);
+    report.unbounded(std::string(name) + "ledger, bytes", static_cast<double>(ledgerBytes.size()));
+    report.unbounded(std::string(name) + "ledger, bytes an instance", static_cast<double>(ledgerBytes.size()) / instances);
+    report.unbounded(std::string(name) + "configuration, bytes", static_cast<double>(configurationBytes.size()));
+    report.unbounded(std::string(name) + "a quiet control step, ms", quiet);
+    report.unbounded(std::string(name) + "reading a configuration, ms", reading);
+    report.unbounded(std::string(name) + "decoding a ledger, ms", decoding);
+    report.unbounded(std::string(name) + "resident memory added by it all, MB", residentMegabytes() - before);
     if (scale == 1) {
         report.bounded("planned size: documents read by a node, B/s", perSecond, 11'000);
         report.bounded("planned size: ledger, bytes", static_cast<double>(ledgerBytes.size()), 40'000);
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -25,7 +25,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int changesPerFleet = 300;
-constexpr std::uint32_t mostWaveSteps = 20'000;
+constexpr std::uint32_t maxWaveSteps = 20'000;
 
 /// Command-line options.
 struct RunOptions {
@@ -76,7 +76,7 @@
 {
     // Steps of 2 s: the daemon decides twice a second.
     FakeFleetOptions options { .step = std::chrono::seconds(2) };
-    const Millis timeOfOne = options.drainTime + options.rebootTime;
+    const Millis timePerInstance = options.drainTime + options.rebootTime;
     FilledFleet filled(fleetCase, options);
     const std::uint64_t fillMoves = filled.holder.acceptedMoves();
     filled.configuration.maintenance.waveRequestedAt = filled.fleet.now();
@@ -84,25 +84,25 @@
     BudgetInvariant invariant;
     std::size_t breaches = 0;
     std::uint32_t steps = 0;
-    for (; steps < mostWaveSteps && waveProgress(filled.view()).due > 0; ++steps) {
+    for (; steps < maxWaveSteps && waveProgress(filled.view()).due > 0; ++steps) {
         filled.step();
         breaches += invariant.check(filled.view()).size();
     }
-    const FixedSpare spare = fixedSpareBaseline(fleetCase.configuration, fleetCase.instances, timeOfOne);
+    const FixedSpare spare = fixedSpareBaseline(fleetCase.configuration, fleetCase.instances, timePerInstance);
     const double rollOut = secondsOf(filled.fleet.now() - start);
-    const double rollOutLeast = secondsOf(rollOutBound(fleetCase.configuration, fleetCase.instances, timeOfOne));
+    const double minRollOut = secondsOf(rollOutBound(fleetCase.configuration, fleetCase.instances, timePerInstance));
     const double buffer = bufferHeld(filled.view());
-    report.told(fleetCase.name + ": instances", static_cast<double>(fleetCase.instances.size()));
+    report.unbounded(fleetCase.name + ": instances", static_cast<double>(fleetCase.instances.size()));
     report.bounded(fleetCase.name + ": budget breaches in a wave", static_cast<double>(breaches), 0);
-    report.told(fleetCase.name + ": buffer held, instances", buffer);
+    report.unbounded(fleetCase.name + ": buffer held, instances", buffer);
     report.bounded(fleetCase.name + ": buffer / lower bound", buffer / bufferBound(fleetCase.configuration, fleetCase.instances), 1.05);
     report.bounded(fleetCase.name + ": buffer / fixed spare baseline", buffer / spare.buffer, 0.5);
-    report.told(fleetCase.name + ": roll-out, s", rollOut);
-    report.bounded(fleetCase.name + ": roll-out / lower bound", rollOut / rollOutLeast, 1.1);
-    report.told(fleetCase.name + ": roll-out / fixed spare baseline", rollOut / secondsOf(spare.rollOut));
-    report.told(fleetCase.name + ": moves in the wave", static_cast<double>(filled.holder.acceptedMoves() - fillMoves));
-    report.told(fleetCase.name + ": moves in the wave / pools", static_cast<double>(filled.holder.acceptedMoves() - fillMoves) / static_cast<double>(fleetCase.configuration.pools.size()));
-    report.told(fleetCase.name + ": ledger writes in the wave", static_cast<double>(filled.store.writes()));
+    report.unbounded(fleetCase.name + ": roll-out, s", rollOut);
+    report.bounded(fleetCase.name + ": roll-out / lower bound", rollOut / minRollOut, 1.1);
+    report.unbounded(fleetCase.name + ": roll-out / fixed spare baseline", rollOut / secondsOf(spare.rollOut));
+    report.unbounded(fleetCase.name + ": moves in the wave", static_cast<double>(filled.holder.acceptedMoves() - fillMoves));
+    report.unbounded(fleetCase.name + ": moves in the wave / pools", static_cast<double>(filled.holder.acceptedMoves() - fillMoves) / static_cast<double>(fleetCase.configuration.pools.size()));
+    report.unbounded(fleetCase.name + ": ledger writes in the wave", static_cast<double>(filled.store.writes()));
 }
 
 /// Makes one random change of an operator: labels, a selector, a size or a budget.
@@ -164,12 +164,12 @@
         atBound += made <= bound.moves ? 1 : 0;
         worst = std::max(worst, bound.moves == 0 ? 1 + static_cast<double>(made) : static_cast<double>(made) / bound.moves);
     }
-    report.told(fleetCase.name + ": changes", counted);
-    report.told(fleetCase.name + ": moves", static_cast<double>(moves));
-    report.told(fleetCase.name + ": moves / lower bound, all changes together", static_cast<double>(moves) / static_cast<double>(std::max<std::uint64_t>(1, bounds)));
+    report.unbounded(fleetCase.name + ": changes", counted);
+    report.unbounded(fleetCase.name + ": moves", static_cast<double>(moves));
+    report.unbounded(fleetCase.name + ": moves / lower bound, all changes together", static_cast<double>(moves) / static_cast<double>(std::max<std::uint64_t>(1, bounds)));
     report.bounded(fleetCase.name + ": changes above their lower bound, share", 1 - static_cast<double>(atBound) / counted, 0.05);
     report.bounded(fleetCase.name + ": worst change / its lower bound", worst, 1.1);
-    report.told(fleetCase.name + ": moves / full reassignment baseline", static_cast<double>(moves) / static_cast<double>(std::max<std::uint64_t>(1, reassigned)));
+    report.unbounded(fleetCase.name + ": moves / full reassignment baseline", static_cast<double>(moves) / static_cast<double>(std::max<std::uint64_t>(1, reassigned)));
 }
 
 void measureRandomRuns(const RunOptions& options, Report& report)
@@ -179,12 +179,12 @@
     const RandomRunResult montevideo = randomRun(montevideoFleet(), small, options.seed);
     const RandomRunResult vestland = randomRun(vestlandFleet(), small, options.seed + 1);
     const RandomRunResult large = randomRun(plannedFleet(), planned, options.seed + 2);
-    report.told("random steps", static_cast<double>(small) * 2 + planned);
-    report.told("seed", static_cast<double>(options.seed));
+    report.unbounded("random steps", static_cast<double>(small) * 2 + planned);
+    report.unbounded("seed", static_cast<double>(options.seed));
     for (const RandomRunResult* run : { &montevideo, &vestland, &large }) {
         report.bounded(run->name + ": breaches", static_cast<double>(run->breaches), 0);
-        report.told(run->name + ": events", static_cast<double>(run->events));
-        report.told(run->name + ": moves", static_cast<double>(run->moves));
+        report.unbounded(run->name + ": events", static_cast<double>(run->events));
+        report.unbounded(run->name + ": moves", static_cast<double>(run->moves));
         if (!run->firstBreach.empty())
             std::printf("    first breach: %s\n", run->firstBreach.c_str());
     }
@@ -204,9 +204,9 @@
         const double milliseconds = std::chrono::duration<double, std::milli>(Clock::now() - start).count() / steps;
         char name[80];
         std::snprintf(name, sizeof name, "%.2f of the planned size: ms a step in a wave", scale);
-        report.told(name, milliseconds);
+        report.unbounded(name, milliseconds);
         if (previous > 0)
-            report.told("  growth for twice the size", milliseconds / previous);
+            report.unbounded("  growth for twice the size", milliseconds / previous);
         previous = milliseconds;
     }
 }
--- a/bench/evacuations.cpp
+++ b/bench/evacuations.cpp
@@ -18,18 +18,18 @@
 constexpr std::size_t instances = 18; // Spread over three data halls round-robin.
 constexpr std::size_t reserve = 6; // Instances of the reserve pool.
 constexpr Millis tick { 5 };
-constexpr Millis betweenJobs { 50 };
+constexpr Millis jobInterval { 50 };
 constexpr Millis warmUp { 5'000 };
-constexpr Millis longestWatch { 15'000 };
+constexpr Millis observationTime { 15'000 };
 constexpr Millis evacuationBound { 5'000 };
 const std::string evacuated = "hall-a";
 
-struct Day {
+struct Scenario {
     const char* name;
     Millis answerTime { 4 }; ///< Response time of the store.
-    bool losesOwner = false; ///< The owner crashes at the request.
-    Millis cutFor { 0 }; ///< Time for which the data hall is partitioned from the request on.
-    Millis refusesFor { 0 }; ///< Time for which the store refuses to list evacuation requests, from the request on.
+    bool crashesOwner = false; ///< The owner crashes at the request.
+    Millis partitionTime { 0 }; ///< Time for which the data hall is partitioned from the request on.
+    Millis refusalTime { 0 }; ///< Time for which the store refuses to list evacuation requests, from the request on.
 };
 
 /// Result of one run, in times from the request.
@@ -41,13 +41,13 @@
 
 class Run {
 public:
-    Run(const Day& day, std::uint64_t seed)
-        : m_day(day)
+    Run(const Scenario& scenario, std::uint64_t seed)
+        : m_scenario(scenario)
         , m_cluster(seed, 3)
     {
         m_cluster.setEvacuationTime(evacuationBound);
         m_cluster.workers.addReserve("off");
-        m_cluster.workers.saves = true;
+        m_cluster.workers.savesCheckpoints = true;
         for (std::size_t i = 0; i < instances + reserve; ++i)
             m_cluster.workers.addInstance("m-" + std::to_string(i), i < instances ? "main" : "off", "r-" + std::to_string(i % 3), { .milliCpu = 8'000, .memoryMb = 16'000 }, "a", std::string("hall-") + static_cast<char>('a' + i % 3));
         m_cluster.workers.runTimes = [this](const Attempt&) { return Millis(std::uniform_int_distribution<int>(200, 2'500)(m_cluster.random)); };
@@ -70,7 +70,7 @@
         Measured measured;
         MonotonicInstant lastStart = begin;
         MonotonicInstant busyUntil = begin;
-        playUntil(begin + longestWatch, [&] {
+        playUntil(begin + observationTime, [&] {
             const std::optional<MonotonicInstant> start = latestStart();
             if (!start)
                 return;
@@ -79,7 +79,7 @@
         });
         measured.lastStart = passed(begin, lastStart);
         measured.emptyAfter = passed(begin, busyUntil);
-        measured.breaches = m_cluster.witness.breaches().size();
+        measured.breaches = m_cluster.checker.breaches().size();
         return measured;
     }
 
@@ -92,7 +92,7 @@
         while (m_cluster.clock.now() < end) {
             observe();
             if (m_cluster.clock.now() >= m_nextJobAt) {
-                m_nextJobAt = m_cluster.clock.now() + betweenJobs;
+                m_nextJobAt = m_cluster.clock.now() + jobInterval;
                 ++m_jobs;
                 m_cluster.submit(m_jobs % m_cluster.entries(), "work", jobId(m_jobs), job({ step(4) }));
             }
@@ -102,23 +102,23 @@
 
     void disturb()
     {
-        m_cluster.store.trouble.answerTime = m_day.answerTime;
-        if (m_day.losesOwner)
+        m_cluster.store.faults.answerTime = m_scenario.answerTime;
+        if (m_scenario.crashesOwner)
             m_cluster.kill(*m_cluster.owner(), true);
-        if (m_day.cutFor.count() > 0) {
+        if (m_scenario.partitionTime.count() > 0) {
             cut(true);
-            m_cluster.clock.after(m_day.cutFor, [this] { cut(false); });
+            m_cluster.clock.after(m_scenario.partitionTime, [this] { cut(false); });
         }
-        if (m_day.refusesFor.count() > 0) {
-            m_cluster.store.trouble.refusedRanges = m_cluster.documents.evacuationPrefix();
-            m_cluster.clock.after(m_day.refusesFor, [this] { m_cluster.store.trouble.refusedRanges.clear(); });
+        if (m_scenario.refusalTime.count() > 0) {
+            m_cluster.store.faults.refusedRanges = m_cluster.documents.evacuationPrefix();
+            m_cluster.clock.after(m_scenario.refusalTime, [this] { m_cluster.store.faults.refusedRanges.clear(); });
         }
     }
 
     void cut(bool isCut)
     {
         for (auto& [id, worker] : m_cluster.workers.workers())
-            worker.trouble.cutOff = isCut && worker.entry.dataHall == evacuated;
+            worker.faults.partitioned = isCut && worker.entry.dataHall == evacuated;
     }
 
     /// \returns The latest start of an attempt running in the data hall; nullopt if none runs.
@@ -134,7 +134,7 @@
         return latest;
     }
 
-    const Day& m_day;
+    const Scenario& m_scenario;
     model::JobCluster m_cluster;
     MonotonicInstant m_nextJobAt;
     std::uint64_t m_jobs = 0;
@@ -146,23 +146,23 @@
     return values.empty() ? 0 : values[static_cast<std::size_t>(std::floor(share * static_cast<double>(values.size() - 1)))];
 }
 
-void report(bench::Report& table, const Day& day, std::uint64_t first, std::uint64_t runs)
+void report(bench::Report& table, const Scenario& scenario, std::uint64_t first, std::uint64_t runs)
 {
     std::vector<double> lastStarts;
     std::vector<double> empties;
     std::size_t breaches = 0;
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const Measured measured = Run(day, seed).play();
+        const Measured measured = Run(scenario, seed).play();
         lastStarts.push_back(measured.lastStart);
         empties.push_back(measured.emptyAfter);
         breaches += measured.breaches;
     }
-    const std::string name = day.name;
-    table.told(name + ": last start, p50 ms", percentile(lastStarts, 0.5));
-    table.told(name + ": last start, p99 ms", percentile(lastStarts, 0.99));
+    const std::string name = scenario.name;
+    table.unbounded(name + ": last start, p50 ms", percentile(lastStarts, 0.5));
+    table.unbounded(name + ": last start, p99 ms", percentile(lastStarts, 0.99));
     table.bounded(name + ": last start, latest ms", percentile(lastStarts, 1), static_cast<double>(evacuationBound.count()));
-    table.told(name + ": empty, p50 ms", percentile(empties, 0.5));
-    table.told(name + ": empty, p99 ms", percentile(empties, 0.99));
+    table.unbounded(name + ": empty, p50 ms", percentile(empties, 0.5));
+    table.unbounded(name + ": empty, p99 ms", percentile(empties, 0.99));
     table.bounded(name + ": promises broken", static_cast<double>(breaches), 0);
 }
 
@@ -170,15 +170,15 @@
 
 int main(int argumentCount, char** arguments)
 {
-    const auto number = [&](int index, std::uint64_t otherwise) { return argumentCount > index ? std::strtoull(arguments[index], nullptr, 10) : otherwise; };
+    const auto number = [&](int index, std::uint64_t fallback) { return argumentCount > index ? std::strtoull(arguments[index], nullptr, 10) : fallback; };
     const std::uint64_t runs = number(1, 20);
     const std::uint64_t first = number(2, 1);
     bench::Report table("From the request to evacuate a data hall to its last start, and until it is empty");
     const std::string only = argumentCount > 3 ? arguments[3] : "";
-    for (const Day& day : { Day { .name = "quiet" }, Day { .name = "store slow", .answerTime = Millis(240) }, Day { .name = "owner lost", .losesOwner = true }, Day { .name = "hall cut off for 3 s", .cutFor = Millis(3'000) },
-             Day { .name = "lists refused for 8 s", .refusesFor = Millis(8'000) } }) {
-        if (only.empty() || only == day.name)
-            report(table, day, first, runs);
+    for (const Scenario& scenario : { Scenario { .name = "quiet" }, Scenario { .name = "store slow", .answerTime = Millis(240) }, Scenario { .name = "owner lost", .crashesOwner = true }, Scenario { .name = "hall cut off for 3 s", .partitionTime = Millis(3'000) },
+             Scenario { .name = "lists refused for 8 s", .refusalTime = Millis(8'000) } }) {
+        if (only.empty() || only == scenario.name)
+            report(table, scenario, first, runs);
     }
     return table.missed() > 0 ? 1 : 0;
 }
--- a/bench/job_owner.cpp
+++ b/bench/job_owner.cpp
@@ -37,7 +37,7 @@
         cluster.clock.runFor(std::max(pause, Millis(1)));
     }
     cluster.clock.runFor(Millis(3'000));
-    return (processorSeconds() - before) * 1e6 / static_cast<double>(cluster.witness.starts());
+    return (processorSeconds() - before) * 1e6 / static_cast<double>(cluster.checker.starts());
 }
 
 } // namespace
--- a/bench/lower_bounds.cpp
+++ b/bench/lower_bounds.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A min-cost flow by successive shortest paths.
-class CheapestFlow {
+class MinCostFlow {
 public:
     std::size_t addNode()
     {
@@ -25,16 +25,16 @@
     std::size_t addEdge(std::size_t from, std::size_t to, std::uint32_t capacity, int cost = 0)
     {
         m_edgesOf[from].push_back(m_edges.size());
-        m_edges.push_back({ .to = to, .left = capacity, .cost = cost });
+        m_edges.push_back({ .to = to, .residual = capacity, .cost = cost });
         m_edgesOf[to].push_back(m_edges.size());
-        m_edges.push_back({ .to = from, .left = 0, .cost = -cost });
+        m_edges.push_back({ .to = from, .residual = 0, .cost = -cost });
         return m_edges.size() - 2;
     }
 
     /// Sends one unit through `edges` if each has residual capacity. \returns Whether the unit was sent.
     bool push(std::initializer_list<std::size_t> edges)
     {
-        if (!std::all_of(edges.begin(), edges.end(), [&](std::size_t edge) { return m_edges[edge].left > 0; }))
+        if (!std::all_of(edges.begin(), edges.end(), [&](std::size_t edge) { return m_edges[edge].residual > 0; }))
             return false;
         for (const std::size_t edge : edges)
             pushEdge(edge);
@@ -55,7 +55,7 @@
             queued[node] = false;
             for (const std::size_t number : m_edgesOf[node]) {
                 const Edge& edge = m_edges[number];
-                if (edge.left == 0 || cost[node] + edge.cost >= cost[edge.to])
+                if (edge.residual == 0 || cost[node] + edge.cost >= cost[edge.to])
                     continue;
                 cost[edge.to] = cost[node] + edge.cost;
                 via[edge.to] = number;
@@ -76,14 +76,14 @@
 
     struct Edge {
         std::size_t to = 0;
-        std::uint32_t left = 0;
+        std::uint32_t residual = 0;
         int cost = 0;
     };
 
     void pushEdge(std::size_t edge)
     {
-        --m_edges[edge].left;
-        ++m_edges[edge ^ 1].left;
+        --m_edges[edge].residual;
+        ++m_edges[edge ^ 1].residual;
     }
 
     std::vector<Edge> m_edges;
@@ -104,7 +104,7 @@
 MovesBound movesBound(const FleetView& view)
 {
     const FleetIndex index(view.configuration, view.instances);
-    CheapestFlow flow;
+    MinCostFlow flow;
     const std::size_t source = flow.addNode();
     const std::size_t sink = flow.addNode();
     std::vector<std::size_t> nodes;
@@ -152,7 +152,7 @@
     return bound;
 }
 
-Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timeOfOne)
+Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timePerInstance)
 {
     const FleetIndex index(configuration, instances);
     std::uint32_t needed = 0;
@@ -160,7 +160,7 @@
         needed += index.size(pool).budgetTarget;
     const auto all = static_cast<std::uint32_t>(instances.size());
     const std::uint32_t atOnce = std::max<std::uint32_t>(1, all - std::min(all, needed));
-    return timeOfOne * ((all + atOnce - 1) / atOnce);
+    return timePerInstance * ((all + atOnce - 1) / atOnce);
 }
 
 } // namespace lanemoor::bench
--- a/bench/lower_bounds.h
+++ b/bench/lower_bounds.h
@@ -28,6 +28,6 @@
 
 /// \returns The min time to maintain every instance once, if each instance that no budget
 /// needs is out of service all the time.
-[[nodiscard]] Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timeOfOne);
+[[nodiscard]] Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timePerInstance);
 
 } // namespace lanemoor::bench
--- a/bench/report.h
+++ b/bench/report.h
@@ -15,13 +15,13 @@
     /// \brief Prints a figure that must not exceed a bound.
     void bounded(const std::string& what, double figure, double bound)
     {
-        const bool kept = figure <= bound;
-        std::printf("  %-58s %10.3f   at most %8.3f%s\n", what.c_str(), figure, bound, kept ? "" : "   MISSED");
-        m_missed += kept ? 0 : 1;
+        const bool isWithin = figure <= bound;
+        std::printf("  %-58s %10.3f   at most %8.3f%s\n", what.c_str(), figure, bound, isWithin ? "" : "   MISSED");
+        m_missed += isWithin ? 0 : 1;
     }
 
     /// \brief Prints a figure without a bound.
-    void told(const std::string& what, double figure) const
+    void unbounded(const std::string& what, double figure) const
     {
         std::printf("  %-58s %10.3f\n", what.c_str(), figure);
     }
--- a/bench/traffic.cpp
+++ b/bench/traffic.cpp
@@ -191,21 +191,21 @@
         }
         std::this_thread::sleep_for(idleTime);
         const double seconds = std::chrono::duration<double>(idleTime).count();
-        double most = 0;
-        double least = 100;
+        double highest = 0;
+        double lowest = 100;
         double resident = 0;
         double bytes = 0;
         std::size_t number = 0;
         for (auto& [name, entry] : cluster.entries()) {
             const ProcessCost now = costOf(entry.process->id());
             const double percent = (now.cpuSeconds - before[number++].cpuSeconds) / seconds * 100;
-            most = std::max(most, percent);
-            least = std::min(least, percent);
+            highest = std::max(highest, percent);
+            lowest = std::min(lowest, percent);
             resident = std::max(resident, now.residentMegabytes);
             bytes += metricOf(entry, "lanemoor_peer_bytes_sent_total");
         }
         std::printf("  %2u workers, %u entries: %.1f%% of a core with the control role or most, %.1f%% least, %.1f MB, %.0f B/s of peer messages an entry, %.1f store calls/s in all\n",
-            workers, entries, most, least, resident, (bytes - bytesBefore) / seconds / entries, (callsAtPlatform(cluster) - callsBefore) / seconds);
+            workers, entries, highest, lowest, resident, (bytes - bytesBefore) / seconds / entries, (callsAtPlatform(cluster) - callsBefore) / seconds);
     }
 }
 
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -32,10 +32,10 @@
 
 constexpr unsigned mostThreads = 300;
 
-std::chrono::milliseconds millisIn(const HttpRequest& request, std::string_view name, std::uint64_t otherwise)
+std::chrono::milliseconds millisIn(const HttpRequest& request, std::string_view name, std::uint64_t fallback)
 {
     const std::optional<std::string_view> text = queryValue(request.target, name);
-    return std::chrono::milliseconds(text ? parseDecimal(*text).value_or(otherwise) : otherwise);
+    return std::chrono::milliseconds(text ? parseDecimal(*text).value_or(fallback) : fallback);
 }
 
 class EndpointHandler final : public HttpHandler {
@@ -104,7 +104,7 @@
     void answerRuns(HttpExchange& exchange)
     {
         const std::lock_guard lock(m_mutex);
-        nlohmann::json runs { { "keys", m_runs }, { "mostInFlight", m_mostInFlight.load() }, { "served", m_served.load() }, { "refused", m_refused.load() } };
+        nlohmann::json runs { { "keys", m_runs }, { "mostInFlight", m_maxInFlight.load() }, { "served", m_served.load() }, { "refused", m_refused.load() } };
         exchange.respond({ 200, {}, runs.dump() });
     }
 
@@ -113,7 +113,7 @@
         const int now = ++m_inFlight;
         ++m_served;
         if (path != "/listen")
-            m_mostInFlight = std::max<int>(m_mostInFlight, now - m_listeners);
+            m_maxInFlight = std::max<int>(m_maxInFlight, now - m_listeners);
         if (path == "/listen")
             listen(exchange);
         else if (path == "/cut")
@@ -175,7 +175,7 @@
     std::uint64_t m_bootId = 1;
     bool m_draining = false;
     std::atomic<int> m_inFlight { 0 };
-    std::atomic<int> m_mostInFlight { 0 };
+    std::atomic<int> m_maxInFlight { 0 };
     std::atomic<int> m_listeners { 0 };
     std::atomic<std::uint64_t> m_served { 0 };
     std::atomic<std::uint64_t> m_refused { 0 };
--- a/standins/fleet_standin.cpp
+++ b/standins/fleet_standin.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::chrono::milliseconds observeInterval { 50 };
 constexpr std::chrono::milliseconds callLimit { 500 };
-constexpr std::size_t mostAnswerBytes = 65536;
+constexpr std::size_t maxAnswerBytes = 65536;
 constexpr std::string_view listPath = "/v1/instances";
 
 /// \returns The worker's response body; empty if the worker can't be reached.
@@ -23,7 +23,7 @@
     request.target = target;
     request.headers.add("Connection", "close");
     HttpConnection connection(address);
-    BufferSink sink(mostAnswerBytes);
+    BufferSink sink(maxAnswerBytes);
     const ExchangeOptions options { std::chrono::system_clock::now() + callLimit };
     const ExchangeResult result = connection.exchange(request, sink, options);
     return result.fault == ExchangeFault::None ? sink.response().body : std::string();
@@ -46,10 +46,10 @@
     m_observer.join();
 }
 
-void FleetStandin::setListAway(bool away)
+void FleetStandin::setListUnavailable(bool unavailable)
 {
     const std::lock_guard lock(m_mutex);
-    m_listAway = away;
+    m_listUnavailable = unavailable;
 }
 
 void FleetStandin::handle(HttpExchange& exchange)
@@ -61,7 +61,7 @@
     }
     if (path == listPath) {
         const std::lock_guard lock(m_mutex);
-        if (m_listAway)
+        if (m_listUnavailable)
             exchange.abort();
         else
             answerList(exchange);
@@ -149,21 +149,21 @@
         std::map<std::string, std::string> states;
         for (const auto& [id, address] : workers)
             states[id] = ask(address, "GET", "/platform/state");
-        note(states);
+        recordListing(states);
         std::this_thread::sleep_for(observeInterval);
     }
 }
 
-void FleetStandin::note(const std::map<std::string, std::string>& states)
+void FleetStandin::recordListing(const std::map<std::string, std::string>& states)
 {
     nlohmann::json list = nlohmann::json::array();
     const std::lock_guard lock(m_mutex);
     for (const auto& [id, state] : states) {
-        const nlohmann::json told = nlohmann::json::parse(state, nullptr, false);
-        if (!told.is_object())
+        const nlohmann::json reported = nlohmann::json::parse(state, nullptr, false);
+        if (!reported.is_object())
             continue;
         nlohmann::json one = nlohmann::json::parse(m_workers[id].description);
-        one.update(told);
+        one.update(reported);
         list.push_back(std::move(one));
     }
     m_listings.push_back({ Clock::now(), list.dump() });
--- a/standins/fleet_standin.h
+++ b/standins/fleet_standin.h
@@ -30,7 +30,7 @@
     /// \brief Handles a request whose path begins with /v1/instances.
     void handle(HttpExchange& exchange);
 
-    void setListAway(bool away);
+    void setListUnavailable(bool unavailable);
 
 private:
     using Clock = std::chrono::steady_clock;
@@ -51,7 +51,7 @@
     void registerWorker(HttpExchange& exchange);
     void control(HttpExchange& exchange, const std::string& id, const std::string& act);
     void observe();
-    void note(const std::map<std::string, std::string>& states);
+    void recordListing(const std::map<std::string, std::string>& states);
     [[nodiscard]] std::string listing() const;
 
     std::chrono::milliseconds m_lag;
@@ -60,7 +60,7 @@
     std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance; late acts of an older holder are refused.
     std::set<std::pair<std::string, std::uint64_t>> m_rebooted; ///< Instance and grant.
     std::deque<Listing> m_listings;
-    bool m_listAway = false;
+    bool m_listUnavailable = false;
     bool m_stopping = false;
     std::thread m_observer;
 };
--- a/standins/job_platform/fleet.cpp
+++ b/standins/job_platform/fleet.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis moveTime { 1'500 };
 constexpr Millis maintenanceTime { 2'000 };
-constexpr Millis entryOutlives { 4'500 }; // The entry of a crashed worker stays this long.
+constexpr Millis entryRetention { 4'500 }; // The entry of a crashed worker stays this long.
 constexpr std::size_t pageSize = 100;
 const HttpAddress anyPort { "127.0.0.1", 0 };
 
@@ -59,13 +59,13 @@
     return ports;
 }
 
-void Fleet::beginWorker(const std::string& instance, const std::string& formerId)
+void Fleet::beginWorker(const std::string& instance, const std::string& previousId)
 {
     Instance& on = m_instances[instance];
     on.state = "up";
     if (m_reserves.contains(on.settings.pool))
         return;
-    const std::string id = formerId.empty() ? "w-" + std::to_string(++m_lastWorker) : formerId;
+    const std::string id = previousId.empty() ? "w-" + std::to_string(++m_lastWorker) : previousId;
     const std::int64_t startedAt = m_loop.timeOfDay().time_since_epoch().count();
     on.worker = std::make_unique<Worker>(m_loop, m_events, WorkerIdentity { .id = id, .instance = instance, .dataHall = on.settings.dataHall, .startedAt = startedAt });
     const json entry { { "address", on.address }, { "service", on.settings.pool }, { "zone", on.settings.dataHall }, { "state", "ready" }, { "capacity", capacityOf(on.settings) }, { "labels", { on.settings.kind, on.settings.rack } }, { "born", startedAt } };
@@ -93,13 +93,13 @@
     found->second.state = "down";
     if (!keepsId)
         removeEntryLater(id);
-    m_loop.callAt(m_loop.now() + backAfter, [this, instance, formerId = keepsId ? id : std::string()] { beginWorker(instance, formerId); });
+    m_loop.callAt(m_loop.now() + backAfter, [this, instance, previousId = keepsId ? id : std::string()] { beginWorker(instance, previousId); });
     return true;
 }
 
 void Fleet::removeEntryLater(const std::string& worker)
 {
-    m_loop.callAt(m_loop.now() + entryOutlives, [this, worker] { m_store.remove("servers/" + worker); });
+    m_loop.callAt(m_loop.now() + entryRetention, [this, worker] { m_store.remove("servers/" + worker); });
 }
 
 bool Fleet::setFaults(const std::string& instance, const WorkerFaults& faults)
@@ -187,7 +187,7 @@
     const std::string pool = textIn(body, "pool");
     if (found == m_instances.end() || pool.empty())
         return answerJson(status::badRequest, json::object());
-    return take(found->second, request, pool, "moving", moveTime);
+    return takeDown(found->second, request, pool, "moving", moveTime);
 }
 
 HttpResponse Fleet::maintain(const HttpRequest& request)
@@ -204,13 +204,13 @@
     const std::pair<std::int64_t, std::string> key { number, found->first };
     if (m_maintained.contains(key))
         return answerJson(status::ok, json::object());
-    HttpResponse response = take(found->second, request, found->second.settings.pool, "upkeep", maintenanceTime);
+    HttpResponse response = takeDown(found->second, request, found->second.settings.pool, "upkeep", maintenanceTime);
     if (response.status == status::ok)
         m_maintained.insert(key);
     return response;
 }
 
-HttpResponse Fleet::take(Instance& instance, const HttpRequest& request, const std::string& pool, const char* state, Millis time)
+HttpResponse Fleet::takeDown(Instance& instance, const HttpRequest& request, const std::string& pool, const char* state, Millis time)
 {
     const std::string holder(request.headers.find("Lease-Holder").value_or(std::string_view()));
     const auto fence = static_cast<std::int64_t>(parseDecimal(request.headers.find("Fencing-Token").value_or(std::string_view())).value_or(0));
--- a/standins/job_platform/fleet.h
+++ b/standins/job_platform/fleet.h
@@ -77,7 +77,7 @@
         std::int64_t fence = 0; ///< Highest fencing token of an act.
     };
 
-    void beginWorker(const std::string& instance, const std::string& formerId);
+    void beginWorker(const std::string& instance, const std::string& previousId);
     void endWorker(Instance& instance);
     void removeEntryLater(const std::string& worker);
     void serveWorker(Instance& instance, const HttpRequest& request, const aio::HttpResponder& respond);
@@ -86,7 +86,7 @@
     [[nodiscard]] HttpResponse list(const HttpRequest& request) const;
     [[nodiscard]] HttpResponse move(const HttpRequest& request);
     [[nodiscard]] HttpResponse maintain(const HttpRequest& request);
-    [[nodiscard]] HttpResponse take(Instance& instance, const HttpRequest& request, const std::string& pool, const char* state, Millis time);
+    [[nodiscard]] HttpResponse takeDown(Instance& instance, const HttpRequest& request, const std::string& pool, const char* state, Millis time);
 
     aio::AsioEventLoop& m_loop;
     StoreService& m_store;
--- a/standins/job_platform/main.cpp
+++ b/standins/job_platform/main.cpp
@@ -35,7 +35,7 @@
     std::map<std::string, std::uint64_t> values;
     for (int i = 1; i + 1 < count; i += 2)
         values[arguments[i]] = std::strtoull(arguments[i + 1], nullptr, 10);
-    const auto value = [&values](const char* name, std::uint64_t otherwise) { return values.contains(name) ? values[name] : otherwise; };
+    const auto value = [&values](const char* name, std::uint64_t fallback) { return values.contains(name) ? values[name] : fallback; };
     Options options;
     options.seed = value("--seed", options.seed);
     options.instances = static_cast<unsigned>(value("--instances", options.instances));
--- a/standins/job_platform/store_core.cpp
+++ b/standins/job_platform/store_core.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t pageSize = 500;
 constexpr Millis historyTime { 20'000 };
-constexpr Millis leastLeaseTime { 1'000 };
+constexpr Millis minLeaseTime { 1'000 };
 
 } // namespace
 
@@ -73,7 +73,7 @@
 
 LeaseResult StoreCore::grant(Millis timeToLive, MonotonicInstant now)
 {
-    const Millis granted = std::max(timeToLive, leastLeaseTime);
+    const Millis granted = std::max(timeToLive, minLeaseTime);
     m_leases[++m_lastLease] = { now + granted, granted };
     return { .outcome = StoreOutcome::Done, .lease = m_lastLease, .timeToLive = granted };
 }
@@ -98,13 +98,13 @@
 
 bool StoreCore::expire(MonotonicInstant now)
 {
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, lease] : m_leases) {
         if (lease.endsAt <= now)
-            over.push_back(id);
+            expired.push_back(id);
     }
     bool hasChanged = false;
-    for (const std::uint64_t id : over)
+    for (const std::uint64_t id : expired)
         hasChanged |= removeLease(id, now);
     while (!m_history.empty() && now - m_history.front().at > historyTime) {
         m_historyFrom = m_history.front().item.revision;
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -13,8 +13,8 @@
 using nlohmann::json;
 
 constexpr Millis leaseCheck { 20 };
-constexpr int leastLateness = 1'000; // Min delay of a late write, ms.
-constexpr int mostLateness = 6'000;
+constexpr int minLateWriteDelay = 1'000; // Min delay of a late write, ms.
+constexpr int maxLateWriteDelay = 6'000;
 constexpr std::string_view keepPath = "/api/kv-keep/";
 constexpr std::string_view endPath = "/api/kv-lease-end/";
 
@@ -142,7 +142,7 @@
     else if (pathOf(request.target) == "/api/kv-watch")
         watch(request, respond);
     else
-        answer(respond, carryOut(request));
+        answer(respond, execute(request));
 }
 
 void StoreService::write(const HttpRequest& request, const aio::HttpResponder& respond)
@@ -151,12 +151,12 @@
     const bool isLate = share(m_random) < m_faults.lateWrites;
     const bool isAnswerLost = share(m_random) < m_faults.lostAnswers;
     if (isLate) {
-        const Millis lateness(std::uniform_int_distribution<int>(leastLateness, mostLateness)(m_random));
+        const Millis delay(std::uniform_int_distribution<int>(minLateWriteDelay, maxLateWriteDelay)(m_random));
         m_unanswered.push_back(respond);
-        m_loop.callAt(m_loop.now() + lateness, [this, request] { static_cast<void>(carryOut(request)); });
+        m_loop.callAt(m_loop.now() + delay, [this, request] { static_cast<void>(execute(request)); });
         return;
     }
-    HttpResponse response = carryOut(request);
+    HttpResponse response = execute(request);
     if (isAnswerLost)
         m_unanswered.push_back(respond);
     else
@@ -206,7 +206,7 @@
         endWatch(id);
 }
 
-HttpResponse StoreService::carryOut(const HttpRequest& request)
+HttpResponse StoreService::execute(const HttpRequest& request)
 {
     const MonotonicInstant now = m_loop.now();
     const std::string_view path = pathOf(request.target);
--- a/standins/job_platform/store_service.h
+++ b/standins/job_platform/store_service.h
@@ -56,7 +56,7 @@
     void act(const HttpRequest& request, const aio::HttpResponder& respond);
     void write(const HttpRequest& request, const aio::HttpResponder& respond);
     void watch(const HttpRequest& request, const aio::HttpResponder& respond);
-    [[nodiscard]] HttpResponse carryOut(const HttpRequest& request);
+    [[nodiscard]] HttpResponse execute(const HttpRequest& request);
     [[nodiscard]] HttpResponse commit(const nlohmann::json& body);
     void endWatch(std::uint64_t id);
     void wakeWatches();
--- a/standins/job_platform/worker.cpp
+++ b/standins/job_platform/worker.cpp
@@ -13,9 +13,9 @@
 using nlohmann::json;
 
 constexpr Millis stopTime { 100 };
-constexpr Millis longestLease { 10'000 };
+constexpr Millis maxLease { 10'000 };
 constexpr Millis clockAtStart { 1'000 };
-constexpr double whole = 100;
+constexpr double percentScale = 100;
 
 std::pair<std::string, std::uint64_t> runIn(const json& body)
 {
@@ -34,14 +34,14 @@
 
 Worker::~Worker()
 {
-    m_loop.cancel(m_lapse);
+    m_loop.cancel(m_leaseTimer);
     for (const TimerId stop : m_stops)
         m_loop.cancel(stop);
     for (const auto& [id, waiting] : m_waiting)
         m_loop.cancel(waiting.timeout);
     for (const auto& [run, progress] : m_running) {
         m_loop.cancel(progress.end);
-        tell("dead", run);
+        writeEvent("dead", run);
     }
 }
 
@@ -69,11 +69,11 @@
 {
     const json payload = json::parse(textIn(body, "spec"), nullptr, false);
     const Millis time(payload.is_object() ? integerIn(payload, "ms") : 0);
-    const char* how = payload.is_object() && payload.value("fails", false) ? "failed" : "done";
+    const char* outcome = payload.is_object() && payload.value("fails", false) ? "failed" : "done";
     const MonotonicInstant now = m_loop.now();
-    const TimerId end = m_loop.callAt(now + time, [this, run, how] { endRun(Run(run), how); });
+    const TimerId end = m_loop.callAt(now + time, [this, run, outcome] { endRun(Run(run), outcome); });
     m_running[run] = { .checkpoint = textIn(body, "checkpoint"), .startedAt = now, .endsAt = now + time, .end = end };
-    tell("start", run);
+    writeEvent("start", run);
     return answerJson(status::ok, { { "clock_ms", clock() } });
 }
 
@@ -136,22 +136,22 @@
 {
     if (until == 0)
         return;
-    const MonotonicInstant end = std::min(instantOf(until), m_loop.now() + longestLease);
+    const MonotonicInstant end = std::min(instantOf(until), m_loop.now() + maxLease);
     if (end <= m_leaseUntil)
         return;
     m_leaseUntil = end;
-    m_loop.cancel(m_lapse);
-    m_lapse = m_loop.callAt(end, [this] { lapse(); });
+    m_loop.cancel(m_leaseTimer);
+    m_leaseTimer = m_loop.callAt(end, [this] { expireLease(); });
 }
 
-void Worker::lapse()
+void Worker::expireLease()
 {
-    m_lapsedUpTo = m_lastEnd;
+    m_expiredUpTo = m_lastEnd;
     while (!m_running.empty())
         endRun(Run(m_running.begin()->first), "lapsed");
 }
 
-void Worker::endRun(const Run& run, const char* how)
+void Worker::endRun(const Run& run, const char* outcome)
 {
     const auto found = m_running.find(run);
     if (found == m_running.end())
@@ -160,8 +160,8 @@
     m_running.erase(found);
     std::uint64_t& settled = m_settled[run.first];
     settled = std::max(settled, run.second);
-    m_ended.push_back({ ++m_lastEnd, run, how });
-    tell(how, run);
+    m_ended.push_back({ ++m_lastEnd, run, outcome });
+    writeEvent(outcome, run);
     answerWaiting();
 }
 
@@ -169,8 +169,8 @@
 {
     while (!m_ended.empty() && m_ended.front().sequence <= upTo) {
         const End& end = m_ended.front();
-        if (std::strcmp(end.how, "done") == 0 && end.sequence > m_lapsedUpTo)
-            tell("stored", end.run);
+        if (std::strcmp(end.outcome, "done") == 0 && end.sequence > m_expiredUpTo)
+            writeEvent("stored", end.run);
         m_ended.pop_front();
     }
 }
@@ -184,7 +184,7 @@
     }
 }
 
-void Worker::tell(const char* event, const Run& run)
+void Worker::writeEvent(const char* event, const Run& run)
 {
     m_events.write(event, { { "worker", m_identity.id }, { "instance", m_identity.instance }, { "hall", m_identity.dataHall }, { "task", run.first }, { "run", run.second }, { "fence", m_fence } });
 }
@@ -195,12 +195,12 @@
     for (const auto& [run, progress] : m_running) {
         const double passed = std::chrono::duration<double>(m_loop.now() - progress.startedAt).count();
         const double all = std::chrono::duration<double>(progress.endsAt - progress.startedAt).count();
-        const int percent = all > 0 ? static_cast<int>(std::min(1.0, passed / all) * whole) : 0;
+        const int percent = all > 0 ? static_cast<int>(std::min(1.0, passed / all) * percentScale) : 0;
         running.push_back({ run.first, run.second, progress.checkpoint, percent });
     }
     json ended = json::array();
     for (const End& end : m_ended)
-        ended.push_back({ end.sequence, end.run.first, end.run.second, end.how, "" });
+        ended.push_back({ end.sequence, end.run.first, end.run.second, end.outcome, "" });
     return { { "clock_ms", clock() }, { "born", m_identity.startedAt }, { "running", running }, { "ended", ended } };
 }
 
--- a/standins/job_platform/worker.h
+++ b/standins/job_platform/worker.h
@@ -59,7 +59,7 @@
     struct End {
         std::uint64_t sequence = 0;
         Run run;
-        const char* how = "";
+        const char* outcome = "";
     };
 
     struct Waiting {
@@ -70,11 +70,11 @@
     [[nodiscard]] bool isFenced(const nlohmann::json& body);
     [[nodiscard]] HttpResponse begin(const Run& run, const nlohmann::json& body);
     void extendLease(std::int64_t until);
-    void lapse();
-    void endRun(const Run& run, const char* how);
+    void expireLease();
+    void endRun(const Run& run, const char* outcome);
     void acknowledge(std::uint64_t upTo);
     void answerWaiting();
-    void tell(const char* event, const Run& run);
+    void writeEvent(const char* event, const Run& run);
     [[nodiscard]] nlohmann::json report() const;
     [[nodiscard]] std::int64_t clock() const;
     [[nodiscard]] jobs::MonotonicInstant instantOf(std::int64_t clock) const;
@@ -85,11 +85,11 @@
     jobs::MonotonicInstant m_clockStart; ///< Zero of the worker's clock.
     std::int64_t m_fence = 0;
     jobs::MonotonicInstant m_leaseUntil;
-    jobs::TimerId m_lapse = 0;
+    jobs::TimerId m_leaseTimer = 0;
     std::map<Run, Progress> m_running;
     std::deque<End> m_ended;
     std::uint64_t m_lastEnd = 0;
-    std::uint64_t m_lapsedUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
+    std::uint64_t m_expiredUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
     std::map<std::string, std::uint64_t> m_settled; ///< Highest stopped or ended attempt number, by task.
     std::vector<jobs::TimerId> m_stops;
     std::map<std::uint64_t, Waiting> m_waiting;
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -14,16 +14,16 @@
 
 constexpr Millis cancelBound { 3'000 }; // From a job's cancel to the last start of its tasks.
 constexpr Millis evacuationBound { 5'000 }; // From an evacuation request to the last start in the data hall.
-constexpr Millis atWorkAfter { 500 }; // From the start of a long-running task until the task is ready.
-constexpr Millis noticeTime { 4'500 }; // A task without a worker for this long counts against the disruption budget, regardless of the cause.
-constexpr Millis holderTime { 3'000 }; // Min time between acts of two holders on one instance.
-constexpr Millis quotaInForce { 3'000 }; // After a change, the previous quota still applies for this long.
+constexpr Millis readyDelay { 500 }; // From the start of a long-running task until the task is ready.
+constexpr Millis absenceThreshold { 4'500 }; // A task without a worker for this long counts against the disruption budget, regardless of the cause.
+constexpr Millis minHolderInterval { 3'000 }; // Min time between acts of two holders on one instance.
+constexpr Millis previousQuotaTime { 3'000 }; // After a change, the previous quota still applies for this long.
 constexpr double quotaSlack = 0.1; // Permitted excess as a share of a quota, beside one task: a new owner may not have all attempts of previous owners yet.
-constexpr std::uint32_t endsToGiveUp = 2; // Worker crashes under a task from which the task may fail permanently.
-constexpr std::uint32_t endsThatCount = 3; // Worker crashes caused by a task, after which its further starts are counted.
-constexpr std::uint32_t startsTooMany = 3; // Counted starts from which the guarantee is violated.
-constexpr Millis contactTime { 3'000 }; // Time without faults after which entries count as connected.
-constexpr Millis resend { 500 }; // Between a caller's retries.
+constexpr std::uint32_t minCrashesToFail = 2; // Worker crashes under a task from which the task may fail permanently.
+constexpr std::uint32_t crashesToCountStarts = 3; // Worker crashes caused by a task, after which its further starts are counted.
+constexpr std::uint32_t excessStartLimit = 3; // Counted starts from which the guarantee is violated.
+constexpr Millis reconnectTime { 3'000 }; // Time without faults after which entries count as connected.
+constexpr Millis resendInterval { 500 }; // Between a caller's retries.
 
 std::string nameOf(const std::string& job, const TaskId& task)
 {
@@ -57,7 +57,7 @@
     return lookUp(waves, text);
 }
 
-void JobWitness::breach(const std::string& rule, const std::string& detail)
+void GuaranteeChecker::breach(const std::string& rule, const std::string& detail)
 {
     const auto passed = std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()) - Millis(1'000'000);
     m_breaches.push_back({ rule, "at " + std::to_string(passed.count()) + " ms: " + detail });
@@ -65,14 +65,14 @@
         onBreach(m_breaches.back());
 }
 
-void JobWitness::noteSubmitted(const std::string& id, const JobSpec& spec, std::uint32_t mostAttempts)
+void GuaranteeChecker::noteSubmitted(const std::string& id, const JobSpec& spec, std::uint32_t mostAttempts)
 {
     Job& job = m_jobs[id];
     job.spec = spec;
     job.mostAttempts = mostAttempts;
 }
 
-void JobWitness::noteEvacuation(const std::string& dataHall, bool on)
+void GuaranteeChecker::noteEvacuation(const std::string& dataHall, bool on)
 {
     if (on)
         m_evacuatedSince.emplace(dataHall, m_clock.now());
@@ -80,28 +80,28 @@
         m_evacuatedSince.erase(dataHall);
 }
 
-void JobWitness::noteTrouble(MonotonicInstant end)
+void GuaranteeChecker::noteFaults(MonotonicInstant end)
 {
-    m_inTouchFrom = std::max(m_inTouchFrom, end + contactTime);
+    m_connectedFrom = std::max(m_connectedFrom, end + reconnectTime);
 }
 
-void JobWitness::noteCancelSent(const std::string& id)
+void GuaranteeChecker::noteCancelSent(const std::string& id)
 {
     m_jobs[id].cancelSent = true;
 }
 
-void JobWitness::noteCancelled(const std::string& id)
+void GuaranteeChecker::noteCancelled(const std::string& id)
 {
     m_jobs[id].cancelledAt = m_clock.now();
 }
 
-const JobSpec* JobWitness::job(const std::string& id) const
+const JobSpec* GuaranteeChecker::job(const std::string& id) const
 {
     const auto found = m_jobs.find(id);
     return found == m_jobs.end() ? nullptr : &found->second.spec;
 }
 
-bool JobWitness::hasSucceeded(const std::string& id) const
+bool GuaranteeChecker::hasSucceeded(const std::string& id) const
 {
     const JobSpec& spec = m_jobs.at(id).spec;
     for (std::uint32_t step = 0; step < spec.steps.size(); ++step) {
@@ -113,16 +113,16 @@
     return true;
 }
 
-std::string JobWitness::workerOf(const std::string& id, const TaskId& task) const
+std::string GuaranteeChecker::workerOf(const std::string& id, const TaskId& task) const
 {
     const auto found = m_running.find({ id, task });
     return found == m_running.end() || found->second.empty() ? std::string() : *found->second.begin();
 }
 
-void JobWitness::onStart(const std::string& worker, const StartOrder& order, bool late)
+void GuaranteeChecker::onStart(const std::string& worker, const StartOrder& command, bool late)
 {
     ++m_starts;
-    const Attempt& attempt = order.attempt;
+    const Attempt& attempt = command.attempt;
     const Task task { attempt.job, attempt.task };
     const auto found = m_jobs.find(attempt.job);
     if (found == m_jobs.end()) {
@@ -143,7 +143,7 @@
     }
     if (!step.longRunning && m_storedFailures[task].size() >= job.mostAttempts)
         breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts after its last attempt");
-    if (!late && m_clock.now() >= m_inTouchFrom && workersEndedBy(attempt.job, attempt.task) >= endsThatCount && ++m_startsSince[task] >= startsTooMany)
+    if (!late && m_clock.now() >= m_connectedFrom && workersCrashedBy(attempt.job, attempt.task) >= crashesToCountStarts && ++m_excessStarts[task] >= excessStartLimit)
         breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts repeatedly after it has crashed three workers");
     if (!late && job.cancelledAt && m_clock.now() - *job.cancelledAt > cancelBound)
         breach("UNASKED", nameOf(attempt.job, attempt.task) + " starts though its job was cancelled");
@@ -152,45 +152,45 @@
         if (std::find(labels.begin(), labels.end(), step.requiredLabel) == labels.end())
             breach("ROUTE", nameOf(attempt.job, attempt.task) + " starts on " + worker + " without its label");
     }
-    const auto evacuated = hallOf ? m_evacuatedSince.find(hallOf(worker)) : m_evacuatedSince.end();
-    if (!late && evacuated != m_evacuatedSince.end() && m_clock.now() - evacuated->second > evacuationBound && m_clock.now() >= m_inTouchFrom)
+    const auto evacuation = hallOf ? m_evacuatedSince.find(hallOf(worker)) : m_evacuatedSince.end();
+    if (!late && evacuation != m_evacuatedSince.end() && m_clock.now() - evacuation->second > evacuationBound && m_clock.now() >= m_connectedFrom)
         breach("EVAC", nameOf(attempt.job, attempt.task) + " starts on " + worker + " in a data hall that is being evacuated");
     m_running[task].insert(worker);
     checkQuota(attempt, step);
     m_awaySince.erase(task);
-    if (m_takenByOrder.contains(task))
-        m_takenByOrder[task] = m_clock.now() + atWorkAfter;
+    if (m_takenDownUntil.contains(task))
+        m_takenDownUntil[task] = m_clock.now() + readyDelay;
 }
 
-void JobWitness::noteQuota(const std::string& organisation, const Resources& quota)
+void GuaranteeChecker::noteQuota(const std::string& organisation, const Resources& quota)
 {
     std::vector<Quota>& quotas = m_quotas[organisation];
     if (!quotas.empty())
-        quotas.back().until = m_clock.now() + quotaInForce;
+        quotas.back().until = m_clock.now() + previousQuotaTime;
     quotas.push_back({ quota, std::nullopt });
 }
 
-void JobWitness::checkQuota(const Attempt& attempt, const StepSpec& step)
+void GuaranteeChecker::checkQuota(const Attempt& attempt, const StepSpec& step)
 {
     const auto organisation = m_organisations.find(attempt.job);
     const auto quotas = organisation == m_organisations.end() ? m_quotas.end() : m_quotas.find(organisation->second);
     if (quotas == m_quotas.end())
         return;
-    std::int64_t most = 0;
+    std::int64_t limit = 0;
     for (const Quota& quota : quotas->second)
-        most = std::max(most, !quota.until || *quota.until > m_clock.now() ? quota.most.milliCpu : 0);
+        limit = std::max(limit, !quota.until || *quota.until > m_clock.now() ? quota.limit.milliCpu : 0);
     std::int64_t used = 0;
     for (const auto& [task, workers] : m_running) {
         const auto owner = m_organisations.find(task.first);
         if (owner != m_organisations.end() && owner->second == organisation->second)
             used += m_jobs.at(task.first).spec.steps[task.second.step].needs.milliCpu * static_cast<std::int64_t>(workers.size());
     }
-    const auto allowed = static_cast<std::int64_t>(static_cast<double>(most) * (1 + quotaSlack)) + step.needs.milliCpu;
+    const auto allowed = static_cast<std::int64_t>(static_cast<double>(limit) * (1 + quotaSlack)) + step.needs.milliCpu;
     if (used > allowed)
-        breach("QUOTA", organisation->second + " has " + std::to_string(used) + " milli-cores running, its quota is " + std::to_string(most) + " milli-cores");
+        breach("QUOTA", organisation->second + " has " + std::to_string(used) + " milli-cores running, its quota is " + std::to_string(limit) + " milli-cores");
 }
 
-void JobWitness::leave(const std::string& worker, const Attempt& attempt)
+void GuaranteeChecker::removeRunning(const std::string& worker, const Attempt& attempt)
 {
     std::set<std::string>& running = m_running[{ attempt.job, attempt.task }];
     running.erase(worker);
@@ -198,7 +198,7 @@
         m_awaySince[{ attempt.job, attempt.task }] = m_clock.now();
 }
 
-void JobWitness::checkBudget(const Attempt& attempt)
+void GuaranteeChecker::checkBudget(const Attempt& attempt)
 {
     const auto found = m_jobs.find(attempt.job);
     if (found == m_jobs.end() || found->second.cancelSent)
@@ -209,33 +209,33 @@
     std::uint32_t away = 0;
     for (std::uint32_t index = 0; index < step.count; ++index) {
         const Task other { attempt.job, { attempt.task.occurrence, attempt.task.step, index } };
-        const auto taken = m_takenByOrder.find(other);
+        const auto taken = m_takenDownUntil.find(other);
         const auto gone = m_awaySince.find(other);
-        const bool missed = gone != m_awaySince.end() && m_clock.now() - gone->second >= noticeTime;
-        const bool takenAway = taken != m_takenByOrder.end() && taken->second > m_clock.now();
-        if (index != attempt.task.index && (missed || takenAway))
+        const bool isMissed = gone != m_awaySince.end() && m_clock.now() - gone->second >= absenceThreshold;
+        const bool isTakenDown = taken != m_takenDownUntil.end() && taken->second > m_clock.now();
+        if (index != attempt.task.index && (isMissed || isTakenDown))
             ++away;
     }
     if (away >= step.disruptionBudget)
         breach("AVAIL", nameOf(attempt.job, attempt.task) + " is taken down while " + std::to_string(away) + " others are away");
 }
 
-void JobWitness::noteDeparture(const Attempt& attempt, const Departure& departure)
+void GuaranteeChecker::noteDeparture(const Attempt& attempt, const Departure& departure)
 {
-    const auto taken = m_takenByOrder.find({ attempt.job, attempt.task });
-    if (!departure.byOrder) {
+    const auto taken = m_takenDownUntil.find({ attempt.job, attempt.task });
+    if (!departure.byCommand) {
         // The task has become ready since the command, so that the command no longer explains its absence.
-        if (taken != m_takenByOrder.end() && taken->second <= m_clock.now())
-            m_takenByOrder.erase(taken);
+        if (taken != m_takenDownUntil.end() && taken->second <= m_clock.now())
+            m_takenDownUntil.erase(taken);
         return;
     }
-    if (departure.wasAtWork)
+    if (departure.wasReady)
         checkBudget(attempt);
-    m_takenByOrder[{ attempt.job, attempt.task }] = MonotonicInstant::max();
+    m_takenDownUntil[{ attempt.job, attempt.task }] = MonotonicInstant::max();
 }
 
 /// The success of one gang member counts for all members.
-void JobWitness::noteSuccess(const Attempt& attempt)
+void GuaranteeChecker::noteSuccess(const Attempt& attempt)
 {
     m_succeeded.insert({ attempt.job, attempt.task });
     const JobSpec* spec = job(attempt.job);
@@ -245,7 +245,7 @@
         m_succeeded.insert({ attempt.job, { attempt.task.occurrence, attempt.task.step, index } });
 }
 
-void JobWitness::noteFailure(const Attempt& attempt)
+void GuaranteeChecker::noteFailure(const Attempt& attempt)
 {
     const JobSpec* spec = job(attempt.job);
     if (!spec || spec->steps[attempt.task.step].longRunning)
@@ -254,9 +254,9 @@
     m_failures[{ attempt.job, { attempt.task.occurrence, attempt.task.step, index } }].insert(attempt.number);
 }
 
-void JobWitness::onEnd(const std::string& worker, const Attempt& attempt, AttemptEnd end, const Departure& departure)
+void GuaranteeChecker::onEnd(const std::string& worker, const Attempt& attempt, AttemptEnd end, const Departure& departure)
 {
-    leave(worker, attempt);
+    removeRunning(worker, attempt);
     if (end == AttemptEnd::Succeeded)
         noteSuccess(attempt);
     if (end == AttemptEnd::Failed)
@@ -264,42 +264,42 @@
     noteDeparture(attempt, departure);
 }
 
-void JobWitness::onDead(const std::string& worker, const Attempt& attempt, const Departure& departure)
+void GuaranteeChecker::onWorkerFailed(const std::string& worker, const Attempt& attempt, const Departure& departure)
 {
-    leave(worker, attempt);
+    removeRunning(worker, attempt);
     noteDeparture(attempt, departure);
-    if (!departure.byOrder)
-        ++m_workersCrashed[{ attempt.job, attempt.task }];
+    if (!departure.byCommand)
+        ++m_crashesUnder[{ attempt.job, attempt.task }];
 }
 
-void JobWitness::onAct(const std::string& instance, const FleetHolder& holder)
+void GuaranteeChecker::onAct(const std::string& instance, const FleetHolder& holder)
 {
     const auto last = m_lastAct.find(instance);
     if (last != m_lastAct.end()) {
         const auto& [epoch, at] = last->second;
         if (holder.epoch < epoch)
             breach("ONE", instance + " accepts an act of an older holder");
-        else if (holder.epoch > epoch && m_clock.now() - at < holderTime)
+        else if (holder.epoch > epoch && m_clock.now() - at < minHolderInterval)
             breach("ONE", instance + " accepts acts of two holders within the min time");
     }
     m_lastAct[instance] = { holder.epoch, m_clock.now() };
 }
 
-void JobWitness::noteWave(const WaveRequest& wave)
+void GuaranteeChecker::noteWave(const WaveRequest& wave)
 {
-    m_mostAtOnce[wave.number] = wave.mostAtOnce;
+    m_maxConcurrent[wave.number] = wave.mostAtOnce;
 }
 
-void JobWitness::onMaintenance(const std::string& instance, std::uint64_t wave, Millis time)
+void GuaranteeChecker::onMaintenance(const std::string& instance, std::uint64_t wave, Millis time)
 {
     std::vector<MonotonicInstant>& backAt = m_backAt[wave];
     std::erase_if(backAt, [this](MonotonicInstant back) { return back <= m_clock.now(); });
-    if (backAt.size() >= m_mostAtOnce[wave])
+    if (backAt.size() >= m_maxConcurrent[wave])
         breach("LIMIT", instance + " is taken down beside " + std::to_string(backAt.size()) + " others of wave " + std::to_string(wave));
     backAt.push_back(m_clock.now() + time);
 }
 
-void JobWitness::onStored(const std::string&, const EndedAttempt& ended)
+void GuaranteeChecker::onStored(const std::string&, const EndedAttempt& ended)
 {
     const Task task { ended.attempt.job, ended.attempt.task };
     if (ended.end == AttemptEnd::Succeeded)
@@ -308,26 +308,26 @@
         m_storedFailures[task].insert(ended.attempt.number);
 }
 
-void JobWitness::onWorkerEnded(const std::string&, const Attempt& attempt)
+void GuaranteeChecker::onWorkerCrashed(const std::string&, const Attempt& attempt)
 {
-    ++m_workersEnded[{ attempt.job, attempt.task }];
+    ++m_crashesCaused[{ attempt.job, attempt.task }];
 }
 
-std::uint32_t JobWitness::workersEndedBy(const std::string& id, const TaskId& task) const
+std::uint32_t GuaranteeChecker::workersCrashedBy(const std::string& id, const TaskId& task) const
 {
-    const auto found = m_workersEnded.find({ id, task });
-    return found == m_workersEnded.end() ? 0 : found->second;
+    const auto found = m_crashesCaused.find({ id, task });
+    return found == m_crashesCaused.end() ? 0 : found->second;
 }
 
-bool JobWitness::mayHaveFailed(const std::string& id) const
+bool GuaranteeChecker::mayHaveFailed(const std::string& id) const
 {
     const Job& job = m_jobs.at(id);
     const auto isOfJob = [&](const auto& entry) { return entry.first.first == id; };
     return std::any_of(m_failures.begin(), m_failures.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second.size() >= job.mostAttempts; })
-        || std::any_of(m_workersCrashed.begin(), m_workersCrashed.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second >= endsToGiveUp; });
+        || std::any_of(m_crashesUnder.begin(), m_crashesUnder.end(), [&](const auto& entry) { return isOfJob(entry) && entry.second >= minCrashesToFail; });
 }
 
-void JobWitness::onOverload(const std::string& worker, const Attempt& attempt)
+void GuaranteeChecker::onOverload(const std::string& worker, const Attempt& attempt)
 {
     breach("LIMIT", nameOf(attempt.job, attempt.task) + " starts on " + worker + " beyond its capacity");
 }
@@ -337,24 +337,24 @@
     , store(clock, random)
     , workers(clock, random)
     , peers(clock, random)
-    , witness(clock)
+    , checker(clock)
     , m_log({ .discard = std::getenv("LANEMOOR_MODEL_LOG") == nullptr, .queueLines = 1'000'000, .decisionsPerSecond = 1'000'000 })
     , m_entries(entries)
 {
-    workers.witness = &witness;
+    workers.checker = &checker;
     workers.cuts = &peers.cuts;
-    witness.onBreach = [this](const Breach& breach) { m_log.change("breach", { { "rule", breach.rule }, { "detail", breach.detail } }); };
-    witness.labelsOf = [this](const std::string& worker) {
+    checker.onBreach = [this](const Breach& breach) { m_log.change("breach", { { "rule", breach.rule }, { "detail", breach.detail } }); };
+    checker.labelsOf = [this](const std::string& worker) {
         const WorkerModel* model = workers.find(worker);
         return model ? model->entry.labels : std::vector<std::string> {};
     };
-    witness.hallOf = [this](const std::string& worker) {
+    checker.hallOf = [this](const std::string& worker) {
         const WorkerModel* model = workers.find(worker);
         return model ? model->entry.dataHall : std::string();
     };
     workers.runTimes = [](const Attempt&) { return Millis(500); };
     workers.stepOf = [this](const Attempt& attempt) {
-        const JobSpec* job = witness.job(attempt.job);
+        const JobSpec* job = checker.job(attempt.job);
         return job ? job->steps[attempt.task.step] : StepSpec {};
     };
     workers.onEntry = [this](const WorkerModel& worker) {
@@ -413,7 +413,7 @@
         return;
     entry.port->close(silently);
     entry.process->kill();
-    m_remains.push_back({ std::move(entry.process), std::move(entry.storeClient), std::move(entry.workerClient), std::move(entry.fleetClient), std::move(entry.port), std::move(entry.service) });
+    m_killed.push_back({ std::move(entry.process), std::move(entry.storeClient), std::move(entry.workerClient), std::move(entry.fleetClient), std::move(entry.port), std::move(entry.service) });
 }
 
 void JobCluster::freeze(std::size_t index)
@@ -430,13 +430,13 @@
 void JobCluster::cutFromStore(std::size_t index, bool cut)
 {
     if (m_entries[index].storeClient)
-        m_entries[index].storeClient->cutOff = cut;
+        m_entries[index].storeClient->partitioned = cut;
 }
 
 void JobCluster::cutWatches(std::size_t index, bool cut)
 {
     if (m_entries[index].storeClient)
-        m_entries[index].storeClient->watchesCutOff = cut;
+        m_entries[index].storeClient->watchesBlocked = cut;
 }
 
 void JobCluster::resetStoreCalls(std::size_t index, bool reset)
@@ -470,17 +470,17 @@
     store.put(documents.configurationKey(), text);
 }
 
-void JobCluster::askWave(const WaveRequest& wave)
+void JobCluster::requestWave(const WaveRequest& wave)
 {
     const std::string text = "wave-" + std::to_string(wave.number);
     documents.waves[text] = wave;
-    witness.noteWave(wave);
+    checker.noteWave(wave);
     store.put(documents.wavePrefix() + std::to_string(wave.number), text);
 }
 
 void JobCluster::evacuate(const std::string& dataHall, bool on)
 {
-    witness.noteEvacuation(dataHall, on);
+    checker.noteEvacuation(dataHall, on);
     const std::string key = documents.evacuationPrefix() + dataHall;
     if (on)
         store.put(key, "{}");
@@ -491,7 +491,7 @@
 void JobCluster::submit(std::size_t index, const std::string& queue, const std::string& id, const JobSpec& spec, const std::string& organisation)
 {
     const auto retry = [this, queue, id, spec, organisation] {
-        clock.after(resend, [this, queue, id, spec, organisation] {
+        clock.after(resendInterval, [this, queue, id, spec, organisation] {
             std::uniform_int_distribution<std::size_t> any(0, m_entries.size() - 1);
             submit(any(random), queue, id, spec, organisation);
         });
@@ -501,9 +501,9 @@
         return;
     }
     const QueueSettings* settings = m_entries[index].service->configuration()->queue(queue);
-    witness.noteSubmitted(id, spec, settings ? settings->mostAttempts : 1);
+    checker.noteSubmitted(id, spec, settings ? settings->mostAttempts : 1);
     if (!organisation.empty())
-        witness.noteOrganisation(id, organisation);
+        checker.noteOrganisation(id, organisation);
     const Caller caller { .queue = queue, .organisation = organisation, .isOpen = organisation.empty() };
     m_entries[index].service->submit(caller, id, spec, [this, id, retry](AcceptOutcome outcome) {
         if (outcome == AcceptOutcome::Accepted)
@@ -515,31 +515,31 @@
 
 void JobCluster::cancel(std::size_t index, const std::string& id)
 {
-    witness.noteCancelSent(id);
+    checker.noteCancelSent(id);
     m_entries[index].service->cancel(id, [this, id](LookupOutcome outcome) {
         if (outcome == LookupOutcome::Done)
-            witness.noteCancelled(id);
+            checker.noteCancelled(id);
     });
 }
 
 std::optional<JobStatus> JobCluster::status(std::size_t index, const std::string& id)
 {
-    constexpr Millis patience { 2'000 };
+    constexpr Millis answerTimeout { 2'000 };
     const auto answer = std::make_shared<std::optional<JobStatus>>();
     m_entries[index].service->status(id, [answer](LookupOutcome outcome, JobStatus status) {
         if (outcome == LookupOutcome::Done)
             *answer = status;
     });
-    waitFor(patience, [answer] { return answer->has_value(); });
+    waitFor(answerTimeout, [answer] { return answer->has_value(); });
     return *answer;
 }
 
 std::optional<std::uint64_t> JobCluster::pending(std::size_t index, const std::string& queue)
 {
-    constexpr Millis patience { 2'000 };
+    constexpr Millis answerTimeout { 2'000 };
     const auto answer = std::make_shared<std::optional<std::optional<std::uint64_t>>>();
     m_entries[index].service->pending(queue, [answer](std::optional<std::uint64_t> count) { *answer = count; });
-    waitFor(patience, [answer] { return answer->has_value(); });
+    waitFor(answerTimeout, [answer] { return answer->has_value(); });
     return answer->value_or(std::nullopt);
 }
 
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -42,9 +42,9 @@
 };
 
 /// \brief Observes workers and callers and checks the guarantees of the job service.
-class JobWitness final : public WorkerWitness {
+class GuaranteeChecker final : public WorkerObserver {
 public:
-    explicit JobWitness(const SimClock& clock)
+    explicit GuaranteeChecker(const SimClock& clock)
         : m_clock(clock)
     {
     }
@@ -61,19 +61,19 @@
     void noteQuota(const std::string& organisation, const jobs::Resources& quota);
     /// \brief Records that entries or the store have faults until `end`. Time bounds that hold only for connected entries are not
     /// checked until the entries are connected again.
-    void noteTrouble(MonotonicInstant end);
+    void noteFaults(MonotonicInstant end);
     void noteCancelSent(const std::string& id);
     void noteCancelled(const std::string& id);
     void noteWave(const jobs::WaveRequest& wave);
     /// \brief Records an evacuation request for a data hall, or its withdrawal.
     void noteEvacuation(const std::string& dataHall, bool on);
-    void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) override;
+    void onStart(const std::string& worker, const jobs::StartOrder& command, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
-    void onDead(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
+    void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
     void onAct(const std::string& instance, const jobs::FleetHolder& holder) override;
     void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) override;
     void onStored(const std::string& worker, const jobs::EndedAttempt& ended) override;
-    void onWorkerEnded(const std::string& worker, const jobs::Attempt& attempt) override;
+    void onWorkerCrashed(const std::string& worker, const jobs::Attempt& attempt) override;
     void onOverload(const std::string& worker, const jobs::Attempt& attempt) override;
 
     [[nodiscard]] const std::vector<Breach>& breaches() const noexcept { return m_breaches; }
@@ -88,7 +88,7 @@
     [[nodiscard]] bool mayHaveFailed(const std::string& id) const;
 
     /// \returns The number of workers that a task has crashed.
-    [[nodiscard]] std::uint32_t workersEndedBy(const std::string& id, const jobs::TaskId& task) const;
+    [[nodiscard]] std::uint32_t workersCrashedBy(const std::string& id, const jobs::TaskId& task) const;
 
     /// \returns The worker that runs a task; empty if none does.
     [[nodiscard]] std::string workerOf(const std::string& id, const jobs::TaskId& task) const;
@@ -108,7 +108,7 @@
     void breach(const std::string& rule, const std::string& detail);
     void noteSuccess(const jobs::Attempt& attempt);
     void noteFailure(const jobs::Attempt& attempt);
-    void leave(const std::string& worker, const jobs::Attempt& attempt);
+    void removeRunning(const std::string& worker, const jobs::Attempt& attempt);
     void noteDeparture(const jobs::Attempt& attempt, const Departure& departure);
     void checkBudget(const jobs::Attempt& attempt);
     void checkQuota(const jobs::Attempt& attempt, const jobs::StepSpec& step);
@@ -120,19 +120,19 @@
     std::set<Task> m_storedSuccess;
     std::map<Task, std::set<std::uint64_t>> m_storedFailures;
     std::map<Task, std::set<std::uint64_t>> m_failures; ///< Attempt numbers, by task; a gang's under its first task.
-    std::map<Task, std::uint32_t> m_workersEnded; ///< Workers crashed by the task.
-    std::map<Task, std::uint32_t> m_workersCrashed; ///< Workers that crashed under the task for any reason.
-    MonotonicInstant m_inTouchFrom;
-    std::map<Task, std::uint32_t> m_startsSince; ///< Starts of tasks that had already crashed as many workers as permitted.
-    std::map<Task, MonotonicInstant> m_takenByOrder; ///< Time until which a command accounts for the task's absence.
+    std::map<Task, std::uint32_t> m_crashesCaused; ///< Workers crashed by the task.
+    std::map<Task, std::uint32_t> m_crashesUnder; ///< Workers that crashed under the task for any reason.
+    MonotonicInstant m_connectedFrom;
+    std::map<Task, std::uint32_t> m_excessStarts; ///< Starts of tasks that had already crashed as many workers as permitted.
+    std::map<Task, MonotonicInstant> m_takenDownUntil; ///< Time until which a command accounts for the task's absence.
     std::map<std::string, std::pair<std::uint64_t, MonotonicInstant>> m_lastAct; ///< Epoch and time, by instance.
-    std::map<std::uint64_t, std::uint32_t> m_mostAtOnce; ///< By wave.
+    std::map<std::uint64_t, std::uint32_t> m_maxConcurrent; ///< By wave.
     std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Return times of the instances in maintenance, by wave.
     std::map<std::string, MonotonicInstant> m_evacuatedSince; ///< By data hall.
     std::map<Task, MonotonicInstant> m_awaySince; ///< Time since which a task runs on no worker.
     /// A quota and, once replaced, the time until which it still applies.
     struct Quota {
-        jobs::Resources most;
+        jobs::Resources limit;
         std::optional<MonotonicInstant> until;
     };
 
@@ -156,7 +156,7 @@
     WorkersModel workers;
     PeersModel peers;
     ModelDocuments documents;
-    JobWitness witness;
+    GuaranteeChecker checker;
     ///@}
 
     /// \name Entry instances
@@ -177,7 +177,7 @@
     void setStoreLink(std::size_t index, std::size_t bytesPerMs);
 
     /// \brief Sets the number of workers per core above which owners that start later have calls relayed; 0 for no relays.
-    void relayAt(double workersPerCore) { m_workersPerCore = workersPerCore; }
+    void setWorkersPerCore(double workersPerCore) { m_workersPerCore = workersPerCore; }
 
     /// \brief Sets the policies of entries that start later.
     void setPolicies(const jobs::Policies& policies) { m_policies = policies; }
@@ -202,7 +202,7 @@
     ///@{
     /// \param bytes Min size of the document.
     void configure(const jobs::ServiceConfiguration& configuration, std::size_t bytes = 0);
-    void askWave(const jobs::WaveRequest& wave);
+    void requestWave(const jobs::WaveRequest& wave);
     void evacuate(const std::string& dataHall, bool on = true);
 
     /// \brief Submits a job and retries at random entries until the job is accepted.
@@ -238,7 +238,7 @@
     };
 
     /// Components of a killed entry, kept because pending events refer to them.
-    struct Remains {
+    struct KilledEntry {
         std::unique_ptr<SimProcess> process;
         std::unique_ptr<StoreClient> storeClient;
         std::unique_ptr<WorkerClient> workerClient;
@@ -252,7 +252,7 @@
     Millis m_evacuationTime { 0 };
     double m_workersPerCore = 0; ///< 0: owners call all workers directly.
     std::vector<Entry> m_entries;
-    std::vector<Remains> m_remains;
+    std::vector<KilledEntry> m_killed;
     std::set<std::string> m_accepted;
 };
 
--- a/standins/model/peers_model.cpp
+++ b/standins/model/peers_model.cpp
@@ -11,7 +11,7 @@
     std::array<std::weak_ptr<End>, 2> ends;
     std::array<std::string, 2> addresses;
     bool open = true;
-    bool silent = false;
+    bool unresponsive = false;
     bool refused = false; ///< No process listened at the address.
 };
 
@@ -30,11 +30,11 @@
 
     void send(std::string frame) override
     {
-        if (!m_wire->open || m_wire->silent || isCut() || !m_peers.carries(m_wire->addresses[m_side], m_wire->addresses[1 - m_side]))
+        if (!m_wire->open || m_wire->unresponsive || isCut() || !m_peers.carries(m_wire->addresses[m_side], m_wire->addresses[1 - m_side]))
             return;
-        m_peers.m_clock.after(m_peers.trouble.delay, [wire = m_wire, side = 1 - m_side, frame = std::move(frame)] {
+        m_peers.m_clock.after(m_peers.faults.delay, [wire = m_wire, side = 1 - m_side, frame = std::move(frame)] {
             const auto other = wire->ends[side].lock();
-            if (other && wire->open && !wire->silent)
+            if (other && wire->open && !wire->unresponsive)
                 other->received(frame);
         });
     }
@@ -44,7 +44,7 @@
     void close() override
     {
         *m_observer = {};
-        if (!std::exchange(m_wire->open, false) || m_wire->silent || isCut() || !m_peers.carries(m_wire->addresses[m_side], m_wire->addresses[1 - m_side]))
+        if (!std::exchange(m_wire->open, false) || m_wire->unresponsive || isCut() || !m_peers.carries(m_wire->addresses[m_side], m_wire->addresses[1 - m_side]))
             return;
         m_peers.endLater(m_wire, 1 - m_side);
     }
@@ -52,8 +52,8 @@
     void received(const std::string& frame)
     {
         m_process.deliver<std::string>([observer = m_observer](const std::string& text) {
-            if (const auto hear = observer->received)
-                hear(text);
+            if (const auto receive = observer->received)
+                receive(text);
         })(frame);
     }
 
@@ -69,7 +69,7 @@
 private:
     [[nodiscard]] bool isCut() const
     {
-        const std::set<std::string>& cut = m_peers.trouble.cutOff;
+        const std::set<std::string>& cut = m_peers.faults.partitioned;
         return std::any_of(m_wire->addresses.begin(), m_wire->addresses.end(), [&](const std::string& address) { return cut.contains(address); });
     }
 
@@ -80,7 +80,7 @@
     std::shared_ptr<jobs::PeerLinkObserver> m_observer = std::make_shared<jobs::PeerLinkObserver>();
 };
 
-void PeersModel::note(const std::shared_ptr<Wire>& wire)
+void PeersModel::track(const std::shared_ptr<Wire>& wire)
 {
     std::erase_if(m_wires, [](const std::weak_ptr<Wire>& known) { return known.expired(); });
     m_wires.push_back(wire);
@@ -95,7 +95,7 @@
 
 void PeersModel::endLater(const std::shared_ptr<Wire>& wire, std::size_t side)
 {
-    m_clock.after(trouble.delay, [wire, side] {
+    m_clock.after(faults.delay, [wire, side] {
         if (const auto end = wire->ends[side].lock())
             end->ended();
     });
@@ -116,7 +116,7 @@
 {
     for (const std::weak_ptr<Wire>& known : m_wires) {
         if (const auto wire = known.lock())
-            wire->silent = true;
+            wire->unresponsive = true;
     }
 }
 
@@ -147,14 +147,14 @@
     wire->addresses = { m_address, address };
     wire->ends[0] = here;
     const auto there = m_peers.m_ports.find(address);
-    const std::set<std::string>& cut = m_peers.trouble.cutOff;
+    const std::set<std::string>& cut = m_peers.faults.partitioned;
     const bool isCut = !m_peers.carries(m_address, address) || !m_peers.carries(address, m_address);
     if (isCut || cut.contains(m_address) || cut.contains(address)) {
-        wire->silent = true;
+        wire->unresponsive = true;
         return here;
     }
-    if (there != m_peers.m_ports.end() && there->second->m_isDark) {
-        wire->silent = true;
+    if (there != m_peers.m_ports.end() && there->second->m_isPoweredOff) {
+        wire->unresponsive = true;
         return here;
     }
     if (there == m_peers.m_ports.end() || !there->second->m_accepted) {
@@ -166,8 +166,8 @@
     PeerPort& port = *there->second;
     const auto far = std::make_shared<PeersModel::End>(m_peers, port.m_process, wire, 1);
     wire->ends[1] = far;
-    wire->silent = std::bernoulli_distribution(m_peers.trouble.silenced)(m_peers.m_random);
-    m_peers.note(wire);
+    wire->unresponsive = std::bernoulli_distribution(m_peers.faults.silentShare)(m_peers.m_random);
+    m_peers.track(wire);
     port.m_process.deliver<bool>([accepted = port.m_accepted, far](bool) { accepted(far); })(true);
     return here;
 }
@@ -176,13 +176,13 @@
 {
     m_accepted = nullptr;
     m_isClosed = true;
-    m_isDark = silently;
+    m_isPoweredOff = silently;
     for (const std::weak_ptr<PeersModel::Wire>& known : m_peers.m_wires) {
         const auto wire = known.lock();
         if (!wire || (wire->addresses[0] != m_address && wire->addresses[1] != m_address))
             continue;
         if (silently) {
-            wire->silent = true;
+            wire->unresponsive = true;
             continue;
         }
         if (!std::exchange(wire->open, false))
--- a/standins/model/peers_model.h
+++ b/standins/model/peers_model.h
@@ -18,9 +18,9 @@
 class PeerPort;
 
 /// Faults of the links.
-struct PeersTrouble {
-    std::set<std::string> cutOff; ///< Addresses whose messages are dropped silently in both directions.
-    double silenced = 0; ///< Share of new links that drop all messages silently.
+struct PeerFaults {
+    std::set<std::string> partitioned; ///< Addresses whose messages are dropped silently in both directions.
+    double silentShare = 0; ///< Share of new links that drop all messages silently.
     Millis delay { 1 }; ///< One-way latency.
 };
 
@@ -33,7 +33,7 @@
     {
     }
 
-    PeersTrouble trouble;
+    PeerFaults faults;
     HallCuts cuts; ///< Between data halls.
 
     /// \brief Sets the data hall of a process. Cuts don't affect a process without one.
@@ -50,7 +50,7 @@
     struct Wire;
     class End;
 
-    void note(const std::shared_ptr<Wire>& wire);
+    void track(const std::shared_ptr<Wire>& wire);
     [[nodiscard]] bool carries(const std::string& from, const std::string& to) const;
     void endLater(const std::shared_ptr<Wire>& wire, std::size_t side);
 
@@ -83,7 +83,7 @@
     std::string m_address;
     std::function<void(std::shared_ptr<jobs::PeerLink>)> m_accepted;
     bool m_isClosed = false; ///< The process has ended.
-    bool m_isDark = false; ///< The process has ended and its machine does not respond to connection attempts.
+    bool m_isPoweredOff = false; ///< The process has ended and its machine does not respond to connection attempts.
 };
 
 } // namespace lanemoor::model
--- a/standins/model/sim_loop.cpp
+++ b/standins/model/sim_loop.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Unix time in ms at the epoch of the simulated clock.
-constexpr std::int64_t firstTimeOfDay = 1'800'000'000'000;
+constexpr std::int64_t simulationStart = 1'800'000'000'000;
 
 } // namespace
 
 TimerId SimClock::at(MonotonicInstant when, std::function<void()> callback)
 {
-    const TimerId id = ++m_last;
+    const TimerId id = ++m_lastTimer;
     const MonotonicInstant due = std::max(when, m_now);
     m_events.emplace(Key { due, id }, std::move(callback));
     m_times[id] = due;
@@ -48,7 +48,7 @@
 
 Instant SimProcess::timeOfDay() const
 {
-    return Instant(Millis(firstTimeOfDay) + std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()));
+    return Instant(Millis(simulationStart) + std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()));
 }
 
 TimerId SimProcess::callAt(MonotonicInstant when, std::function<void()> callback)
--- a/standins/model/sim_loop.h
+++ b/standins/model/sim_loop.h
@@ -39,7 +39,7 @@
     MonotonicInstant m_now { std::chrono::seconds(1'000) };
     std::map<Key, std::function<void()>> m_events;
     std::map<TimerId, MonotonicInstant> m_times;
-    TimerId m_last = 0;
+    TimerId m_lastTimer = 0;
 };
 
 /// \brief The event loop of one process. After `kill` no callback runs; while frozen, callbacks are deferred.
--- a/standins/model/store_model.cpp
+++ b/standins/model/store_model.cpp
@@ -9,7 +9,7 @@
 
 using namespace jobs;
 
-constexpr Millis callTime { 1'000 }; // Client timeout, equal to that of the adapters.
+constexpr Millis callTimeout { 1'000 }; // Client timeout, equal to that of the adapters.
 constexpr std::size_t pageSize = 500;
 
 bool hasPrefix(const std::string& key, const std::string& prefix)
@@ -17,7 +17,7 @@
     return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-constexpr std::size_t headBytes = 200; // Size of a response without its items.
+constexpr std::size_t responseOverheadBytes = 200; // Size of a response without its items.
 
 std::size_t bytesOf(const StoreItem& item)
 {
@@ -26,12 +26,12 @@
 
 std::size_t bytesOf(const ReadResult& result)
 {
-    return headBytes + bytesOf(result.item);
+    return responseOverheadBytes + bytesOf(result.item);
 }
 
 std::size_t bytesOf(const ItemsResult& result)
 {
-    std::size_t bytes = headBytes;
+    std::size_t bytes = responseOverheadBytes;
     for (const StoreItem& item : result.items)
         bytes += bytesOf(item);
     return bytes;
@@ -39,12 +39,12 @@
 
 std::size_t bytesOf(const CommitResult&)
 {
-    return headBytes;
+    return responseOverheadBytes;
 }
 
 std::size_t bytesOf(const LeaseResult&)
 {
-    return headBytes;
+    return responseOverheadBytes;
 }
 
 } // namespace
@@ -138,24 +138,24 @@
 
 void StoreModel::expire()
 {
-    constexpr Millis look { 100 }; // Interval at which leases are extended while they must not expire.
-    if (trouble.leasesWait) {
+    constexpr Millis leaseCheckInterval { 100 }; // Interval at which leases are extended while they must not expire.
+    if (faults.leasesPaused) {
         for (auto& [id, lease] : m_leases)
             lease.endsAt = m_clock.now() + lease.timeToLive;
-        if (!std::exchange(m_looksAgain, true)) {
-            m_clock.after(look, [this] {
-                m_looksAgain = false;
+        if (!std::exchange(m_hasLeaseCheck, true)) {
+            m_clock.after(leaseCheckInterval, [this] {
+                m_hasLeaseCheck = false;
                 expire();
             });
         }
         return;
     }
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, lease] : m_leases) {
         if (lease.endsAt <= m_clock.now())
-            over.push_back(id);
+            expired.push_back(id);
     }
-    for (const std::uint64_t id : over)
+    for (const std::uint64_t id : expired)
         endLease(id);
 }
 
@@ -183,7 +183,7 @@
         if (item.revision <= after || !hasPrefix(item.key, prefix))
             continue;
         // The next watch resumes after the last of these events. Events of one transaction are not split.
-        if (trouble.mostEvents > 0 && result.items.size() >= trouble.mostEvents && item.revision != result.items.back().revision) {
+        if (faults.maxEvents > 0 && result.items.size() >= faults.maxEvents && item.revision != result.items.back().revision) {
             result.storeRevision = result.items.back().revision;
             return result;
         }
@@ -194,7 +194,7 @@
 
 void StoreModel::wakeWatches()
 {
-    if (trouble.silent)
+    if (faults.unresponsive)
         return;
     for (auto watch = m_watches.begin(); watch != m_watches.end();) {
         ItemsResult result = eventsAfter(watch->second.prefix, watch->second.after);
@@ -203,7 +203,7 @@
             continue;
         }
         m_clock.cancel(watch->second.timeout);
-        m_clock.after(trouble.answerTime / 2, [done = watch->second.done, result = std::move(result)] { done(result); });
+        m_clock.after(faults.answerTime / 2, [done = watch->second.done, result = std::move(result)] { done(result); });
         watch = m_watches.erase(watch);
     }
 }
@@ -247,38 +247,38 @@
     ++m_store.m_calls;
     const std::function<void(Result)> answer = m_process.deliver<Result>(std::move(done));
     SimClock& clock = m_store.m_clock;
-    const StoreTrouble& trouble = m_store.trouble;
+    const StoreFaults& faults = m_store.faults;
     std::uniform_real_distribution<double> share(0, 1);
     if (resetting) {
         clock.after(Millis(1), [answer] { answer(Result {}); });
         return;
     }
-    if (cutOff || trouble.silent) {
-        clock.after(callTime, [answer] { answer(Result {}); });
+    if (partitioned || faults.unresponsive) {
+        clock.after(callTimeout, [answer] { answer(Result {}); });
         return;
     }
-    if (trouble.refusing) {
-        clock.after(trouble.answerTime, [answer] {
+    if (faults.refusing) {
+        clock.after(faults.answerTime, [answer] {
             Result refused;
             refused.outcome = StoreOutcome::NotDone;
             answer(refused);
         });
         return;
     }
-    if (writes && share(m_store.m_random) < trouble.lateWrites) {
+    if (writes && share(m_store.m_random) < faults.lateWrites) {
         std::uniform_int_distribution<int> pause(1'000, 6'000);
         clock.after(Millis(pause(m_store.m_random)), [act] { static_cast<void>(act()); });
-        clock.after(callTime, [answer] { answer(Result {}); });
+        clock.after(callTimeout, [answer] { answer(Result {}); });
         return;
     }
-    const bool lost = writes && share(m_store.m_random) < trouble.lostAnswers;
-    clock.after(trouble.answerTime / 2, [this, act, answer, lost, deadline, begun] {
+    const bool isAnswerLost = writes && share(m_store.m_random) < faults.lostAnswers;
+    clock.after(faults.answerTime / 2, [this, act, answer, isAnswerLost, deadline, begun] {
         m_store.expire();
         const Result result = act();
-        if (lost)
-            m_store.m_clock.after(callTime, [answer] { answer(Result {}); });
+        if (isAnswerLost)
+            m_store.m_clock.after(callTimeout, [answer] { answer(Result {}); });
         else
-            m_store.m_clock.after(m_store.trouble.answerTime / 2, [this, answer, result, deadline, begun] { transfer(result, deadline, answer, begun); });
+            m_store.m_clock.after(m_store.faults.answerTime / 2, [this, answer, result, deadline, begun] { transfer(result, deadline, answer, begun); });
     });
 }
 
@@ -292,25 +292,25 @@
                 return { .outcome = StoreOutcome::NotFound, .item = {}, .storeRevision = m_store.m_revision };
             return { .outcome = StoreOutcome::Done, .item = *item, .storeRevision = m_store.m_revision };
         },
-        std::move(done), callTime);
+        std::move(done), callTimeout);
 }
 
 void StoreClient::range(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done)
 {
-    list(prefix, afterKey, patience, std::move(done), nullptr);
+    fetchRange(prefix, afterKey, patience, std::move(done), nullptr);
 }
 
-void StoreClient::list(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
+void StoreClient::fetchRange(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
 {
-    if (m_store.trouble.lostPages > 0 && std::uniform_real_distribution<double>(0, 1)(m_store.m_random) < m_store.trouble.lostPages) {
+    if (m_store.faults.lostPages > 0 && std::uniform_real_distribution<double>(0, 1)(m_store.m_random) < m_store.faults.lostPages) {
         ++m_store.m_calls;
         m_store.m_clock.after(patience, [answer = m_process.deliver<ItemsResult>(std::move(done))] { answer({}); });
         return;
     }
-    const std::string& refused = m_store.trouble.refusedRanges;
+    const std::string& refused = m_store.faults.refusedRanges;
     if (!refused.empty() && hasPrefix(prefix, refused)) {
         ++m_store.m_calls;
-        m_store.m_clock.after(m_store.trouble.answerTime, [answer = m_process.deliver<ItemsResult>(std::move(done))] { answer({ .outcome = StoreOutcome::NotDone, .items = {} }); });
+        m_store.m_clock.after(m_store.faults.answerTime, [answer = m_process.deliver<ItemsResult>(std::move(done))] { answer({ .outcome = StoreOutcome::NotDone, .items = {} }); });
         return;
     }
     call<ItemsResult>(
@@ -333,7 +333,7 @@
 
 void StoreClient::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
 {
-    await(prefix, after, wait, std::move(done), nullptr);
+    awaitEvents(prefix, after, wait, std::move(done), nullptr);
 }
 
 void StoreClient::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
@@ -348,36 +348,36 @@
         return;
     }
     if (query.after == 0)
-        list(query.key, {}, query.patience, std::move(done), query.begun);
+        fetchRange(query.key, {}, query.patience, std::move(done), query.begun);
     else
-        await(query.key, query.after, query.wait, std::move(done), query.begun);
+        awaitEvents(query.key, query.after, query.wait, std::move(done), query.begun);
 }
 
-void StoreClient::await(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
+void StoreClient::awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
 {
     ++m_store.m_calls;
     SimClock& clock = m_store.m_clock;
     const std::function<void(ItemsResult)> delivered = m_process.deliver<ItemsResult>(std::move(done));
-    const std::function<void(ItemsResult)> answer = [this, delivered, deadline = clock.now() + wait + callTime, begun](const ItemsResult& result) {
-        if (cutOff)
+    const std::function<void(ItemsResult)> answer = [this, delivered, deadline = clock.now() + wait + callTimeout, begun](const ItemsResult& result) {
+        if (partitioned)
             m_store.m_clock.at(deadline, [delivered] { delivered({}); });
         else
             transfer(result, deadline, delivered, begun);
     };
-    if (resetting || cutOff || watchesCutOff || m_store.trouble.silent || m_store.trouble.refusing) {
-        clock.after(callTime, [delivered] { delivered({}); });
+    if (resetting || partitioned || watchesBlocked || m_store.faults.unresponsive || m_store.faults.refusing) {
+        clock.after(callTimeout, [delivered] { delivered({}); });
         return;
     }
     m_store.expire();
     ItemsResult now = m_store.eventsAfter(prefix, after);
     if (now.outcome != StoreOutcome::Done || !now.items.empty()) {
-        clock.after(m_store.trouble.answerTime, [answer, now] { answer(now); });
+        clock.after(m_store.faults.answerTime, [answer, now] { answer(now); });
         return;
     }
     const std::uint64_t id = ++m_store.m_lastWatch;
     const TimerId timeout = clock.after(wait, [this, id, prefix, after, answer] {
         m_store.m_watches.erase(id);
-        if (m_store.trouble.silent || cutOff)
+        if (m_store.faults.unresponsive || partitioned)
             answer({});
         else
             answer(m_store.eventsAfter(prefix, after));
@@ -388,7 +388,7 @@
 void StoreClient::commit(const Transaction& transaction, std::function<void(CommitResult)> done)
 {
     call<CommitResult>(
-        true, [this, transaction] { return m_store.apply(transaction); }, std::move(done), callTime);
+        true, [this, transaction] { return m_store.apply(transaction); }, std::move(done), callTimeout);
 }
 
 void StoreClient::grantLease(Millis timeToLive, std::function<void(LeaseResult)> done)
@@ -401,7 +401,7 @@
             m_store.m_clock.after(timeToLive + Millis(1), [this] { m_store.expire(); });
             return { .outcome = StoreOutcome::Done, .lease = id, .timeToLive = timeToLive };
         },
-        std::move(done), callTime);
+        std::move(done), callTimeout);
 }
 
 void StoreClient::renewLease(std::uint64_t lease, std::function<void(LeaseResult)> done)
@@ -416,7 +416,7 @@
             m_store.m_clock.after(found->second.timeToLive + Millis(1), [this] { m_store.expire(); });
             return { .outcome = StoreOutcome::Done, .lease = lease, .timeToLive = found->second.timeToLive };
         },
-        std::move(done), callTime);
+        std::move(done), callTimeout);
 }
 
 void StoreClient::endLease(std::uint64_t lease, std::function<void(LeaseResult)> done)
@@ -427,7 +427,7 @@
             m_store.endLease(lease);
             return { .outcome = StoreOutcome::Done, .lease = lease };
         },
-        std::move(done), callTime);
+        std::move(done), callTimeout);
 }
 
 } // namespace lanemoor::model
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -14,16 +14,16 @@
 namespace lanemoor::model {
 
 /// Faults of the store. Shares are probabilities per call.
-struct StoreTrouble {
-    bool leasesWait = false; ///< No lease expires.
-    bool silent = false; ///< Calls have no effect and get no response.
+struct StoreFaults {
+    bool leasesPaused = false; ///< No lease expires.
+    bool unresponsive = false; ///< Calls have no effect and get no response.
     bool refusing = false; ///< Calls are refused.
     double lostAnswers = 0; ///< Share of writes that take effect without a response.
     double lateWrites = 0; ///< Share of writes that take effect seconds later, without a response.
     Millis answerTime { 4 };
     double lostPages = 0; ///< Share of range pages without a response.
     std::string refusedRanges; ///< Range reads of keys with this prefix are refused; empty for none.
-    std::size_t mostEvents = 0; ///< Max events per watch response; 0 for unlimited.
+    std::size_t maxEvents = 0; ///< Max events per watch response; 0 for unlimited.
 };
 
 /// \brief A linearizable store with revisions, leases, watches and a history that can be compacted.
@@ -31,7 +31,7 @@
 public:
     StoreModel(SimClock& clock, std::mt19937_64& random);
 
-    StoreTrouble trouble;
+    StoreFaults faults;
 
     /// \name Direct access, for operators, workers and tests
     ///@{
@@ -81,7 +81,7 @@
     std::uint64_t m_lastLease = 0;
     std::uint64_t m_lastWatch = 0;
     std::uint64_t m_calls = 0;
-    bool m_looksAgain = false; ///< A lease check is scheduled.
+    bool m_hasLeaseCheck = false; ///< A lease check is scheduled.
     std::map<std::uint64_t, Lease> m_leases;
     std::map<std::uint64_t, Watch> m_watches;
 };
@@ -96,8 +96,8 @@
     }
 
     bool resetting = false; ///< Calls are lost in transit and fail at once with an unknown outcome.
-    bool watchesCutOff = false; ///< Watches get no response; other calls do.
-    bool cutOff = false; ///< The process is partitioned from the store.
+    bool watchesBlocked = false; ///< Watches get no response; other calls do.
+    bool partitioned = false; ///< The process is partitioned from the store.
     /// Bandwidth for responses, which are transferred one after the other; 0 for unlimited.
     std::size_t linkBytesPerMs = 0;
 
@@ -114,8 +114,8 @@
     template <typename Result>
     void call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis patience, const std::function<bool()>& begun = nullptr);
 
-    void list(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
-    void await(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
+    void fetchRange(const std::string& prefix, const std::string& afterKey, Millis patience, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
+    void awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
 
     /// Transfers a response over the link. A response that has not begun to arrive by `deadline` is lost, because the adapters
     /// time the call out.
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -21,20 +21,20 @@
 namespace lanemoor::model {
 
 /// Faults of a worker.
-struct WorkerTrouble {
-    bool dark = false; ///< Unreachable because of a crash; no command arrives.
-    bool cutOff = false; ///< Partitioned: unreachable, but its tasks continue.
+struct WorkerFaults {
+    bool crashed = false; ///< Unreachable because of a crash; no command arrives.
+    bool partitioned = false; ///< Partitioned: unreachable, but its tasks continue.
     double lostAnswers = 0; ///< Share of commands that take effect without a response.
-    double lostOrders = 0; ///< Share of commands without effect and response.
-    double lateOrders = 0; ///< Share of commands that take effect seconds later, without a response.
+    double lostCommands = 0; ///< Share of commands without effect and response.
+    double lateCommands = 0; ///< Share of commands that take effect seconds later, without a response.
     double lostRenewals = 0; ///< Share of renewals without effect and response.
     double failing = 0; ///< Share of tasks that fail.
-    int slowBy = 1; ///< Factor on the run time of tasks.
-    bool hanging = false; ///< Tasks are stalled.
+    int slowdown = 1; ///< Factor on the run time of tasks.
+    bool stalled = false; ///< Tasks are stalled.
 };
 
 /// Faults of the fleet interface.
-struct FleetTrouble {
+struct FleetFaults {
     double lostAnswers = 0; ///< Share of acts that take effect without a response.
     double dropped = 0; ///< Share of acts without effect and response.
 };
@@ -44,23 +44,23 @@
 
 /// Circumstances of an attempt's end.
 struct Departure {
-    bool byOrder = false; ///< Ended by a stop, a move or a maintenance.
-    bool wasAtWork = false; ///< A long-running task that was ready.
+    bool byCommand = false; ///< Ended by a stop, a move or a maintenance.
+    bool wasReady = false; ///< A long-running task that was ready.
 };
 
 /// Receives the events on workers and instances, for checks from outside.
-class WorkerWitness {
+class WorkerObserver {
 public:
-    virtual ~WorkerWitness() = default;
+    virtual ~WorkerObserver() = default;
     /// \param late The command arrived long after it was sent.
-    virtual void onStart(const std::string& worker, const jobs::StartOrder& order, bool late) = 0;
+    virtual void onStart(const std::string& worker, const jobs::StartOrder& command, bool late) = 0;
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
-    virtual void onDead(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
+    virtual void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
     virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
     virtual void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) = 0;
     virtual void onStored(const std::string& worker, const jobs::EndedAttempt& ended) = 0;
     /// \brief A poison task has crashed its worker.
-    virtual void onWorkerEnded(const std::string& worker, const jobs::Attempt& attempt) = 0;
+    virtual void onWorkerCrashed(const std::string& worker, const jobs::Attempt& attempt) = 0;
     /// \brief A start exceeds the capacity of a worker that does not enforce it.
     virtual void onOverload(const std::string& worker, const jobs::Attempt& attempt) = 0;
 };
@@ -79,19 +79,19 @@
     };
 
     jobs::WorkerEntry entry;
-    std::uint64_t life = 0; ///< Unique over all incarnations, also those with the same id.
+    std::uint64_t incarnation = 0; ///< Unique over all incarnations, also those with the same id.
     Millis clockBehind { 0 }; ///< The worker's clock is behind the simulated one by this much.
-    jobs::Resources largestOfLate; ///< Capacity, or the previous one while entries may not have received a reduction yet.
+    jobs::Resources recentMaxCapacity; ///< Capacity, or the previous one while entries may not have received a reduction yet.
     std::string instance;
-    WorkerTrouble trouble;
+    WorkerFaults faults;
     bool alive = true;
     std::uint64_t epoch = 0;
     MonotonicInstant leaseUntil;
-    TimerId lapse = 0;
+    TimerId leaseTimer = 0;
     std::map<jobs::Attempt, Run> running;
     std::deque<jobs::EndedAttempt> ended;
     std::uint64_t lastEnd = 0;
-    std::uint64_t lapsedUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
+    std::uint64_t expiredUpTo = 0; ///< Ends up to this one precede a lease expiry; their acknowledgements don't count as stored.
     std::map<std::pair<std::string, jobs::TaskId>, std::uint64_t> settled; ///< Highest stopped or ended attempt number, by task.
     std::vector<std::function<void()>> waiting; ///< Long-polling renewals, answered when an attempt ends.
 };
@@ -102,19 +102,19 @@
     WorkersModel(SimClock& clock, std::mt19937_64& random);
 
     RunTimes runTimes;
-    bool saves = false; ///< Batch tasks save checkpoints from which their next attempts resume.
-    bool guards = true; ///< Workers refuse starts beyond their capacity.
+    bool savesCheckpoints = false; ///< Batch tasks save checkpoints from which their next attempts resume.
+    bool enforcesCapacity = true; ///< Workers refuse starts beyond their capacity.
     double farFactor = 2.0; ///< Factor on the run time of tasks outside their preferred rack.
     /// \returns The specification of an attempt's step, which a real worker has from the payload.
     std::function<jobs::StepSpec(const jobs::Attempt&)> stepOf;
     /// \returns Whether an attempt crashes its worker; null if no attempt does.
-    std::function<bool(const jobs::Attempt&)> endsWorker;
-    Millis endsWorkerAfter { 10 }; ///< Time from the start to the crash; 0 for a crash before the response.
-    Millis backAfterEnd { 2'500 }; ///< Time from a crash by a poison task until the instance is up again.
-    WorkerWitness* witness = nullptr;
+    std::function<bool(const jobs::Attempt&)> crashesWorker;
+    Millis crashesWorkerAfter { 10 }; ///< Time from the start to the crash; 0 for a crash before the response.
+    Millis returnAfterCrash { 2'500 }; ///< Time from a crash by a poison task until the instance is up again.
+    WorkerObserver* checker = nullptr;
     std::function<void(const WorkerModel&)> onEntry; ///< Writes a worker's entry to the store.
     std::function<void(const std::string& worker)> onGone; ///< Removes a worker's entry from the store.
-    FleetTrouble fleetTrouble;
+    FleetFaults fleetFaults;
     const HallCuts* cuts = nullptr; ///< Cuts between data halls; may be null.
     std::set<std::string> hidden; ///< Instances missing from the fleet list.
     std::set<std::string> unlisted; ///< Worker ids missing from the fleet list.
@@ -158,23 +158,23 @@
     friend class WorkerClient;
     friend class FleetClient;
 
-    jobs::OrderResult start(const std::string& worker, const jobs::StartOrder& order, bool late);
+    jobs::OrderResult start(const std::string& worker, const jobs::StartOrder& command, bool late);
     jobs::OrderResult stop(const std::string& worker, const jobs::Attempt& attempt, std::uint64_t epoch, bool late);
-    void beginLife(const std::string& instance);
+    void startIncarnation(const std::string& instance);
     /// Ends an incarnation and calls `begin` with its instance after `returnsAfter`.
     void endAndReturn(const std::string& worker, Millis returnsAfter, std::function<void(const std::string& instance)> begin);
-    void enter(const std::string& instance, const std::string& id, WorkerModel life);
-    void endLife(WorkerModel& worker, bool byOrder);
-    void endByTask(const std::string& worker, const jobs::Attempt& attempt);
+    void placeIncarnation(const std::string& instance, const std::string& id, WorkerModel model);
+    void endIncarnation(WorkerModel& worker, bool byCommand);
+    void crashByTask(const std::string& worker, const jobs::Attempt& attempt);
     void extendLease(WorkerModel& worker, std::int64_t until);
-    void endRun(WorkerModel& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, bool byOrder);
-    [[nodiscard]] bool isAtWork(const WorkerModel& worker, const WorkerModel::Run& run) const;
+    void endRun(WorkerModel& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, bool byCommand);
+    [[nodiscard]] bool isReady(const WorkerModel& worker, const WorkerModel::Run& run) const;
     [[nodiscard]] std::string checkpointOf(const WorkerModel::Run& run) const;
-    void lapse(const std::string& worker);
+    void expireLease(const std::string& worker);
     [[nodiscard]] std::int64_t clockOf(const WorkerModel& worker) const;
     [[nodiscard]] static MonotonicInstant instantOf(const WorkerModel& worker, std::int64_t clock);
-    [[nodiscard]] bool isLife(const std::string& worker, std::uint64_t life) const;
-    jobs::FleetOutcome take(const std::string& instance, const jobs::FleetHolder& holder, const std::string& pool, jobs::FleetState state, Millis time);
+    [[nodiscard]] bool isCurrentIncarnation(const std::string& worker, std::uint64_t incarnation) const;
+    jobs::FleetOutcome takeDown(const std::string& instance, const jobs::FleetHolder& holder, const std::string& pool, jobs::FleetState state, Millis time);
 
     SimClock& m_clock;
     std::mt19937_64& m_random;
@@ -182,7 +182,7 @@
     std::map<std::string, jobs::FleetInstance> m_instances;
     std::set<std::string> m_reserves;
     std::map<std::uint64_t, std::set<std::string>> m_maintained; ///< By wave.
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_lastIncarnation = 0;
     std::uint64_t m_dropped = 0;
 };
 
@@ -197,14 +197,14 @@
 
     std::string dataHall; ///< Data hall of the process; empty if cuts don't affect it.
 
-    void start(const jobs::WorkerLife& worker, const jobs::StartOrder& order, std::function<void(jobs::OrderResult)> done) override;
+    void start(const jobs::WorkerLife& worker, const jobs::StartOrder& command, std::function<void(jobs::OrderResult)> done) override;
     void stop(const jobs::WorkerLife& worker, const jobs::Attempt& attempt, std::uint64_t epoch, std::function<void(jobs::OrderResult)> done) override;
-    void renew(const jobs::WorkerLife& worker, const jobs::RenewOrder& order, std::function<void(jobs::RenewResult)> done) override;
+    void renew(const jobs::WorkerLife& worker, const jobs::RenewOrder& command, std::function<void(jobs::RenewResult)> done) override;
     void throttle(const jobs::WorkerLife& worker, const jobs::Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(jobs::OrderResult)> done) override;
     void forget(const jobs::WorkerLife& worker) override;
 
 private:
-    void order(const std::string& worker, const std::function<jobs::OrderResult(bool late)>& act, std::function<void(jobs::OrderResult)> done);
+    void sendCommand(const std::string& worker, const std::function<jobs::OrderResult(bool late)>& act, std::function<void(jobs::OrderResult)> done);
 
     /// \returns Whether a call to the worker arrives despite the cuts.
     [[nodiscard]] bool callArrives(const jobs::WorkerEntry& worker) const { return !m_workers.cuts || m_workers.cuts->carries(dataHall, worker.dataHall); }
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -50,7 +50,7 @@
             return;
         }
         m_store.setFaults({ json.value("storeAway", false), json.value("answersToLose", 0), std::chrono::milliseconds(json.value("delayMs", 0)) });
-        m_fleet.setListAway(json.value("listAway", false));
+        m_fleet.setListUnavailable(json.value("listAway", false));
         exchange.respond({ 204, {}, {} });
     }
 
--- a/standins/store_standin.cpp
+++ b/standins/store_standin.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view valuePrefix = "/v1/kv/";
 constexpr std::string_view leasePrefix = "/v1/leases/";
-constexpr std::size_t mostValueBytes = 1024 * 1024;
+constexpr std::size_t maxValueBytes = 1024 * 1024;
 
 HttpResponse versioned(unsigned status, std::uint64_t version, std::string body = {})
 {
@@ -55,7 +55,7 @@
         const std::lock_guard lock(m_mutex);
         ++m_calls;
         delay = m_faults.delay;
-        if (m_faults.away) {
+        if (m_faults.unavailable) {
             exchange.abort();
             return;
         }
@@ -81,9 +81,9 @@
     const std::uint64_t after = numberIn(target, "after");
     const std::chrono::milliseconds wait(numberIn(target, "waitMs"));
     std::unique_lock lock(m_mutex);
-    const auto newer = [&] { return m_faults.away || (m_values.count(key) > 0 && m_values[key].version > after); };
+    const auto newer = [&] { return m_faults.unavailable || (m_values.count(key) > 0 && m_values[key].version > after); };
     m_changed.wait_for(lock, wait, newer);
-    if (m_faults.away) {
+    if (m_faults.unavailable) {
         exchange.abort();
         return;
     }
@@ -98,7 +98,7 @@
 {
     const HttpRequest& request = exchange.request();
     const std::lock_guard lock(m_mutex);
-    if (request.body.size() > mostValueBytes) {
+    if (request.body.size() > maxValueBytes) {
         exchange.respond({ 413, {}, {} });
         return;
     }
--- a/standins/store_standin.h
+++ b/standins/store_standin.h
@@ -16,7 +16,7 @@
 
 /// Faults of the store.
 struct StoreFaults {
-    bool away = false; ///< Every call is aborted without response and effect.
+    bool unavailable = false; ///< Every call is aborted without response and effect.
     int answersToLose = 0; ///< Number of writes that take effect without a response.
     std::chrono::milliseconds delay { 0 }; ///< Delay of each call.
 };
--- a/tests/jobs/checkpoint_move_test.cpp
+++ b/tests/jobs/checkpoint_move_test.cpp
@@ -27,13 +27,13 @@
 
 /// Two data halls of one instance each, and a batch job that takes 20 s on the first of them.
 struct LongBatch : model::JobCluster {
-    explicit LongBatch(bool saves)
+    explicit LongBatch(bool savesCheckpoints)
         : model::JobCluster(1, 1)
     {
         workers.addReserve("off");
         workers.addInstance("m-0", "main", "r-0", { .milliCpu = 8'000, .memoryMb = 16'000 }, "a", "hall-a");
         workers.runTimes = [](const Attempt&) { return Millis(20'000); };
-        workers.saves = saves;
+        workers.savesCheckpoints = savesCheckpoints;
         configure(smallConfiguration());
         start(0);
         clock.runFor(Millis(1'000));
@@ -62,7 +62,7 @@
     CHECK(cluster.waitFor(Millis(3'000), [&] { return cluster.runningOn("m-0") == 0 && cluster.runningOn("m-1") == 2; }));
     // From the beginning they would take 20 s.
     CHECK(cluster.waitFor(Millis(16'000), [&] { return cluster.status(0, LongBatch::id) == JobStatus::Succeeded; }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Batch tasks without a checkpoint end where they run")
@@ -70,5 +70,5 @@
     LongBatch cluster(false);
     cluster.clock.runFor(Millis(8'000));
     CHECK(cluster.runningOn("m-0") == 2);
-    CHECK(cluster.witness.starts() == 2);
+    CHECK(cluster.checker.starts() == 2);
 }
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -21,12 +21,12 @@
     explicit PoisonCluster(StepSpec poisonStep = step(1), std::size_t instances = 8, std::uint64_t seed = 1)
         : SmallCluster(seed, 3, instances, 2, 1)
     {
-        workers.endsWorker = [this](const Attempt& attempt) {
+        workers.crashesWorker = [this](const Attempt& attempt) {
             if (attempt.job != poison || attempt.task != task)
                 return false;
             ++starts;
-            worker = witness.workerOf(poison, task);
-            workers.endsWorkerAfter = crashesAfter ? crashesAfter() : afterAnswer;
+            worker = checker.workerOf(poison, task);
+            workers.crashesWorkerAfter = crashesAfter ? crashesAfter() : afterAnswer;
             return !onStarted || onStarted();
         };
         workers.runTimes = [](const Attempt& attempt) { return Millis(attempt.job == poison ? 60'000 : 500); };
@@ -42,11 +42,11 @@
         clock.after(Millis(1'000), [this, index = *index] { start(index); });
     }
 
-    [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
+    [[nodiscard]] std::uint32_t crashes() const { return checker.workersCrashedBy(poison, task); }
 
     void checkPromise()
     {
-        CHECK(witness.breaches().empty());
+        CHECK(checker.breaches().empty());
         CHECK(crashes() <= maxCrashesAllowed);
     }
 
@@ -66,7 +66,7 @@
     for (const Millis answerTime : { Millis(20), Millis(45), Millis(60), Millis(120) }) {
         CAPTURE(answerTime.count());
         PoisonCluster cluster;
-        cluster.store.trouble.answerTime = answerTime;
+        cluster.store.faults.answerTime = answerTime;
         cluster.crashesAfter = [] { return beforeAnswer; };
         cluster.clock.runFor(Millis(60'000));
         cluster.checkPromise();
@@ -77,12 +77,12 @@
 TEST_CASE("The end of an attempt that is older than the recorded crashes does not clear them after a change of owner")
 {
     PoisonCluster cluster;
-    std::string cutOff;
-    cluster.onStarted = [&cluster, &cutOff] {
+    std::string partitioned;
+    cluster.onStarted = [&cluster, &partitioned] {
         if (cluster.starts > 1)
             return true;
-        cutOff = cluster.worker;
-        cluster.clock.after(soonAfterStart, [&cluster, worker = cutOff] { cluster.workers.find(worker)->trouble.cutOff = true; });
+        partitioned = cluster.worker;
+        cluster.clock.after(soonAfterStart, [&cluster, worker = partitioned] { cluster.workers.find(worker)->faults.partitioned = true; });
         return false;
     };
     const std::uint32_t recorded = GENERATE(2U, 3U);
@@ -93,7 +93,7 @@
     cluster.clock.runFor(pause);
     cluster.replaceOwner();
     cluster.clock.runFor(Millis(100));
-    cluster.workers.find(cutOff)->trouble.cutOff = false;
+    cluster.workers.find(partitioned)->faults.partitioned = false;
     cluster.clock.runFor(Millis(60'000));
     cluster.checkPromise();
 }
@@ -157,15 +157,15 @@
     cluster.workers.runTimes = [](const Attempt&) { return Millis(60'000); };
     cluster.submit(0, "work", id, job({ step(1) }));
     cluster.clock.runFor(Millis(4'000));
-    const std::string worker = cluster.witness.workerOf(id, { 0, 0, 0 });
+    const std::string worker = cluster.checker.workerOf(id, { 0, 0, 0 });
     REQUIRE(!worker.empty());
     cluster.workers.hidden.insert(cluster.workers.find(worker)->instance);
     cluster.clock.runFor(Millis(1'500));
-    cluster.workers.find(worker)->trouble.cutOff = true;
+    cluster.workers.find(worker)->faults.partitioned = true;
     cluster.clock.runFor(Millis(10'000));
-    for (const auto& breach : cluster.witness.breaches())
+    for (const auto& breach : cluster.checker.breaches())
         UNSCOPED_INFO(breach.rule + ' ' + breach.detail);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 // Guards against first starts of an inherited job that keep a suspect away from every worker.
@@ -191,7 +191,7 @@
             cluster.replaceOwner();
         // A task that has nothing running for three seconds while there is room counts as lost.
         CHECK(cluster.waitFor(Millis(10'000), [&] { return survivedAt != MonotonicInstant {}; }));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -26,13 +26,13 @@
     explicit PoisonCluster(std::uint64_t seed = 1, std::size_t instances = 8, StepSpec poisonStep = step(1), Millis busyBefore = Millis(0))
         : SmallCluster(seed, 3, instances, 2, 1)
     {
-        workers.endsWorker = [this](const Attempt& attempt) {
+        workers.crashesWorker = [this](const Attempt& attempt) {
             if (attempt.job != poison)
                 return false;
             ++starts;
-            worker = witness.workerOf(poison, task);
+            worker = checker.workerOf(poison, task);
             current = attempt;
-            workers.endsWorkerAfter = crashesAfter ? crashesAfter() : afterAnswer;
+            workers.crashesWorkerAfter = crashesAfter ? crashesAfter() : afterAnswer;
             return !onStarted || onStarted();
         };
         workers.runTimes = [](const Attempt& attempt) { return Millis(attempt.job == poison ? 60'000 : 500); };
@@ -62,7 +62,7 @@
         }
     }
 
-    [[nodiscard]] std::uint32_t crashes() const { return witness.workersEndedBy(poison, task); }
+    [[nodiscard]] std::uint32_t crashes() const { return checker.workersCrashedBy(poison, task); }
 
     /// \returns Whether the poison task's worker runs another task that it acknowledges within the longest probation.
     [[nodiscard]] bool isBesideYoung()
@@ -77,7 +77,7 @@
 
     void checkPromise()
     {
-        CHECK(witness.breaches().empty());
+        CHECK(checker.breaches().empty());
         CHECK(crashes() <= maxCrashesAllowed);
     }
 
@@ -96,7 +96,7 @@
 {
     cluster.onStarted = [&cluster, crashes = std::move(crashes), offset] {
         if (crashes.contains(cluster.starts))
-            cluster.clock.after(cluster.workers.endsWorkerAfter + offset, [&cluster] { cluster.replaceOwner(); });
+            cluster.clock.after(cluster.workers.crashesWorkerAfter + offset, [&cluster] { cluster.replaceOwner(); });
         return true;
     };
 }
@@ -222,20 +222,20 @@
 {
     PoisonCluster cluster;
     // The first two starts survive on workers that are cut off, and end there with their leases.
-    std::vector<std::string> cutOff;
-    cluster.onStarted = [&cluster, &cutOff] {
+    std::vector<std::string> partitioned;
+    cluster.onStarted = [&cluster, &partitioned] {
         if (cluster.starts > 2)
             return true;
-        cutOff.push_back(cluster.worker);
-        cluster.clock.after(soonAfterStart, [&cluster, worker = cluster.worker] { cluster.workers.find(worker)->trouble.cutOff = true; });
+        partitioned.push_back(cluster.worker);
+        cluster.clock.after(soonAfterStart, [&cluster, worker = cluster.worker] { cluster.workers.find(worker)->faults.partitioned = true; });
         return false;
     };
     std::size_t healed = 0;
     const MonotonicInstant until = cluster.clock.now() + Millis(80'000);
     while (cluster.clock.now() < until) {
         cluster.clock.runFor(Millis(50));
-        if (healed < cutOff.size() && cluster.crashes() >= 2 * (healed + 1))
-            cluster.workers.find(cutOff[healed++])->trouble.cutOff = false;
+        if (healed < partitioned.size() && cluster.crashes() >= 2 * (healed + 1))
+            cluster.workers.find(partitioned[healed++])->faults.partitioned = false;
     }
     REQUIRE(healed > 0);
     cluster.checkPromise();
@@ -245,18 +245,18 @@
 TEST_CASE("The end of an older attempt does not restart a long-running task that has failed permanently")
 {
     PoisonCluster cluster(1, 8, longStep(1));
-    std::string cutOff;
-    cluster.onStarted = [&cluster, &cutOff] {
+    std::string partitioned;
+    cluster.onStarted = [&cluster, &partitioned] {
         if (cluster.starts > 1)
             return true;
-        cutOff = cluster.worker;
-        cluster.clock.after(soonAfterStart, [&cluster, worker = cutOff] { cluster.workers.find(worker)->trouble.cutOff = true; });
+        partitioned = cluster.worker;
+        cluster.clock.after(soonAfterStart, [&cluster, worker = partitioned] { cluster.workers.find(worker)->faults.partitioned = true; });
         return false;
     };
     REQUIRE(cluster.waitFor(Millis(40'000), [&] { return cluster.crashes() >= 3; }));
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.crashes() <= maxCrashesAllowed);
-    cluster.workers.find(cutOff)->trouble.cutOff = false;
+    cluster.workers.find(partitioned)->faults.partitioned = false;
     cluster.clock.runFor(Millis(40'000));
     cluster.checkPromise();
 }
@@ -306,7 +306,7 @@
             // Two confirmed crashes; the others come after `delay`.
             cluster.onStarted = [&cluster, delay, returns] {
                 const auto crash = [&cluster, returns, worker = cluster.worker, attempt = cluster.current] {
-                    cluster.witness.onWorkerEnded(worker, attempt);
+                    cluster.checker.onWorkerCrashed(worker, attempt);
                     cluster.workers.restart(worker, returns);
                 };
                 if (cluster.starts > 2 && delay == beforeAnswer)
@@ -327,7 +327,7 @@
     PoisonCluster cluster;
     cluster.onStarted = [&cluster] {
         const auto crash = [&cluster, worker = cluster.worker, attempt = cluster.current] {
-            cluster.witness.onWorkerEnded(worker, attempt);
+            cluster.checker.onWorkerCrashed(worker, attempt);
             cluster.workers.restart(worker, Millis(300));
             cluster.clock.after(Millis(300), [&cluster, worker] { cluster.workers.find(worker)->clockBehind = Millis(0); });
         };
@@ -416,8 +416,8 @@
         cluster.onStarted = [&cluster, proof] {
             // Silent at once; the platform shows the instance as up until the proof.
             cluster.clock.after(afterAnswer, [&cluster, proof, worker = cluster.worker, attempt = cluster.current] {
-                cluster.witness.onWorkerEnded(worker, attempt);
-                cluster.workers.find(worker)->trouble.dark = true;
+                cluster.checker.onWorkerCrashed(worker, attempt);
+                cluster.workers.find(worker)->faults.crashed = true;
                 cluster.clock.after(proof, [&cluster, worker] { cluster.workers.crash(worker, Millis(1'000)); });
             });
             return false;
@@ -485,9 +485,9 @@
         CAPTURE(secondDelay.count());
         PoisonCluster cluster(1, 6);
         const std::set<std::string> others { jobId(2), jobId(3) };
-        cluster.workers.endsWorker = [&cluster, &others, secondDelay](const Attempt& attempt) {
+        cluster.workers.crashesWorker = [&cluster, &others, secondDelay](const Attempt& attempt) {
             const bool isOther = others.contains(attempt.job);
-            cluster.workers.endsWorkerAfter = isOther ? secondDelay : afterAnswer;
+            cluster.workers.crashesWorkerAfter = isOther ? secondDelay : afterAnswer;
             return isOther || attempt.job == PoisonCluster::poison;
         };
         for (const std::string& id : others)
@@ -495,7 +495,7 @@
         cluster.clock.runFor(Millis(60'000));
         cluster.checkPromise();
         for (const std::string& id : others)
-            CHECK(cluster.witness.workersEndedBy(id, { 0, 0, 0 }) <= maxCrashesAllowed);
+            CHECK(cluster.checker.workersCrashedBy(id, { 0, 0, 0 }) <= maxCrashesAllowed);
     }
 }
 
@@ -529,11 +529,11 @@
         const auto onEntry = cluster.workers.onEntry;
         cluster.workers.onEntry = [&](const model::WorkerModel& worker) {
             if (isDead)
-                cluster.workers.find(worker.entry.id)->trouble.lostOrders = 1;
+                cluster.workers.find(worker.entry.id)->faults.lostCommands = 1;
             onEntry(worker);
         };
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble.lostOrders = 1;
+            worker.faults.lostCommands = 1;
         cluster.submit(0, "work", innocent, job({ step(1) }));
         for (std::uint32_t round = 0; round < 2 * maxCrashesAllowed; ++round) {
             cluster.clock.runFor(Millis(50));
@@ -546,12 +546,12 @@
                 cluster.workers.crash(id, Millis(2'500));
             cluster.clock.runFor(Millis(2'500));
         }
-        REQUIRE(cluster.witness.starts() == 0);
+        REQUIRE(cluster.checker.starts() == 0);
         isDead = false;
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble = {};
+            worker.faults = {};
         CHECK(cluster.waitFor(Millis(30'000), [&] { return cluster.shows(innocent, JobStatus::Succeeded); }));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -563,7 +563,7 @@
         PoisonCluster cluster(seed, fewInstances, step(1), busyTime);
         cluster.crashesAfter = [] { return beforeAnswer; };
         cluster.playWithQuickJobs(Millis(30'000), quickJobInterval, quickTasks);
-        cluster.workers.endsWorker = nullptr;
+        cluster.workers.crashesWorker = nullptr;
         cluster.clock.runFor(Millis(10'000));
         CHECK(cluster.starts > 0);
         std::uint64_t failed = 0;
--- a/tests/jobs/document_copy_test.cpp
+++ b/tests/jobs/document_copy_test.cpp
@@ -105,7 +105,7 @@
 {
     for (Millis at { 0 }; at < Millis(800); at += Millis(1)) {
         FollowedDocument followed(narrowLink);
-        followed.store.trouble.answerTime = Millis(40);
+        followed.store.faults.answerTime = Millis(40);
         followed.put(1'000'000);
         followed.copy.start();
         followed.run(Millis(2'000) + at);
@@ -126,7 +126,7 @@
         followed.put(bytes);
         followed.copy.start();
         followed.run(Millis(100));
-        followed.client.watchesCutOff = true;
+        followed.client.watchesBlocked = true;
         followed.store.compact();
         followed.put(bytes);
         followed.run(Millis(800));
@@ -141,7 +141,7 @@
     followed.put(1'000'000);
     followed.copy.start();
     followed.run(Millis(100));
-    followed.store.trouble.lostAnswers = 1;
+    followed.store.faults.lostAnswers = 1;
     followed.put(1'000'000);
     followed.run(Millis(3'000));
     CHECK(followed.isNewest());
@@ -155,9 +155,9 @@
     followed.put(100);
     followed.copy.start();
     followed.run(Millis(1'000));
-    followed.client.cutOff = true;
+    followed.client.partitioned = true;
     followed.run(Millis(600));
-    followed.client.cutOff = false;
+    followed.client.partitioned = false;
     followed.oldest = Millis(0);
     followed.run(Millis(3'000));
     CHECK(followed.oldest < Millis(1'500));
@@ -177,14 +177,14 @@
                 followed.put(percent(followed.random) < 50 ? 100 : 1'000'000);
             if (percent(followed.random) < 5)
                 followed.store.compact();
-            followed.client.cutOff = percent(followed.random) < 10;
-            followed.client.watchesCutOff = percent(followed.random) < 10;
-            followed.store.trouble.lostAnswers = percent(followed.random) < 10 ? 0.5 : 0;
+            followed.client.partitioned = percent(followed.random) < 10;
+            followed.client.watchesBlocked = percent(followed.random) < 10;
+            followed.store.faults.lostAnswers = percent(followed.random) < 10 ? 0.5 : 0;
             followed.run(Millis(50 + 10 * percent(followed.random)));
         }
-        followed.client.cutOff = false;
-        followed.client.watchesCutOff = false;
-        followed.store.trouble.lostAnswers = 0;
+        followed.client.partitioned = false;
+        followed.client.watchesBlocked = false;
+        followed.store.faults.lostAnswers = 0;
         followed.run(Millis(5'000));
         CHECK(followed.isNewest());
         CHECK(followed.clock.now() - followed.copy.provenAt() < Millis(1'000));
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -35,11 +35,11 @@
     }
 
     /// Gives each fifth worker trouble, or none.
-    void trouble(const model::WorkerTrouble& trouble, int each = 5)
+    void faults(const model::WorkerFaults& faults, int each = 5)
     {
         int number = 0;
         for (auto& [id, worker] : workers.workers())
-            worker.trouble = number++ % each == 0 ? trouble : model::WorkerTrouble {};
+            worker.faults = number++ % each == 0 ? faults : model::WorkerFaults {};
     }
 
     void serve(Millis time)
@@ -122,18 +122,18 @@
 /// Guards against sending work to a worker until its renewal has timed out.
 TEST_CASE("Workers that answer nothing cost the jobs that ran there and hardly any other")
 {
-    for (const model::WorkerTrouble& trouble : { model::WorkerTrouble { .cutOff = true }, model::WorkerTrouble { .lostAnswers = 1, .lostRenewals = 1 }, model::WorkerTrouble { .lostOrders = 1 } }) {
+    for (const model::WorkerFaults& faults : { model::WorkerFaults { .partitioned = true }, model::WorkerFaults { .lostAnswers = 1, .lostRenewals = 1 }, model::WorkerFaults { .lostCommands = 1 } }) {
         BusyPool pool;
         // A start is overdue after 100 ms at the soonest: two jobs are handed in by then.
         const std::size_t affected = pool.open() + 2;
-        pool.trouble(trouble);
+        pool.faults(faults);
         pool.serve(Millis(6'000));
-        pool.trouble({});
+        pool.faults({});
         pool.serve(Millis(4'000));
         pool.settle(Millis(20'000));
         CHECK(pool.open() == 0);
         CHECK(pool.count(Millis(1'500)) <= affected);
-        CHECK(pool.witness.breaches().empty());
+        CHECK(pool.checker.breaches().empty());
     }
 }
 
@@ -143,7 +143,7 @@
     BusyPool pool;
     pool.settle(Millis(3'000));
     pool.clock.runFor(Millis(2'000));
-    pool.trouble({ .cutOff = true });
+    pool.faults({ .partitioned = true });
     pool.clock.runFor(Millis(1'300));
     pool.serve(Millis(4'000));
     pool.settle(Millis(4'000));
@@ -155,47 +155,47 @@
 TEST_CASE("A start that never arrived is given up at a worker that answers renewals and never an order")
 {
     BusyPool pool;
-    pool.trouble({ .lostOrders = 1 });
+    pool.faults({ .lostCommands = 1 });
     pool.serve(Millis(1'000));
     pool.settle(Millis(12'000));
     CHECK(pool.open() == 0);
-    CHECK(pool.witness.breaches().empty());
+    CHECK(pool.checker.breaches().empty());
 }
 
 /// Guards against emptying a pool of which many workers look ill.
 TEST_CASE("Of a third of a pool that fails all its tasks a fifth of the pool is ejected")
 {
     BusyPool pool;
-    pool.trouble({ .failing = 1 }, 3);
+    pool.faults({ .failing = 1 }, 3);
     for (int i = 0; i < 20; ++i) {
         pool.serve(Millis(200));
         CHECK(ejectedAt(pool) <= 4);
     }
     CHECK(ejectedAt(pool) == 4);
-    pool.trouble({});
+    pool.faults({});
     pool.settle(Millis(20'000));
     pool.serve(Millis(20'000));
     CHECK(ejectedAt(pool) == 0);
-    CHECK(pool.witness.breaches().empty());
+    CHECK(pool.checker.breaches().empty());
 }
 
 TEST_CASE("A worker that is slow by 8 is ejected and its peers are not")
 {
     BusyPool pool;
-    pool.trouble({ .slowBy = 8 }, 20);
+    pool.faults({ .slowdown = 8 }, 20);
     pool.serve(Millis(8'000));
     const std::vector<WorkerReport> workers = pool.entry(pool.owner().value()).workers().workers;
     for (const WorkerReport& worker : workers) {
         INFO(worker.worker);
-        CHECK((worker.health.ejected || worker.health.probing) == (pool.workers.find(worker.worker)->trouble.slowBy > 1));
+        CHECK((worker.health.ejected || worker.health.probing) == (pool.workers.find(worker.worker)->faults.slowdown > 1));
     }
-    CHECK(pool.witness.breaches().empty());
+    CHECK(pool.checker.breaches().empty());
 }
 
 TEST_CASE("A lost owner's judgement is learned again, and no promise is broken meanwhile")
 {
     BusyPool pool;
-    pool.trouble({ .lostOrders = 1 });
+    pool.faults({ .lostCommands = 1 });
     pool.serve(Millis(2'000));
     REQUIRE(ejectedAt(pool) > 0);
     const std::size_t lost = pool.owner().value();
@@ -204,10 +204,10 @@
     pool.start(lost);
     pool.serve(Millis(3'000));
     CHECK(ejections(pool) > 0);
-    pool.trouble({});
+    pool.faults({});
     pool.settle(Millis(20'000));
     CHECK(pool.open() == 0);
-    CHECK(pool.witness.breaches().empty());
+    CHECK(pool.checker.breaches().empty());
 }
 
 /// Guards against ejecting the workers that a poison task crashes, and against clearing the task because its workers were ejected.
@@ -216,10 +216,10 @@
     for (const bool isTroubled : { false, true }) {
         BusyPool pool;
         if (isTroubled)
-            pool.trouble({ .lostOrders = 1 }, 7);
+            pool.faults({ .lostCommands = 1 }, 7);
         const std::string poison = jobId(9'999);
         int crashes = 0;
-        pool.workers.endsWorker = [&](const Attempt& attempt) {
+        pool.workers.crashesWorker = [&](const Attempt& attempt) {
             crashes += attempt.job == poison ? 1 : 0;
             return attempt.job == poison;
         };
@@ -231,9 +231,9 @@
         CHECK(crashes == 3);
         if (!isTroubled)
             CHECK(ejections(pool) == 0);
-        pool.trouble({});
+        pool.faults({});
         pool.settle(Millis(20'000));
         CHECK(pool.open() == 0);
-        CHECK(pool.witness.breaches().empty());
+        CHECK(pool.checker.breaches().empty());
     }
 }
--- a/tests/jobs/front_test.cpp
+++ b/tests/jobs/front_test.cpp
@@ -23,7 +23,7 @@
     std::optional<HttpResponse> answer;
     if (method == "POST") {
         const auto job = platform::makeFront(cluster.entry(index));
-        cluster.witness.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
+        cluster.checker.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
         job(request, [&](HttpResponse response) { answer = std::move(response); });
     } else {
         platform::makeFront(cluster.entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
@@ -47,7 +47,7 @@
     CHECK(ask(cluster, "DELETE", "/q/" + jobId(1)).status == 200);
     CHECK(ask(cluster, "GET", "/q/" + jobId(1)).body == R"({"state":"cancelled"})");
     CHECK(ask(cluster, "DELETE", "/q/" + jobId(2)).status == 410);
-    CHECK(cluster.witness.starts() == 1);
+    CHECK(cluster.checker.starts() == 1);
 }
 
 TEST_CASE("Wrong requests get a 4xx with a reason, and cost nobody anything")
@@ -68,26 +68,26 @@
 TEST_CASE("A refusal is given at once with a time to come back, and what was refused never runs")
 {
     SmallCluster cluster;
-    cluster.store.trouble.refusing = true;
+    cluster.store.faults.refusing = true;
     const HttpResponse refused = ask(cluster, "POST", "/q/" + jobId(1), oneTask);
     CHECK(refused.status == 503);
     CHECK(refused.headers.find("Retry-After").has_value());
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     cluster.clock.runFor(Millis(5'000));
-    CHECK(cluster.witness.starts() == 0);
+    CHECK(cluster.checker.starts() == 0);
     CHECK(ask(cluster, "GET", "/q/" + jobId(1)).status == 410);
 }
 
 TEST_CASE("A job whose fate the store does not tell is answered as unknown, and may be sent again")
 {
     SmallCluster cluster;
-    cluster.store.trouble.lateWrites = 1.0;
+    cluster.store.faults.lateWrites = 1.0;
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask).status == 504);
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     CHECK(ask(cluster, "POST", "/q/" + jobId(1), oneTask, "h", 1).status == 200);
     REQUIRE(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded); }));
-    CHECK(cluster.witness.starts() == 1);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.starts() == 1);
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An entry without a configuration or cut off from the store calls itself not ready")
@@ -116,7 +116,7 @@
     CHECK(outcomes[AcceptOutcome::Unknown] <= 4);
     CHECK(outcomes[AcceptOutcome::NotTaken] >= 16);
     CHECK_FALSE(cluster.entry(entry).isReady());
-    CHECK(cluster.witness.starts() == 0);
+    CHECK(cluster.checker.starts() == 0);
     cluster.resetStoreCalls(entry, false);
     CHECK(cluster.waitFor(Millis(3'000), [&] { return cluster.entry(entry).isReady(); }));
     cluster.submit(entry, "work", jobId(30), job({ step(1) }));
@@ -142,7 +142,7 @@
     // Refused by the store itself, the first one is still in doubt.
     cluster.resetStoreCalls(entry, false);
     cluster.clock.runFor(Millis(1'500));
-    cluster.store.trouble.refusing = true;
+    cluster.store.faults.refusing = true;
     outcomes.clear();
     send(1);
     send(3);
@@ -169,8 +169,8 @@
     CHECK(cluster.waitFor(Millis(1'000), [&] { return stopped; }));
     const std::size_t next = cluster.owner().value_or(owner);
     CHECK(cluster.waitFor(Millis(5'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, next); }));
-    CHECK(cluster.witness.starts() == 2);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.starts() == 2);
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Metrics tell what was answered and who owns")
--- a/tests/jobs/hall_evacuation_test.cpp
+++ b/tests/jobs/hall_evacuation_test.cpp
@@ -65,13 +65,13 @@
     cluster.playWithQuickJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.runningIn("hall-b") > 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     cluster.evacuate(evacuated, false);
     cluster.evacuate("hall-b");
     cluster.playWithQuickJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
 }
 
@@ -90,7 +90,7 @@
         cluster.start(owner);
         cluster.playWithQuickJobs(Millis(8'000));
         CHECK(cluster.runningIn(evacuated) == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -107,30 +107,30 @@
 TEST_CASE("Nothing starts while the store confirms no set of evacuated data halls, and starts go on when it does")
 {
     TwoHalls cluster(1, Millis(5'000));
-    cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+    cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(500));
     cluster.evacuate(evacuated);
     cluster.playWithQuickJobs(Millis(8'000));
-    CHECK(cluster.witness.breaches().empty());
-    const std::uint64_t starts = cluster.witness.starts();
+    CHECK(cluster.checker.breaches().empty());
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.playWithQuickJobs(Millis(1'000));
-    CHECK(cluster.witness.starts() == starts);
-    cluster.store.trouble.refusedRanges.clear();
+    CHECK(cluster.checker.starts() == starts);
+    cluster.store.faults.refusedRanges.clear();
     cluster.playWithQuickJobs(Millis(8'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against a deployment without evacuations that stands still when ranges are refused.
 TEST_CASE("Without a bound on evacuations tasks start by the last set that is known")
 {
     TwoHalls cluster;
-    cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+    cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(8'000));
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.playWithQuickJobs(Millis(2'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
 }
 
 /// Guards against a bound that refused answers of one read use up.
@@ -138,12 +138,12 @@
 {
     TwoHalls cluster(1, Millis(5'000));
     for (int i = 0; i < 4; ++i) {
-        cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+        cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
         cluster.playWithQuickJobs(Millis(2'500));
-        cluster.store.trouble.refusedRanges.clear();
-        const std::uint64_t starts = cluster.witness.starts();
+        cluster.store.faults.refusedRanges.clear();
+        const std::uint64_t starts = cluster.checker.starts();
         cluster.playWithQuickJobs(Millis(1'000));
-        CHECK(cluster.witness.starts() >= starts + 40);
+        CHECK(cluster.checker.starts() >= starts + 40);
     }
 }
 
@@ -163,7 +163,7 @@
     cluster.playWithQuickJobs(Millis(12'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against moves that a request costs which is withdrawn at once, and against a hall that stays closed.
@@ -187,7 +187,7 @@
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Two data halls are evacuated at once: nothing starts, budgets hold, and all goes on after one is withdrawn")
@@ -196,15 +196,15 @@
     cluster.evacuate(evacuated);
     cluster.evacuate("hall-b");
     cluster.playWithQuickJobs(Millis(8'000));
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.playWithQuickJobs(Millis(1'000));
-    CHECK(cluster.witness.starts() == starts);
+    CHECK(cluster.checker.starts() == starts);
     cluster.evacuate("hall-b", false);
     cluster.playWithQuickJobs(Millis(8'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against an evacuation that the cut hides: its workers are told of nothing, and must get nothing once they are back.
@@ -213,7 +213,7 @@
     TwoHalls cluster(1, Millis(5'000));
     const auto cut = [&](bool isCut) {
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble.cutOff = isCut && worker.entry.dataHall == evacuated;
+            worker.faults.partitioned = isCut && worker.entry.dataHall == evacuated;
     };
     cut(true);
     cluster.playWithQuickJobs(Millis(1'000));
@@ -223,16 +223,16 @@
     cluster.playWithQuickJobs(Millis(8'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An evacuation is in force in time while the store is slow")
 {
     TwoHalls cluster(1, Millis(5'000));
-    cluster.store.trouble.answerTime = Millis(300);
+    cluster.store.faults.answerTime = Millis(300);
     cluster.playWithQuickJobs(Millis(1'000));
     cluster.evacuate(evacuated);
     cluster.playWithQuickJobs(Millis(10'000));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     CHECK(cluster.runningIn(evacuated) == 0);
 }
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -254,7 +254,7 @@
         cluster.clock.runFor(Millis(15'000));
         CHECK(cluster.allSucceeded());
         CHECK(cluster.status(0, jobId(1)) == JobStatus::Running);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -280,7 +280,7 @@
     cluster.play(Millis(6'000));
     cluster.clock.runFor(Millis(15'000));
     CHECK(cluster.allSucceeded());
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against a long-running step whose tasks all stand in one data hall.
@@ -289,6 +289,6 @@
     ThreeHalls cluster(1, true);
     std::map<std::string, int> tasks;
     for (std::uint32_t i = 0; i < 6; ++i)
-        ++tasks[cluster.workers.find(cluster.witness.workerOf(jobId(1), { 0, 0, i }))->entry.dataHall];
+        ++tasks[cluster.workers.find(cluster.checker.workerOf(jobId(1), { 0, 0, i }))->entry.dataHall];
     CHECK(tasks == std::map<std::string, int> { { "hall-a", 2 }, { "hall-b", 2 }, { "hall-c", 2 } });
 }
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -47,19 +47,19 @@
         StepSpec wide = ofCores(instances, 6'000);
         wide.mostPerInstance = 1;
         submit(owner().value(), "work", firstJob, job({ wide }));
-        REQUIRE(waitFor(Millis(1'000), [this] { return witness.starts() == instances; }));
+        REQUIRE(waitFor(Millis(1'000), [this] { return checker.starts() == instances; }));
         const MonotonicInstant freeFrom = clock.now() + blockedTime - Millis(200);
         for (std::uint64_t i = 0; i < waitingJobs; ++i)
             submit(owner().value(), "work", jobId(2 + i), job({ ofCores(1, 500), ofCores(1, 3'000) }));
-        REQUIRE(waitFor(Millis(2'000), [this] { return witness.starts() == startsBefore; }));
+        REQUIRE(waitFor(Millis(2'000), [this] { return checker.starts() == startsBefore; }));
         clock.runFor(Millis(500));
         const std::size_t index = owner().value();
         kill(loss == Loss::Owner ? index : (index + 1) % entries());
-        store.trouble.answerTime = slowAnswer;
+        store.faults.answerTime = slowAnswer;
         if (onLoss)
             onLoss();
         clock.runFor(std::chrono::duration_cast<Millis>(freeFrom - clock.now()));
-        REQUIRE(witness.starts() == startsBefore);
+        REQUIRE(checker.starts() == startsBefore);
     }
 
     Cost play()
@@ -67,11 +67,11 @@
         Cost cost;
         const MonotonicInstant from = clock.now();
         const std::uint64_t calls = store.calls();
-        REQUIRE(waitFor(Millis(10'000), [this] { return witness.starts() == startsAfter; }));
+        REQUIRE(waitFor(Millis(10'000), [this] { return checker.starts() == startsAfter; }));
         cost.untilSent = std::chrono::duration_cast<Millis>(clock.now() - from);
         clock.runFor(Millis(4'000) - cost.untilSent);
         cost.storeCalls = store.calls() - calls;
-        CHECK(witness.breaches().empty());
+        CHECK(checker.breaches().empty());
         return cost;
     }
 
@@ -101,8 +101,8 @@
             SmallCluster cluster(1, 6, 8, 2, 1);
             cluster.clock.runFor(observedLong);
             std::uint32_t starts = 0;
-            cluster.workers.endsWorkerAfter = Millis(10);
-            cluster.workers.endsWorker = [&](const Attempt&) {
+            cluster.workers.crashesWorkerAfter = Millis(10);
+            cluster.workers.crashesWorker = [&](const Attempt&) {
                 if (lost.contains(++starts))
                     cluster.clock.after(Millis(10) + offset, [&cluster] {
                         if (const std::optional<std::size_t> owner = cluster.owner())
@@ -110,8 +110,8 @@
                     });
                 if (!restartsUnderId)
                     return true;
-                cluster.clock.after(Millis(10), [&cluster, worker = cluster.witness.workerOf(firstJob, {})] {
-                    cluster.witness.onWorkerEnded(worker, { firstJob, {}, 0 });
+                cluster.clock.after(Millis(10), [&cluster, worker = cluster.checker.workerOf(firstJob, {})] {
+                    cluster.checker.onWorkerCrashed(worker, { firstJob, {}, 0 });
                     cluster.workers.restart(worker, Millis(300));
                 });
                 return false;
@@ -119,8 +119,8 @@
             cluster.submit(cluster.owner().value(), "work", firstJob, job({ step(1) }));
             cluster.clock.runFor(Millis(50'000));
             CHECK(starts >= 3);
-            CHECK(cluster.witness.breaches().empty());
-            CHECK(cluster.witness.workersEndedBy(firstJob, {}) <= 5);
+            CHECK(cluster.checker.breaches().empty());
+            CHECK(cluster.checker.workersCrashedBy(firstJob, {}) <= 5);
         }
     }
 }
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -94,7 +94,7 @@
     for (std::size_t i = 0; i < instances + waitingJobs; ++i)
         cluster.submit(0, "work", jobId(i + 1), job({ step(8) }));
     cluster.clock.runFor(Millis(2'000));
-    REQUIRE(cluster.witness.starts() == instances * 8);
+    REQUIRE(cluster.checker.starts() == instances * 8);
     const SchedulerCounts before = cluster.entry(0).schedulerCounts();
     cluster.clock.runFor(Millis(1'000));
     const SchedulerCounts after = cluster.entry(0).schedulerCounts();
@@ -112,7 +112,7 @@
 {
     SmallCluster cluster(1, 3, 40, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(200); };
-    cluster.store.trouble.mostEvents = 100;
+    cluster.store.faults.maxEvents = 100;
     const std::size_t standby = *cluster.owner() == 1 ? 2 : 1;
     std::uint64_t number = 0;
     std::size_t keptBefore = 0; // Two thirds of a second ago.
@@ -125,11 +125,11 @@
     }
     CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= keptBefore);
     // What the copy lacks, a successor has to read before it may begin.
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.entry(*cluster.owner()).stop([] {});
     for (int i = 0; i < 30; ++i) {
         cluster.submit(standby, "work", jobId(++number), job({ step(1) }));
         cluster.clock.runFor(Millis(10));
     }
-    CHECK(cluster.witness.starts() > starts + 5);
+    CHECK(cluster.checker.starts() > starts + 5);
 }
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -191,12 +191,12 @@
             return least;
         };
         play(Millis(8'000), true);
-        cluster.store.trouble = { .leasesWait = true, .refusing = true };
+        cluster.store.faults = { .leasesPaused = true, .refusing = true };
         play(Millis(4'000), false);
-        cluster.store.trouble = {};
+        cluster.store.faults = {};
         // Callers come back within 3 s.
         const std::size_t least = play(Millis(2'500), false);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         return least;
     };
     const std::size_t without = leastAfterOutage(false);
--- a/tests/jobs/lost_owner_test.cpp
+++ b/tests/jobs/lost_owner_test.cpp
@@ -37,7 +37,7 @@
     const std::size_t owner = cluster.owner().value();
     cluster.kill(owner);
     CHECK(untilSucceeded(cluster, owner) <= 300);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An owner that is silent is waited for until its lease is over")
@@ -80,8 +80,8 @@
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
     cluster.clock.runFor(Millis(2'000));
     cluster.submit(0, "work", jobId(1), job({ step(1), step(1, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 1; }));
-    const std::string busy = cluster.witness.workerOf(jobId(1), {});
+    REQUIRE(cluster.waitFor(Millis(1'000), [&] { return cluster.checker.starts() == 1; }));
+    const std::string busy = cluster.checker.workerOf(jobId(1), {});
     // Its entry stays for some seconds.
     for (const auto& [id, worker] : cluster.workers.workers()) {
         if (worker.alive && id != busy) {
@@ -90,8 +90,8 @@
         }
     }
     cluster.kill(cluster.owner().value());
-    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 2; }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.checker.starts() == 2; }));
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A holder is named after its instance and its start, and no other instance's name is taken for it")
@@ -115,5 +115,5 @@
         cluster.clock.runFor(Millis(1'500));
     }
     CHECK(cluster.owner().has_value());
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
--- a/tests/jobs/lost_worker_test.cpp
+++ b/tests/jobs/lost_worker_test.cpp
@@ -28,7 +28,7 @@
     explicit EndingCluster(std::uint64_t seed = 1)
         : SmallCluster(seed, 3, 6, 2)
     {
-        workers.endsWorker = [](const Attempt& attempt) { return attempt.job == ending && attempt.task == TaskId { 0, 1, 0 }; };
+        workers.crashesWorker = [](const Attempt& attempt) { return attempt.job == ending && attempt.task == TaskId { 0, 1, 0 }; };
         StepSpec lasting = longStep(5);
         lasting.mostPerInstance = 0;
         submit(0, "work", standing, job({ lasting }));
@@ -40,7 +40,7 @@
     bool allStand()
     {
         for (std::uint32_t i = 0; i < 5; ++i) {
-            if (witness.workerOf(standing, { 0, 0, i }).empty())
+            if (checker.workerOf(standing, { 0, 0, i }).empty())
                 return false;
         }
         return true;
@@ -77,8 +77,8 @@
 {
     EndingCluster cluster;
     cluster.clock.runFor(Millis(40'000));
-    CHECK(cluster.witness.breaches().empty());
-    CHECK(cluster.witness.workersEndedBy(EndingCluster::ending, { 0, 1, 0 }) <= 3);
+    CHECK(cluster.checker.breaches().empty());
+    CHECK(cluster.checker.workersCrashedBy(EndingCluster::ending, { 0, 1, 0 }) <= 3);
     CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed));
 }
 
@@ -92,32 +92,32 @@
         cluster.clock.runFor(Millis(5'000));
         CHECK(cluster.shows(EndingCluster::standing, JobStatus::Running));
         CHECK(cluster.unserved() == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
 TEST_CASE("A long-running task that ends its workers is given up alone, over a change of owner too")
 {
     EndingCluster cluster;
-    cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.job == EndingCluster::standing && attempt.task.index == 3; };
+    cluster.workers.crashesWorker = [](const Attempt& attempt) { return attempt.job == EndingCluster::standing && attempt.task.index == 3; };
     const auto othersStand = [&] {
         for (const std::uint32_t i : { 0U, 1U, 2U, 4U }) {
-            if (cluster.witness.workerOf(EndingCluster::standing, { 0, 0, i }).empty())
+            if (cluster.checker.workerOf(EndingCluster::standing, { 0, 0, i }).empty())
                 return false;
         }
         return true;
     };
-    cluster.workers.crash(cluster.witness.workerOf(EndingCluster::standing, { 0, 0, 3 }), Millis(2'000));
+    cluster.workers.crash(cluster.checker.workerOf(EndingCluster::standing, { 0, 0, 3 }), Millis(2'000));
     cluster.clock.runFor(Millis(25'000));
     CHECK(othersStand());
     CHECK(cluster.shows(EndingCluster::standing, JobStatus::Running));
-    const std::uint32_t ended = cluster.witness.workersEndedBy(EndingCluster::standing, { 0, 0, 3 });
+    const std::uint32_t ended = cluster.checker.workersCrashedBy(EndingCluster::standing, { 0, 0, 3 });
     CHECK(ended >= 3);
     cluster.kill(*cluster.owner());
     cluster.clock.runFor(Millis(15'000));
-    CHECK(cluster.witness.workersEndedBy(EndingCluster::standing, { 0, 0, 3 }) == ended);
+    CHECK(cluster.checker.workersCrashedBy(EndingCluster::standing, { 0, 0, 3 }) == ended);
     CHECK(othersStand());
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A task that ends its workers is given up though owners change")
@@ -129,7 +129,7 @@
         // Each second worker that it ends, the owner is lost at a moment of the wait for the proof that the worker is over.
         for (int round = 0; round < 400; ++round) {
             cluster.clock.runFor(Millis(100));
-            const std::uint32_t now = cluster.witness.workersEndedBy(EndingCluster::ending, { 0, 1, 0 });
+            const std::uint32_t now = cluster.checker.workersCrashedBy(EndingCluster::ending, { 0, 1, 0 });
             const std::optional<std::size_t> owner = cluster.owner();
             if (now == ended || !owner)
                 continue;
@@ -139,7 +139,7 @@
                 cluster.clock.after(Millis(1'500), [&cluster, index = *owner] { cluster.start(index); });
             }
         }
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value(); }));
         CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed, *cluster.owner()));
         CHECK(cluster.allStand());
@@ -153,15 +153,15 @@
         CAPTURE(seed);
         EndingCluster cluster(seed);
         std::uint32_t starts = 0;
-        cluster.workers.endsWorker = [&](const Attempt& attempt) {
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) {
             const bool isPoison = attempt.job == EndingCluster::ending && attempt.task == TaskId { 0, 1, 0 };
             if (isPoison)
-                cluster.workers.endsWorkerAfter = Millis((starts++ + seed) % 3 == 0 ? 0 : 10);
+                cluster.workers.crashesWorkerAfter = Millis((starts++ + seed) % 3 == 0 ? 0 : 10);
             return isPoison;
         };
         cluster.playWithQuickJobs(Millis(30'000));
         CHECK(cluster.shows(EndingCluster::ending, JobStatus::Failed));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -175,17 +175,17 @@
         const std::string id = jobId(1);
         // Acknowledged, then cut off at once.
         std::uint32_t starts = 0;
-        cluster.workers.endsWorker = [&](const Attempt& attempt) {
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) {
             if (++starts <= maxCrashes)
-                cluster.clock.after(Millis(3), [&cluster, id, task = attempt.task] { cluster.workers.find(cluster.witness.workerOf(id, task))->trouble.cutOff = true; });
+                cluster.clock.after(Millis(3), [&cluster, id, task = attempt.task] { cluster.workers.find(cluster.checker.workerOf(id, task))->faults.partitioned = true; });
             return false;
         };
         cluster.submit(0, "work", id, job({ step(1) }));
         REQUIRE(cluster.waitFor(Millis(60'000), [&] { return starts > maxCrashes; }));
         for (auto& [worker, model] : cluster.workers.workers())
-            model.trouble = {};
+            model.faults = {};
         REQUIRE(cluster.waitFor(Millis(15'000), [&] { return cluster.shows(id, JobStatus::Succeeded); }));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -196,12 +196,12 @@
         CAPTURE(seed);
         EndingCluster cluster(seed);
         const TaskId task { 0, 1, 0 };
-        cluster.workers.endsWorker = [&](const Attempt& attempt) { return attempt.job == EndingCluster::ending && attempt.task == task && cluster.witness.workersEndedBy(attempt.job, task) == 0; };
-        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.witness.workersEndedBy(EndingCluster::ending, task) == 1; }));
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) { return attempt.job == EndingCluster::ending && attempt.task == task && cluster.checker.workersCrashedBy(attempt.job, task) == 0; };
+        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.checker.workersCrashedBy(EndingCluster::ending, task) == 1; }));
         // From now on the task is suspect, and its starts reach no worker.
         for (std::uint32_t owners = 0; owners < maxCrashes; ++owners) {
             for (auto& [id, worker] : cluster.workers.workers())
-                worker.trouble.lostOrders = 1;
+                worker.faults.lostCommands = 1;
             cluster.clock.runFor(Millis(2'500));
             const std::size_t owner = cluster.owner().value();
             cluster.kill(owner);
@@ -209,10 +209,10 @@
             REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value(); }));
         }
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble = {};
+            worker.faults = {};
         const auto hasSucceeded = [&] { return cluster.shows(EndingCluster::ending, JobStatus::Succeeded, *cluster.owner()); };
         CHECK(cluster.waitFor(Millis(30'000), hasSucceeded));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -239,6 +239,6 @@
             CAPTURE(i);
             CHECK(cluster.shows(jobId(i), JobStatus::Succeeded));
         }
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
--- a/tests/jobs/operator_test.cpp
+++ b/tests/jobs/operator_test.cpp
@@ -39,7 +39,7 @@
     SmallCluster cluster(1, 3, 2, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.submit(0, "work", jobId(1), job({ step(20), step(1, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 16; }));
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 16; }));
     cluster.clock.runFor(Millis(1'500));
     const std::size_t owner = cluster.owner().value();
     const std::string text = jobText(call(cluster, owner, "GET", "/v1/jobs/" + jobId(1)).body);
@@ -57,13 +57,13 @@
 TEST_CASE("Operators see which task ends its workers")
 {
     SmallCluster cluster(1, 3, 6, 0);
-    cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.task.index == 1; };
+    cluster.workers.crashesWorker = [](const Attempt& attempt) { return attempt.task.index == 1; };
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
     cluster.clock.runFor(Millis(20'000));
     const std::string text = jobText(call(cluster, cluster.owner().value(), "GET", "/v1/jobs/" + jobId(1)).body);
     CHECK(text.find("task 1: 3 workers in a row were lost soon after they had started it; it was given up") != std::string::npos);
     CHECK(text.find("task 0: ") == std::string::npos);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Operators see who owns, cancel jobs, and get typed refusals")
@@ -89,7 +89,7 @@
 {
     SmallCluster cluster;
     for (auto& [id, worker] : cluster.workers.workers())
-        worker.trouble.failing = id == "i-1" ? 1 : 0;
+        worker.faults.failing = id == "i-1" ? 1 : 0;
     for (std::uint64_t number = 1; number <= 4; ++number)
         cluster.submit(0, "work", jobId(number), job({ step(6) }));
     const std::size_t owner = cluster.owner().value();
@@ -129,7 +129,7 @@
     cluster.clock.runFor(Millis(500));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.submit(0, "work", jobId(1), job({ step(24) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 24; }));
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 24; }));
     cluster.submit(0, "work", jobId(2), job({ step(1) }));
     const std::size_t owner = cluster.owner().value();
     CHECK(evacuationsText(call(cluster, owner, "GET", "/v1/evacuations").body).find("no data hall is evacuated or lost") != std::string::npos);
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -42,7 +42,7 @@
         : model::JobCluster(seed, 4)
         , outcomes(organisations)
     {
-        relayAt(1'000);
+        setWorkersPerCore(1'000);
         Policies policies;
         policies.admission.enabled = enabled;
         setPolicies(policies);
@@ -104,7 +104,7 @@
         for (auto job = m_jobs.begin(); job != m_jobs.end();) {
             Outcome& outcome = outcomes[job->second.organisation];
             const auto age = clock.now() - job->second.submittedAt;
-            const bool done = witness.job(job->first) && witness.hasSucceeded(job->first);
+            const bool done = checker.job(job->first) && checker.hasSucceeded(job->first);
             if (done && age <= objective)
                 ++outcome.inTime;
             if (!done && age < 3 * objective) {
@@ -124,13 +124,13 @@
     /// \returns Jobs that were accepted and have not run to their end.
     [[nodiscard]] std::size_t unserved() const
     {
-        return static_cast<std::size_t>(std::count_if(accepted.begin(), accepted.end(), [this](const std::string& id) { return !witness.hasSucceeded(id); }));
+        return static_cast<std::size_t>(std::count_if(accepted.begin(), accepted.end(), [this](const std::string& id) { return !checker.hasSucceeded(id); }));
     }
 
     /// \returns Jobs of which something ran though no caller was told that they are kept.
     [[nodiscard]] std::size_t ranThoughRefused() const
     {
-        return static_cast<std::size_t>(std::count_if(m_refused.begin(), m_refused.end(), [this](const std::string& id) { return !accepted.contains(id) && witness.job(id) && witness.hasSucceeded(id); }));
+        return static_cast<std::size_t>(std::count_if(m_refused.begin(), m_refused.end(), [this](const std::string& id) { return !accepted.contains(id) && checker.job(id) && checker.hasSucceeded(id); }));
     }
 
     /// \returns What became of all organisations but the first `hot`.
@@ -175,8 +175,8 @@
             index = (index + 1) % entries();
         const JobSpec spec = job({ step(tasksOfJob) });
         const Caller caller { .queue = "work", .organisation = organisationName(organisation) };
-        witness.noteSubmitted(id, spec, 3);
-        witness.noteOrganisation(id, caller.organisation);
+        checker.noteSubmitted(id, spec, 3);
+        checker.noteOrganisation(id, caller.organisation);
         entry(index).submit(caller, id, spec, [this, id, left, organisation, index, caller](AcceptOutcome outcome) {
             refusals += outcome == AcceptOutcome::Refused ? 1 : 0;
             if (outcome == AcceptOutcome::Accepted) {
@@ -235,7 +235,7 @@
         others[enabled] = cluster.others(1);
         hot[enabled] = cluster.outcomes[0];
         CHECK(cluster.ranThoughRefused() == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         if (!enabled)
             continue;
         CHECK(cluster.refusals > 0);
@@ -266,7 +266,7 @@
         CHECK(cluster.refusals > 0);
         CHECK(cluster.others(hot).served() > 0.95);
         CHECK(cluster.ranThoughRefused() == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         REQUIRE(cluster.waitFor(Millis(30'000), [&] { return cluster.unserved() == 0; }));
     }
 }
@@ -301,6 +301,6 @@
     CHECK(cluster.refusals > refusals);
     CHECK(cluster.outcomes[0].accepted - accepted < 160);
     CHECK(cluster.ranThoughRefused() == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     REQUIRE(cluster.waitFor(Millis(60'000), [&] { return cluster.unserved() == 0; }));
 }
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -56,7 +56,7 @@
         if (key)
             request.headers.add("Api-Key", *key);
         if (method == "POST")
-            witness.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
+            checker.noteSubmitted(target.substr(target.rfind('/') + 1), { .payload = "x", .steps = { step(1) } }, 3);
         std::optional<HttpResponse> answer;
         platform::makeFront(entry(index))(request, [&](HttpResponse response) { answer = std::move(response); });
         REQUIRE(waitFor(Millis(3'000), [&] { return answer.has_value(); }));
@@ -129,7 +129,7 @@
     CHECK(cluster.ask("DELETE", "/q/" + jobId(1), "x").status == 401);
     CHECK(cluster.ask("GET", "/none/", "x").status == 404);
     cluster.clock.runFor(Millis(3'000));
-    CHECK(cluster.witness.starts() == 0);
+    CHECK(cluster.checker.starts() == 0);
     CHECK(cluster.ask("POST", "/q/" + jobId(1), "north-key", oneTask).status == 200);
     CHECK(cluster.ask("GET", "/q/", "south-other").status == 200);
     CHECK(cluster.ask("POST", "/open/" + jobId(2), std::nullopt, oneTask).status == 200);
@@ -159,7 +159,7 @@
     std::vector<AcceptOutcome> outcomes;
     for (std::size_t entry = 0; entry < 2; ++entry) {
         const Caller caller { .queue = "work", .organisation = entry == 0 ? "north" : "south" };
-        cluster.witness.noteSubmitted(jobId(1), job({ step(1) }), 3);
+        cluster.checker.noteSubmitted(jobId(1), job({ step(1) }), 3);
         cluster.entry(entry).submit(caller, jobId(1), job({ step(1) }), [&](AcceptOutcome outcome) { outcomes.push_back(outcome); });
     }
     cluster.clock.runFor(Millis(1'000));
@@ -178,7 +178,7 @@
     without.organisations = OrganisationTable({ { .name = "south", .keys = { ApiKeyDigest::of("south-key") } } });
     cluster.use(without);
     REQUIRE(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded); }));
-    CHECK(cluster.witness.starts() == 1);
+    CHECK(cluster.checker.starts() == 1);
     CHECK(cluster.ask("GET", "/q/" + jobId(1), "south-key").status == 403);
 }
 
@@ -214,7 +214,7 @@
     // Four instances of eight cores; the quota is five tasks of one core.
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 5'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
-    cluster.witness.noteQuota("north", { .milliCpu = 5'000 });
+    cluster.checker.noteQuota("north", { .milliCpu = 5'000 });
     for (std::uint64_t number = 1; number <= 4; ++number)
         cluster.submit(0, "work", jobId(number), job({ step(4) }), "north");
     cluster.submit(0, "work", jobId(9), job({ step(4) }), "south");
@@ -227,27 +227,27 @@
         const std::size_t up = cluster.isUp(0) ? 0 : 1;
         return cluster.shows(jobId(14), JobStatus::Succeeded, up) && cluster.shows(jobId(4), JobStatus::Succeeded, up);
     }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("What may run at a worker that a new owner has not met counts towards the quota")
 {
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 5'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
-    cluster.witness.noteQuota("north", { .milliCpu = 5'000 });
+    cluster.checker.noteQuota("north", { .milliCpu = 5'000 });
     cluster.submit(0, "work", jobId(1), job({ step(4) }), "north");
     cluster.clock.runFor(Millis(1'500));
     REQUIRE(cluster.inUse() == 4'000);
     for (auto& [id, worker] : cluster.workers.workers())
-        worker.trouble.cutOff = worker.trouble.cutOff || !worker.running.empty();
+        worker.faults.partitioned = worker.faults.partitioned || !worker.running.empty();
     cluster.kill(cluster.owner().value());
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.owner() && cluster.isUp(*cluster.owner()); }));
     cluster.clock.runFor(Millis(300));
     cluster.submit(*cluster.owner(), "work", jobId(2), job({ step(4) }), "north");
     cluster.submit(*cluster.owner(), "work", jobId(3), job({ step(2) }), "south");
     cluster.clock.runFor(Millis(1'000));
-    CHECK(cluster.witness.starts() == 4 + 1 + 2); // One task of north's fits, and both of south's.
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.starts() == 4 + 1 + 2); // One task of north's fits, and both of south's.
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A task that is larger than the quota runs when nothing else of its organisation does")
@@ -261,7 +261,7 @@
 {
     KeyedCluster cluster(withOrganisations(2, "north-key", { .milliCpu = 4'000 }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
-    cluster.witness.noteQuota("north", { .milliCpu = 4'000 });
+    cluster.checker.noteQuota("north", { .milliCpu = 4'000 });
     StepSpec gang = step(3);
     gang.gang = true;
     cluster.submit(0, "work", jobId(1), job({ step(2) }), "north");
@@ -270,7 +270,7 @@
     cluster.clock.runFor(Millis(1'000));
     CHECK(cluster.inUse() == 2'000);
     REQUIRE(cluster.waitFor(Millis(20'000), [&] { return cluster.shows(jobId(2), JobStatus::Succeeded); }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A quota that is lowered ends nothing and stops what would start")
@@ -285,7 +285,7 @@
     cluster.clock.runFor(Millis(500));
     CHECK(cluster.inUse() == 6'000);
     REQUIRE(cluster.waitFor(Millis(40'000), [&] { return cluster.shows(jobId(2), JobStatus::Succeeded); }));
-    CHECK(cluster.witness.starts() == 8);
+    CHECK(cluster.checker.starts() == 8);
 }
 
 TEST_CASE("Work that a quota holds back brings no instances to its pool, and operators are told why it waits")
--- a/tests/jobs/plain_entry_test.cpp
+++ b/tests/jobs/plain_entry_test.cpp
@@ -61,7 +61,7 @@
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         CHECK(cluster.status(i, cancelled) == JobStatus::Cancelled);
     CHECK(cluster.entry(3).jobs(std::nullopt, 10).size() <= 2);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A small entry instance does not read jobs that nobody asks it for")
@@ -118,30 +118,30 @@
         CHECK(cluster.owner() == 0U);
         CHECK(cluster.status(1 + small % 3, jobId(30)) == JobStatus::Succeeded);
         CHECK(cluster.status(1 + small % 3, jobId(1)) == JobStatus::Running);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
 TEST_CASE("A wave that was asked for before a small entry instance owned is carried out")
 {
     MixedCluster cluster;
-    cluster.askWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .mostAtOnce = 1 });
+    cluster.requestWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .mostAtOnce = 1 });
     cluster.kill(0);
     cluster.clock.runFor(Millis(25'000));
     const StoreItem* status = cluster.store.find(cluster.documents.waveStatusKey(1));
     REQUIRE(status);
     CHECK(status->value == "finished");
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 // Guards against refusals until the next read of the configuration, after a single answer was lost.
 TEST_CASE("A small entry instance takes jobs again as soon as the store has answered it")
 {
     MixedCluster cluster;
-    cluster.store.trouble.lostAnswers = 1;
+    cluster.store.faults.lostAnswers = 1;
     cluster.submit(1, "work", jobId(1), job({ step(1) }));
     cluster.clock.runFor(Millis(100));
-    cluster.store.trouble.lostAnswers = 0;
+    cluster.store.faults.lostAnswers = 0;
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.accepted().contains(jobId(1)); }));
     cluster.submit(1, "work", jobId(2), job({ step(1) }));
     CHECK(cluster.waitFor(Millis(50), [&] { return cluster.accepted().contains(jobId(2)); }));
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -53,8 +53,8 @@
         if (faults == Faults::Halls)
             addHalls();
         if (faults == Faults::Ending) {
-            m_cluster.workers.guards = false;
-            m_cluster.workers.endsWorker = [this](const Attempt& attempt) { return m_ending.contains(attempt.job) && attempt.task.index == 0; };
+            m_cluster.workers.enforcesCapacity = false;
+            m_cluster.workers.crashesWorker = [this](const Attempt& attempt) { return m_ending.contains(attempt.job) && attempt.task.index == 0; };
         }
     }
 
@@ -102,7 +102,7 @@
             m_cluster.workers.addInstance("s-" + std::to_string(i), "side", "r-s", capacity);
         for (int i = 0; i < 4; ++i)
             m_cluster.workers.addInstance("b-" + std::to_string(i), i < 2 ? "main" : "off", "r-b", capacity, "b");
-        m_cluster.workers.guards = false;
+        m_cluster.workers.enforcesCapacity = false;
         m_cluster.configure(twoPools());
         m_cluster.clock.runFor(Millis(500));
     }
@@ -114,7 +114,7 @@
     void addHalls()
     {
         const Resources capacity { .milliCpu = 8'000, .memoryMb = 16'000 };
-        m_cluster.workers.saves = true;
+        m_cluster.workers.savesCheckpoints = true;
         for (int i = 0; i < 10; ++i) {
             const std::string hall = i % 2 == 0 ? "hall-b" : "hall-c";
             m_cluster.workers.addInstance("h-" + std::to_string(i), i < 8 ? "main" : "off", "r-" + hall, capacity, "a", hall);
@@ -127,8 +127,8 @@
         const std::string hall = std::array { "hall", "hall-b", "hall-c" }.at(pickLater(0, 2));
         if (pickLater(0, 3) == 0) {
             // The store serves all other calls, and the owner must keep to the bound.
-            m_cluster.store.trouble.refusedRanges = m_cluster.documents.evacuationPrefix();
-            m_cluster.clock.after(Millis(pickLater(500, 9'000)), [this] { m_cluster.store.trouble.refusedRanges.clear(); });
+            m_cluster.store.faults.refusedRanges = m_cluster.documents.evacuationPrefix();
+            m_cluster.clock.after(Millis(pickLater(500, 9'000)), [this] { m_cluster.store.faults.refusedRanges.clear(); });
             return;
         }
         if (pickLater(0, 2) == 0) {
@@ -149,7 +149,7 @@
         for (const char* name : { "north", "south" }) {
             const Resources quota { .milliCpu = static_cast<std::int64_t>(pickLater(5, 12)) * core };
             organisations.push_back({ .name = name, .keys = { ApiKeyDigest::of(name) }, .weight = 1, .quota = quota });
-            m_cluster.witness.noteQuota(name, quota);
+            m_cluster.checker.noteQuota(name, quota);
         }
         organisations.push_back({ .name = "east", .keys = { ApiKeyDigest::of("east") } });
         configuration.organisations = OrganisationTable(std::move(organisations));
@@ -250,12 +250,12 @@
     {
         switch (pick(0, 6)) {
         case 0:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
+            m_cluster.checker.noteFaults(m_cluster.clock.now() + longestTrouble);
             faultOfStore();
             return;
         case 1:
         case 2:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
+            m_cluster.checker.noteFaults(m_cluster.clock.now() + longestTrouble);
             faultOfEntry();
             return;
         case 3:
@@ -268,22 +268,22 @@
 
     void faultOfStore()
     {
-        model::StoreTrouble& trouble = m_cluster.store.trouble;
+        model::StoreFaults& faults = m_cluster.store.faults;
         switch (pick(0, 5)) {
         case 0:
-            trouble.silent = true;
+            faults.unresponsive = true;
             break;
         case 1:
-            trouble.refusing = true;
+            faults.refusing = true;
             break;
         case 2:
-            trouble.lostAnswers = 0.3;
+            faults.lostAnswers = 0.3;
             break;
         case 3:
-            trouble.lateWrites = 0.3;
+            faults.lateWrites = 0.3;
             break;
         case 4:
-            trouble.answerTime = Millis(240);
+            faults.answerTime = Millis(240);
             break;
         default:
             m_cluster.store.compact();
@@ -291,7 +291,7 @@
                 m_cluster.store.revokeLeases();
             return;
         }
-        later(500, 5'000, [this] { m_cluster.store.trouble = {}; });
+        later(500, 5'000, [this] { m_cluster.store.faults = {}; });
     }
 
     void faultOfEntry()
@@ -331,29 +331,29 @@
             m_cluster.workers.crash(id, Millis(pick(500, 8'000)));
             return;
         case 1:
-            worker->trouble.cutOff = true;
+            worker->faults.partitioned = true;
             if (pick(0, 1) == 0)
                 m_cluster.store.remove(m_cluster.documents.workerPrefix() + id);
             break;
         case 2:
-            worker->trouble.lostAnswers = 0.3;
+            worker->faults.lostAnswers = 0.3;
             break;
         case 3:
-            worker->trouble.lateOrders = 0.3;
+            worker->faults.lateCommands = 0.3;
             break;
         case 4:
-            worker->trouble.failing = 0.5;
+            worker->faults.failing = 0.5;
             break;
         case 5:
-            worker->trouble.hanging = true;
+            worker->faults.stalled = true;
             break;
         default:
-            worker->trouble.dark = true;
+            worker->faults.crashed = true;
             m_cluster.workers.crash(id, Millis(pick(2'000, 20'000)));
             return;
         }
         later(500, 7'000, [this, id] {
-            m_cluster.workers.find(id)->trouble = {};
+            m_cluster.workers.find(id)->faults = {};
             if (m_cluster.workers.find(id)->alive)
                 m_cluster.store.put(m_cluster.documents.workerPrefix() + id, id);
         });
@@ -365,8 +365,8 @@
         const model::WorkerModel* first = anyWorker();
         if (!first)
             return;
-        const std::array<model::WorkerTrouble, 6> troubles { model::WorkerTrouble { .cutOff = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostOrders = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowBy = 8 } };
-        const model::WorkerTrouble trouble = troubles.at(pickLater(0, troubles.size() - 1));
+        const std::array<model::WorkerFaults, 6> troubles { model::WorkerFaults { .partitioned = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostCommands = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowdown = 8 } };
+        const model::WorkerFaults faults = troubles.at(pickLater(0, troubles.size() - 1));
         const bool isWholeRack = pickLater(0, 3) == 0;
         const std::string rack = first->entry.rack;
         const std::string id = first->entry.id;
@@ -376,16 +376,16 @@
                 touched.push_back(other);
         }
         for (const std::string& each : touched)
-            m_cluster.workers.find(each)->trouble = trouble;
+            m_cluster.workers.find(each)->faults = faults;
         m_cluster.clock.after(Millis(pickLater(500, 7'000)), [this, touched] {
             for (const std::string& each : touched)
-                m_cluster.workers.find(each)->trouble = {};
+                m_cluster.workers.find(each)->faults = {};
         });
     }
 
     void faultOfLinks()
     {
-        model::PeersTrouble& trouble = m_cluster.peers.trouble;
+        model::PeerFaults& faults = m_cluster.peers.faults;
         switch (pickLater(0, 4)) {
         case 0:
             m_cluster.peers.resetAll();
@@ -394,16 +394,16 @@
             m_cluster.peers.silenceAll();
             return;
         case 2:
-            trouble.silenced = 0.5;
+            faults.silentShare = 0.5;
             m_cluster.peers.resetAll();
             break;
         case 3:
-            trouble.delay = Millis(pickLater(100, 600));
+            faults.delay = Millis(pickLater(100, 600));
             break;
         default:
-            trouble.cutOff.insert(m_cluster.peerAddress(pickLater(0, m_cluster.entries() - 1)));
+            faults.partitioned.insert(m_cluster.peerAddress(pickLater(0, m_cluster.entries() - 1)));
         }
-        m_cluster.clock.after(Millis(pickLater(500, 4'000)), [this] { m_cluster.peers.trouble = {}; });
+        m_cluster.clock.after(Millis(pickLater(500, 4'000)), [this] { m_cluster.peers.faults = {}; });
     }
 
     /// Cuts two data halls from each other, or what one of them sends to the other.
@@ -417,7 +417,7 @@
             if (!isOneWay)
                 m_cluster.peers.cuts.setOneWay(b, a, cut);
         };
-        m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
+        m_cluster.checker.noteFaults(m_cluster.clock.now() + longestTrouble);
         set(true);
         m_cluster.clock.after(Millis(pickLater(100, 6'000)), [set] { set(false); });
     }
@@ -427,10 +427,10 @@
         model::WorkerModel* worker = anyWorker();
         switch (pickLater(0, m_faults == Faults::All || m_faults == Faults::Relayed || m_faults == Faults::Bridged || m_faults == Faults::Organised || m_faults == Faults::Quiet || m_faults == Faults::Restarting || m_faults == Faults::RestartingOften ? 4 : 3)) {
         case 0:
-            m_cluster.workers.fleetTrouble.lostAnswers = 0.5;
+            m_cluster.workers.fleetFaults.lostAnswers = 0.5;
             break;
         case 1:
-            m_cluster.workers.fleetTrouble.dropped = 0.5;
+            m_cluster.workers.fleetFaults.dropped = 0.5;
             break;
         case 2:
             if (worker)
@@ -441,13 +441,13 @@
                 m_cluster.workers.leave(worker->entry.id, false, Millis(pickLater(2'000, 6'000)));
             return;
         default:
-            m_cluster.witness.noteTrouble(m_cluster.clock.now() + longestTrouble);
-            m_cluster.store.trouble.silent = true;
-            m_cluster.store.trouble.leasesWait = true;
-            m_cluster.clock.after(Millis(pickLater(500, 6'000)), [this] { m_cluster.store.trouble = {}; });
+            m_cluster.checker.noteFaults(m_cluster.clock.now() + longestTrouble);
+            m_cluster.store.faults.unresponsive = true;
+            m_cluster.store.faults.leasesPaused = true;
+            m_cluster.clock.after(Millis(pickLater(500, 6'000)), [this] { m_cluster.store.faults = {}; });
             return;
         }
-        m_cluster.clock.after(Millis(pickLater(500, 5'000)), [this] { m_cluster.workers.fleetTrouble = {}; });
+        m_cluster.clock.after(Millis(pickLater(500, 5'000)), [this] { m_cluster.workers.fleetFaults = {}; });
     }
 
     void wave()
@@ -457,14 +457,14 @@
             if (pick(0, 1) == 0)
                 request.instances.push_back(id);
         }
-        m_cluster.askWave(request);
+        m_cluster.requestWave(request);
     }
 
     void heal()
     {
         m_cluster.clock.runFor(Millis(8'000));
-        m_cluster.store.trouble = {};
-        m_cluster.peers.trouble = {};
+        m_cluster.store.faults = {};
+        m_cluster.peers.faults = {};
         for (const char* hall : { "hall", "hall-b", "hall-c" }) {
             if (m_faults == Faults::Halls)
                 m_cluster.evacuate(hall, false);
@@ -477,17 +477,17 @@
     void check()
     {
         INFO("seed " << m_seed << ", instances " << instancesText());
-        for (const model::Breach& breach : m_cluster.witness.breaches())
+        for (const model::Breach& breach : m_cluster.checker.breaches())
             FAIL_CHECK(breach.rule << ' ' << breach.detail);
         for (const std::string& id : m_cluster.accepted()) {
             const std::optional<JobStatus> status = m_cluster.status(0, id);
             if (!status)
                 FAIL_CHECK("the accepted job " << id << " is not known");
-            else if (*status == JobStatus::Failed && !m_cluster.witness.mayHaveFailed(id))
+            else if (*status == JobStatus::Failed && !m_cluster.checker.mayHaveFailed(id))
                 FAIL_CHECK(id << " is shown as failed");
-            else if (*status == JobStatus::Succeeded && !m_cluster.witness.hasSucceeded(id))
+            else if (*status == JobStatus::Succeeded && !m_cluster.checker.hasSucceeded(id))
                 FAIL_CHECK(id << " is shown as succeeded");
-            else if (!isFinal(*status) && !m_cluster.witness.job(id)->steps[0].longRunning)
+            else if (!isFinal(*status) && !m_cluster.checker.job(id)->steps[0].longRunning)
                 FAIL_CHECK(id << " has not ended but is " << nameOf(*status));
         }
     }
--- a/tests/jobs/reachability_test.cpp
+++ b/tests/jobs/reachability_test.cpp
@@ -74,7 +74,7 @@
     explicit ThreeHalls(std::uint64_t seed = 1, double workersPerCore = 4, bool enabled = true)
         : model::JobCluster(seed, 6)
     {
-        relayAt(workersPerCore);
+        setWorkersPerCore(workersPerCore);
         Policies policies;
         policies.reachability.enabled = enabled;
         setPolicies(policies);
@@ -128,7 +128,7 @@
     {
         for (const std::string& id : accepted())
             CHECK(waitFor(Millis(20'000), [&] { return owner() && status(*owner(), id) == JobStatus::Succeeded; }));
-        CHECK(witness.breaches().empty());
+        CHECK(checker.breaches().empty());
     }
 
     std::uint64_t number = 0;
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -296,7 +296,7 @@
     Link link;
     link.renewAll(8);
     link.clock.runFor(Millis(100));
-    link.store.cutOff = true; // Both relays ask by the same client here.
+    link.store.partitioned = true; // Both relays ask by the same client here.
     const std::string payload(3'000, 'x');
     std::vector<OrderOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
@@ -316,7 +316,7 @@
     link.clock.runFor(Millis(40));
     CHECK(outcomes.size() == 16);
     // A payload that comes after all starts nothing a second time.
-    link.store.cutOff = false;
+    link.store.partitioned = false;
     link.clock.runFor(Millis(3'000));
     CHECK(link.byFirst.starts.size() + link.bySecond.starts.size() == 16);
 }
@@ -326,7 +326,7 @@
     Link link;
     link.renewAll(8);
     link.clock.runFor(Millis(100));
-    link.peers.trouble.cutOff = { "first" };
+    link.peers.faults.partitioned = { "first" };
     link.outcomes.clear();
     link.renewAll(8);
     link.clock.runFor(Millis(1'100));
@@ -343,7 +343,7 @@
     for (const auto& [id, result] : link.outcomes)
         CHECK(result.outcome == OrderOutcome::Done);
     // It is taken in again once it is reached.
-    link.peers.trouble.cutOff.clear();
+    link.peers.faults.partitioned.clear();
     link.clock.runFor(Millis(7'000));
     link.renewAll(8);
     link.clock.runFor(Millis(50));
@@ -410,7 +410,7 @@
     cluster.kill((owner + 1) % 3, true);
     for (std::uint64_t i = 1; i <= 6; ++i)
         CHECK(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(i), JobStatus::Succeeded, owner); }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Without a lost owner or relay nothing lapses and nothing is in doubt")
