--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -17,7 +17,7 @@
 
 void requireNoBreach(const model::JobCluster& cluster)
 {
-    for (const model::Breach& breach : cluster.witness.breaches())
+    for (const model::Breach& breach : cluster.checker.breaches())
         FAIL_CHECK(breach.rule << ' ' << breach.detail);
 }
 
@@ -36,8 +36,8 @@
 
     [[nodiscard]] std::size_t startsWithin(Millis time, std::size_t wanted)
     {
-        waitFor(time, [&] { return witness.starts() >= wanted; });
-        return witness.starts();
+        waitFor(time, [&] { return checker.starts() >= wanted; });
+        return checker.starts();
     }
 };
 
@@ -110,7 +110,7 @@
     long1.estimate = Millis(1'000);
     cluster.submit(0, "work", jobId(1), job({ long1 }));
     cluster.clock.runFor(Millis(4'000));
-    const std::uint64_t before = cluster.witness.starts();
+    const std::uint64_t before = cluster.checker.starts();
     for (int second = 0; second < 8; ++second) {
         cluster.submit(0, "other", jobId(10 + static_cast<std::uint64_t>(second)), job({ step(20) }));
         cluster.clock.runFor(Millis(1'000));
@@ -119,7 +119,7 @@
     for (const auto& [id, instance] : cluster.workers.instances())
         onSide += instance.pool == "side" ? 1 : 0;
     CHECK(onSide >= 3);
-    CHECK(cluster.witness.starts() > before);
+    CHECK(cluster.checker.starts() > before);
     requireNoBreach(cluster);
 }
 
@@ -146,7 +146,7 @@
     nowhere.preferredRack = "r-none";
     nowhere.estimate = Millis(30'000);
     cluster.submit(0, "work", jobId(1), job({ nowhere }));
-    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 4; }));
+    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.checker.starts() == 4; }));
 }
 
 TEST_CASE("What a cancelled job still runs counts until it is over, also for an owner that never knew the job")
@@ -154,21 +154,21 @@
     // Found on a changed deployment whose workers do not guard their room: attempts of a job that was over
     // when the owner changed were being stopped, and their room was given to others.
     SmallCluster cluster(1, 3, 1, 0);
-    cluster.workers.guards = false;
+    cluster.workers.enforcesCapacity = false;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.submit(0, "work", jobId(1), job({ step(8) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 8; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 8; }));
     const std::size_t owner = *cluster.owner();
     const std::size_t other = (owner + 1) % cluster.entries();
-    cluster.workers.on("m-0")->trouble.lateOrders = 1.0;
+    cluster.workers.on("m-0")->faults.lateCommands = 1.0;
     cluster.cancel(other, jobId(1));
     // The end is stored; the stops are not answered.
     cluster.clock.runFor(Millis(500));
     cluster.kill(owner);
-    cluster.workers.on("m-0")->trouble = {};
+    cluster.workers.on("m-0")->faults = {};
     cluster.submit(other, "work", jobId(2), job({ step(8) }));
     cluster.clock.runFor(Millis(6'000));
-    CHECK(cluster.witness.starts() == 16);
+    CHECK(cluster.checker.starts() == 16);
     requireNoBreach(cluster);
 }
 
@@ -181,7 +181,7 @@
     lasting.mostPerInstance = 0;
     cluster.submit(0, "work", jobId(1), job({ lasting }));
     REQUIRE(cluster.startsWithin(Millis(3'000), 4) == 4);
-    cluster.askWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .mostAtOnce = 1 });
+    cluster.requestWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .mostAtOnce = 1 });
     cluster.clock.runFor(Millis(10'000));
     CHECK(cluster.workers.on("b-0")->running.size() == 4);
     cluster.workers.addInstance("b-1", "off", "r-b", capacity, "b");
--- a/tests/jobs/resized_worker_test.cpp
+++ b/tests/jobs/resized_worker_test.cpp
@@ -18,7 +18,7 @@
     explicit ResizedCluster(std::uint64_t seed = 1, std::size_t instances = 4)
         : SmallCluster(seed, 3, instances, 0)
     {
-        workers.guards = false;
+        workers.enforcesCapacity = false;
         workers.runTimes = [](const Attempt&) { return Millis(1'500); };
     }
 
@@ -61,7 +61,7 @@
     CHECK(cluster.running() == 32);
     cluster.resizeAll(quarter);
     cluster.playWithJobs(Millis(12'000));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     CHECK(cluster.running() <= 8);
 }
 
@@ -74,7 +74,7 @@
     cluster.resizeAll(whole);
     cluster.playWithJobs(Millis(1'000));
     CHECK(cluster.running() == 32);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Room that shrank is kept over a change of owner")
@@ -90,7 +90,7 @@
         cluster.playWithJobs(Millis(8'000));
         cluster.start(owner);
         cluster.playWithJobs(Millis(6'000));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         CHECK(cluster.running() <= 8);
         CHECK(cluster.running() >= 6);
     }
@@ -99,7 +99,7 @@
 TEST_CASE("A pool whose workers shrink gets more of them")
 {
     SmallCluster cluster(1, 3, 2, 6);
-    cluster.workers.guards = false;
+    cluster.workers.enforcesCapacity = false;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(900); };
     std::uint64_t number = 0;
     const auto play = [&](int rounds) {
@@ -124,5 +124,5 @@
         CAPTURE(i);
         CHECK(cluster.shows(jobId(i), JobStatus::Succeeded));
     }
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -68,13 +68,13 @@
         REQUIRE(cluster.unserved() == 0);
         cluster.restartAll(returnsAfter);
         cluster.clock.runFor(returnsAfter + Millis(500));
-        const std::uint64_t startsBefore = cluster.witness.starts();
+        const std::uint64_t startsBefore = cluster.checker.starts();
         for (int i = 0; i < 4; ++i)
             cluster.handIn(8);
         cluster.clock.runFor(Millis(1'000));
         CHECK(cluster.unserved() == 0);
-        CHECK(cluster.witness.starts() - startsBefore == 4 * 8);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.starts() - startsBefore == 4 * 8);
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -83,13 +83,13 @@
     RestartCluster cluster;
     cluster.submit(0, "work", jobId(RestartCluster::firstLongJob), job({ step(12) }));
     cluster.clock.runFor(Millis(500));
-    const std::uint64_t startsBefore = cluster.witness.starts();
+    const std::uint64_t startsBefore = cluster.checker.starts();
     cluster.restartAll(Millis(50));
     cluster.clock.runFor(Millis(50 + 400));
-    CHECK(cluster.witness.starts() - startsBefore == 12);
+    CHECK(cluster.checker.starts() - startsBefore == 12);
     cluster.clock.runFor(Millis(8'000));
     CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An owner that has never met the former life takes up the new one")
@@ -107,7 +107,7 @@
     CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded, living));
     for (std::uint64_t i = 100; i < 103; ++i)
         CHECK(cluster.shows(jobId(i), JobStatus::Succeeded, living));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A worker that comes back under its id after its maintenance gets work")
@@ -118,7 +118,7 @@
     cluster.handIn(4);
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.unserved() == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("The start of a life is a whole number wherever a worker tells it")
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -13,7 +13,7 @@
 
 void requireNoBreach(const model::JobCluster& cluster)
 {
-    for (const model::Breach& breach : cluster.witness.breaches())
+    for (const model::Breach& breach : cluster.checker.breaches())
         FAIL_CHECK(breach.rule << ' ' << breach.detail);
 }
 
@@ -24,8 +24,8 @@
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ step(4), step(2, { 0 }) }));
     REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, 2); }));
-    CHECK(cluster.witness.hasSucceeded(jobId(1)));
-    CHECK(cluster.witness.starts() == 6);
+    CHECK(cluster.checker.hasSucceeded(jobId(1)));
+    CHECK(cluster.checker.starts() == 6);
     requireNoBreach(cluster);
 }
 
@@ -37,7 +37,7 @@
     REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded); }));
     cluster.submit(2, "work", jobId(1), job({ step(2) }));
     cluster.clock.runFor(Millis(3'000));
-    CHECK(cluster.witness.starts() == 2);
+    CHECK(cluster.checker.starts() == 2);
     requireNoBreach(cluster);
 }
 
@@ -45,10 +45,10 @@
 {
     SmallCluster cluster;
     for (auto& [id, worker] : cluster.workers.workers())
-        worker.trouble.failing = 1.0;
+        worker.faults.failing = 1.0;
     cluster.submit(0, "work", jobId(1), job({ step(1) }));
     REQUIRE(cluster.waitFor(Millis(20'000), [&] { return cluster.shows(jobId(1), JobStatus::Failed); }));
-    CHECK(cluster.witness.starts() == 3);
+    CHECK(cluster.checker.starts() == 3);
     requireNoBreach(cluster);
 }
 
@@ -56,9 +56,9 @@
 {
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ longStep(2) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 2; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 2; }));
     cluster.cancel(1, jobId(1));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.workerOf(jobId(1), {}).empty(); }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.workerOf(jobId(1), {}).empty(); }));
     CHECK(cluster.waitFor(Millis(2'000), [&] { return cluster.shows(jobId(1), JobStatus::Cancelled, 2); }));
     requireNoBreach(cluster);
 }
@@ -68,12 +68,12 @@
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(4'000); };
     cluster.submit(0, "work", jobId(1), job({ step(6) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 6; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 6; }));
     const std::size_t owner = cluster.owner().value();
     cluster.kill(owner);
     const std::size_t other = (owner + 1) % cluster.entries();
     REQUIRE(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(1), JobStatus::Succeeded, other); }));
-    CHECK(cluster.witness.starts() == 6);
+    CHECK(cluster.checker.starts() == 6);
     requireNoBreach(cluster);
 }
 
@@ -97,11 +97,11 @@
     // lease on and on, so that the tasks were away until the owner changed.
     SmallCluster cluster;
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
     cluster.clock.runFor(Millis(2'000));
-    const std::string lost = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
+    const std::string lost = cluster.checker.workerOf(jobId(1), { 0, 0, 0 });
     cluster.workers.crash(lost, Millis(60'000));
-    CHECK(cluster.waitFor(Millis(9'000), [&] { return !cluster.witness.workerOf(jobId(1), { 0, 0, 0 }).empty(); }));
+    CHECK(cluster.waitFor(Millis(9'000), [&] { return !cluster.checker.workerOf(jobId(1), { 0, 0, 0 }).empty(); }));
     requireNoBreach(cluster);
 }
 
@@ -110,13 +110,13 @@
     SmallCluster cluster;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.submit(0, "work", jobId(1), job({ step(2) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 2; }));
-    const std::string lost = cluster.witness.workerOf(jobId(1), {});
-    cluster.workers.find(lost)->trouble.cutOff = true;
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 2; }));
+    const std::string lost = cluster.checker.workerOf(jobId(1), {});
+    cluster.workers.find(lost)->faults.partitioned = true;
     cluster.store.remove(cluster.documents.workerPrefix() + lost);
     cluster.clock.runFor(Millis(20'000));
-    CHECK(cluster.witness.workerOf(jobId(1), {}) != lost);
-    CHECK_FALSE(cluster.witness.workerOf(jobId(1), {}).empty());
+    CHECK(cluster.checker.workerOf(jobId(1), {}) != lost);
+    CHECK_FALSE(cluster.checker.workerOf(jobId(1), {}).empty());
     requireNoBreach(cluster);
 }
 
@@ -125,15 +125,15 @@
     // Found on prc-montevideo trouble-2: tasks on a silent worker counted as at work.
     SmallCluster cluster(1, 3, 6, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(4) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 4; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 4; }));
     cluster.clock.runFor(Millis(2'000));
-    const std::string lost = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
+    const std::string lost = cluster.checker.workerOf(jobId(1), { 0, 0, 0 });
     cluster.workers.crash(lost, Millis(600'000));
     cluster.clock.runFor(Millis(4'400));
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(20'000), .mostAtOnce = 3 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
-    cluster.askWave(wave);
+    cluster.requestWave(wave);
     cluster.clock.runFor(Millis(8'000));
     requireNoBreach(cluster);
 }
@@ -147,7 +147,7 @@
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(40'000), .mostAtOnce = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
-    cluster.askWave(wave);
+    cluster.requestWave(wave);
     CHECK(cluster.waitFor(Millis(40'000), [&] {
         const StoreItem* status = cluster.store.find(cluster.documents.waveStatusKey(1));
         return status && status->value == "finished";
@@ -163,7 +163,7 @@
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
-    cluster.askWave(wave);
+    cluster.requestWave(wave);
     cluster.clock.runFor(Millis(4'000));
     cluster.kill(cluster.owner().value());
     CHECK(cluster.waitFor(Millis(60'000), [&] {
@@ -179,13 +179,13 @@
     // owner changed, so its instance looked empty and was maintained.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
     cluster.clock.runFor(Millis(2'000));
-    const std::string hidden = cluster.witness.workerOf(jobId(1), {});
-    cluster.workers.find(hidden)->trouble.cutOff = true;
+    const std::string hidden = cluster.checker.workerOf(jobId(1), {});
+    cluster.workers.find(hidden)->faults.partitioned = true;
     cluster.kill(cluster.owner().value());
     cluster.clock.runFor(Millis(2'000));
-    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(hidden)->instance }, .duration = Millis(10'000), .mostAtOnce = 1 });
+    cluster.requestWave({ .number = 1, .instances = { cluster.workers.find(hidden)->instance }, .duration = Millis(10'000), .mostAtOnce = 1 });
     cluster.clock.runFor(Millis(1'500));
     CHECK(cluster.workers.find(hidden)->alive);
     requireNoBreach(cluster);
@@ -217,7 +217,7 @@
     large.needs = { .milliCpu = 500, .memoryMb = 9'000 };
     large.mostPerInstance = 0;
     cluster.submit(0, "work", jobId(1), job({ large }));
-    CHECK(cluster.waitFor(Millis(6'000), [&] { return cluster.witness.starts() == 6; }));
+    CHECK(cluster.waitFor(Millis(6'000), [&] { return cluster.checker.starts() == 6; }));
     requireNoBreach(cluster);
 }
 
@@ -227,13 +227,13 @@
     // number that a step with one task an instance needs, and its task never ran again.
     SmallCluster cluster(1, 3, 8, 1);
     cluster.submit(0, "work", jobId(1), job({ longStep(5) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 5; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 5; }));
     // Load that is seen and over: from then on idle instances are switched off.
     cluster.submit(0, "work", jobId(2), job({ step(1) }));
     cluster.clock.runFor(Millis(25'000));
-    const std::string lost = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
+    const std::string lost = cluster.checker.workerOf(jobId(1), { 0, 0, 0 });
     cluster.workers.crash(lost, Millis(600'000));
-    CHECK(cluster.waitFor(Millis(12'000), [&] { return !cluster.witness.workerOf(jobId(1), { 0, 0, 0 }).empty(); }));
+    CHECK(cluster.waitFor(Millis(12'000), [&] { return !cluster.checker.workerOf(jobId(1), { 0, 0, 0 }).empty(); }));
     requireNoBreach(cluster);
 }
 
@@ -244,8 +244,8 @@
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.submit(0, "work", jobId(1), job({ step(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
-    const std::string hidden = cluster.witness.workerOf(jobId(1), {});
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
+    const std::string hidden = cluster.checker.workerOf(jobId(1), {});
     // As after an outage in which entries lapsed: the list names no life on the instance either.
     if (GENERATE(false, true))
         cluster.workers.unlisted.insert(hidden);
@@ -259,7 +259,7 @@
     cluster.store.put(cluster.documents.workerPrefix() + hidden, hidden);
     cluster.workers.unlisted.clear();
     cluster.clock.runFor(Millis(4'000));
-    CHECK(cluster.witness.workerOf(jobId(1), {}) == hidden);
+    CHECK(cluster.checker.workerOf(jobId(1), {}) == hidden);
     requireNoBreach(cluster);
 }
 
@@ -271,7 +271,7 @@
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 2 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
-    cluster.askWave(wave);
+    cluster.requestWave(wave);
     const auto isDown = [](const auto& entry) { return entry.second.state == FleetState::InMaintenance; };
     const auto down = [&] { return std::count_if(cluster.workers.instances().begin(), cluster.workers.instances().end(), isDown); };
     REQUIRE(cluster.waitFor(Millis(4'000), [&] { return down() == 2; }));
@@ -286,14 +286,14 @@
 {
     // Every instance of the wave but one at a time may stay; answers are lost, acts are not.
     SmallCluster cluster(1, 3, 4, 4);
-    cluster.workers.fleetTrouble.lostAnswers = 1;
+    cluster.workers.fleetFaults.lostAnswers = 1;
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .mostAtOnce = 1 };
     for (const auto& [id, instance] : cluster.workers.instances())
         wave.instances.push_back(id);
-    cluster.askWave(wave);
+    cluster.requestWave(wave);
     cluster.clock.runFor(Millis(8'000));
     requireNoBreach(cluster);
-    cluster.workers.fleetTrouble = {};
+    cluster.workers.fleetFaults = {};
     CHECK(cluster.waitFor(Millis(40'000), [&] {
         const StoreItem* status = cluster.store.find(cluster.documents.waveStatusKey(1));
         return status && status->value == "finished";
@@ -305,16 +305,16 @@
 {
     // The pool shrinks, every act is lost, and then work comes that needs all workers.
     SmallCluster cluster(1, 3, 4, 0);
-    cluster.workers.fleetTrouble.dropped = 1;
+    cluster.workers.fleetFaults.dropped = 1;
     cluster.submit(0, "work", jobId(2), job({ step(1) }));
     REQUIRE(cluster.waitFor(Millis(12'000), [&] { return cluster.workers.dropped() > 0; }));
     cluster.clock.runFor(Millis(2'000));
-    cluster.workers.fleetTrouble = {};
+    cluster.workers.fleetFaults = {};
     StepSpec spread = step(4);
     spread.mostPerInstance = 1;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(3'000); };
     cluster.submit(0, "work", jobId(1), job({ spread }));
-    CHECK(cluster.waitFor(Millis(5'500), [&] { return cluster.witness.starts() == 5; }));
+    CHECK(cluster.waitFor(Millis(5'500), [&] { return cluster.checker.starts() == 5; }));
     requireNoBreach(cluster);
 }
 
@@ -325,12 +325,12 @@
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(20'000); };
     cluster.submit(0, "work", jobId(1), job({ step(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
-    const std::string hidden = cluster.witness.workerOf(jobId(1), {});
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
+    const std::string hidden = cluster.checker.workerOf(jobId(1), {});
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         cluster.kill(i);
     cluster.store.remove(cluster.documents.workerPrefix() + hidden);
-    cluster.workers.find(hidden)->trouble.cutOff = true;
+    cluster.workers.find(hidden)->faults.partitioned = true;
     cluster.clock.runFor(Millis(1'000));
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         cluster.start(i);
@@ -349,11 +349,11 @@
     const std::size_t first = cluster.owner().value();
     const std::size_t other = (first + 1) % cluster.entries();
     cluster.submit(other, "work", jobId(1), job({ step(2), step(2, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 2; }));
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 2; }));
     cluster.cutWatches(first, true);
     cluster.cancel(other, jobId(1));
     cluster.submit(other, "work", jobId(2), job({ step(1) }));
-    CHECK(cluster.waitFor(Millis(15'000), [&] { return cluster.witness.hasSucceeded(jobId(2)); }));
+    CHECK(cluster.waitFor(Millis(15'000), [&] { return cluster.checker.hasSucceeded(jobId(2)); }));
     CHECK(cluster.owner() != first);
     requireNoBreach(cluster);
 }
@@ -380,11 +380,11 @@
     // kept all inherited tasks waiting for the longest lease, 6.6 s.
     SmallCluster cluster(1, 3, 4, 0);
     cluster.submit(0, "work", jobId(1), job({ step(1), step(1, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 1; }));
-    const std::string busy = cluster.witness.workerOf(jobId(1), {});
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 1; }));
+    const std::string busy = cluster.checker.workerOf(jobId(1), {});
     cluster.workers.crash(busy == "i-1" ? "i-2" : "i-1", Millis(600'000));
     cluster.kill(cluster.owner().value());
-    CHECK(cluster.waitFor(Millis(4'500), [&] { return cluster.witness.hasSucceeded(jobId(1)); }));
+    CHECK(cluster.waitFor(Millis(4'500), [&] { return cluster.checker.hasSucceeded(jobId(1)); }));
     requireNoBreach(cluster);
 }
 
@@ -394,16 +394,16 @@
     // which had got no answer, was sent again.
     SmallCluster cluster(1, 3, 5, 0);
     cluster.submit(0, "work", jobId(1), job({ longStep(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
     cluster.clock.runFor(Millis(2'000));
-    const std::string maintained = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
-    const std::string draining = cluster.witness.workerOf(jobId(1), { 0, 0, 1 });
-    cluster.workers.find(maintained)->trouble.lateOrders = 1;
-    cluster.askWave({ .number = 1, .instances = { cluster.workers.find(maintained)->instance }, .duration = Millis(20'000), .mostAtOnce = 1 });
+    const std::string maintained = cluster.checker.workerOf(jobId(1), { 0, 0, 0 });
+    const std::string draining = cluster.checker.workerOf(jobId(1), { 0, 0, 1 });
+    cluster.workers.find(maintained)->faults.lateCommands = 1;
+    cluster.requestWave({ .number = 1, .instances = { cluster.workers.find(maintained)->instance }, .duration = Millis(20'000), .mostAtOnce = 1 });
     cluster.clock.runFor(Millis(700));
     cluster.workers.leave(draining, true, Millis(6'000));
     cluster.clock.runFor(Millis(100));
-    cluster.workers.find(maintained)->trouble.lateOrders = 0;
+    cluster.workers.find(maintained)->faults.lateCommands = 0;
     cluster.clock.runFor(Millis(8'000));
     requireNoBreach(cluster);
 }
@@ -417,12 +417,12 @@
     const std::size_t first = cluster.owner().value();
     const std::size_t other = (first + 1) % cluster.entries();
     cluster.submit(other, "work", jobId(1), job({ step(2), step(2, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 2; }));
-    cluster.store.trouble.silent = true;
-    cluster.store.trouble.leasesWait = true;
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 2; }));
+    cluster.store.faults.unresponsive = true;
+    cluster.store.faults.leasesPaused = true;
     cluster.clock.runFor(Millis(4'000));
-    cluster.store.trouble = {};
-    CHECK(cluster.waitFor(Millis(1'500), [&] { return cluster.witness.starts() == 4; }));
+    cluster.store.faults = {};
+    CHECK(cluster.waitFor(Millis(1'500), [&] { return cluster.checker.starts() == 4; }));
     CHECK(cluster.owner() == first);
     requireNoBreach(cluster);
 }
@@ -434,18 +434,18 @@
     SmallCluster cluster(1, 3, 2, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.submit(0, "work", jobId(1), job({ step(1) }));
-    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.witness.starts() == 1; }));
+    REQUIRE(cluster.waitFor(Millis(2'000), [&] { return cluster.checker.starts() == 1; }));
     for (auto& [id, worker] : cluster.workers.workers())
-        worker.trouble.lateOrders = 1;
+        worker.faults.lateCommands = 1;
     cluster.cancel(0, jobId(1));
     cluster.clock.runFor(Millis(100));
-    cluster.store.trouble.silent = true;
-    cluster.store.trouble.leasesWait = true;
+    cluster.store.faults.unresponsive = true;
+    cluster.store.faults.leasesPaused = true;
     cluster.clock.runFor(Millis(2'900));
     for (auto& [id, worker] : cluster.workers.workers())
-        worker.trouble = {};
-    cluster.store.trouble = {};
-    CHECK(cluster.waitFor(Millis(1'800), [&] { return cluster.witness.workerOf(jobId(1), {}).empty(); }));
+        worker.faults = {};
+    cluster.store.faults = {};
+    CHECK(cluster.waitFor(Millis(1'800), [&] { return cluster.checker.workerOf(jobId(1), {}).empty(); }));
     requireNoBreach(cluster);
 }
 
@@ -454,7 +454,7 @@
     SmallCluster cluster(1, 3, 2, 0);
     cluster.submit(0, "work", jobId(1), job({ step(1) }));
     cluster.submit(0, "work", jobId(2), job({ longStep(1) }));
-    REQUIRE(cluster.waitFor(Millis(4'000), [&] { return cluster.accepted().contains(jobId(1)) && cluster.witness.hasSucceeded(jobId(1)); }));
+    REQUIRE(cluster.waitFor(Millis(4'000), [&] { return cluster.accepted().contains(jobId(1)) && cluster.checker.hasSucceeded(jobId(1)); }));
     cluster.clock.runFor(Millis(60'000));
     cluster.kill(cluster.owner().value());
     cluster.clock.runFor(Millis(58'000));
@@ -475,7 +475,7 @@
     SmallCluster cluster(1, 3, 2, 4);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
     cluster.submit(0, "work", jobId(1), job({ step(40) }));
-    REQUIRE(cluster.waitFor(Millis(6'000), [&] { return cluster.witness.hasSucceeded(jobId(1)); }));
+    REQUIRE(cluster.waitFor(Millis(6'000), [&] { return cluster.checker.hasSucceeded(jobId(1)); }));
     const auto isOff = [](const auto& entry) { return entry.second.pool == "off" && entry.second.state == FleetState::Up; };
     const auto off = [&] { return std::count_if(cluster.workers.instances().begin(), cluster.workers.instances().end(), isOff); };
     REQUIRE(cluster.waitFor(Millis(20'000), [&] { return off() == 4; }));
@@ -485,7 +485,7 @@
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.owner().has_value() && cluster.owner() != owner; }));
     cluster.workers.runTimes = [](const Attempt&) { return Millis(60'000); };
     cluster.submit((owner + 1) % 3, "work", jobId(2), job({ step(48) }));
-    CHECK(cluster.waitFor(Millis(4'000), [&] { return cluster.witness.starts() == 88; }));
+    CHECK(cluster.waitFor(Millis(4'000), [&] { return cluster.checker.starts() == 88; }));
     requireNoBreach(cluster);
 }
 
@@ -502,13 +502,13 @@
     cluster.clock.runFor(Millis(1'000));
     const std::size_t owner = cluster.owner().value();
     cluster.submit(owner, "work", jobId(1), job({ step(3) }));
-    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.witness.starts() == 3; }));
+    REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 3; }));
     cluster.clock.runFor(Millis(1'000));
-    const std::string leaving = cluster.witness.workerOf(jobId(1), {});
+    const std::string leaving = cluster.checker.workerOf(jobId(1), {});
     cluster.workers.hidden.insert(cluster.workers.find(leaving)->instance);
     cluster.store.remove(cluster.documents.workerPrefix() + leaving);
     cluster.clock.runFor(Millis(4'000));
-    CHECK(cluster.witness.workerOf(jobId(1), {}) == leaving);
+    CHECK(cluster.checker.workerOf(jobId(1), {}) == leaving);
     requireNoBreach(cluster);
 }
 
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -31,7 +31,7 @@
         , client(store, process)
         , mirror(process, client, { .prefix = "a/", .leastGap = leastGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
     {
-        store.trouble.mostEvents = 100;
+        store.faults.maxEvents = 100;
         mirror.start();
         clock.runFor(Millis(50));
     }
@@ -78,7 +78,7 @@
     WatchedStore watched(1, Millis(0));
     watched.mirror.pause();
     watched.write(10'000);
-    watched.store.trouble.lostPages = 0.4;
+    watched.store.faults.lostPages = 0.4;
     watched.mirror.resume({});
     watched.clock.runFor(Millis(70'000));
     CHECK(watched.mirror.revisionOf("a/9999") != 0);
@@ -136,8 +136,8 @@
 TEST_CASE("An instance whose copy lags behind gives no count of a queue's waiting jobs that it can't know")
 {
     SmallCluster cluster(1, 2, 0, 0);
-    cluster.store.trouble.mostEvents = 100;
-    cluster.store.trouble.answerTime = Millis(600);
+    cluster.store.faults.maxEvents = 100;
+    cluster.store.faults.answerTime = Millis(600);
     std::deque<std::size_t> accepted; // At the end of each tenth of a second.
     std::uint64_t number = 0;
     std::size_t counts = 0;
@@ -155,7 +155,7 @@
         counts += count ? 1 : 0;
     }
     CHECK(counts < 70);
-    cluster.store.trouble.answerTime = Millis(4);
+    cluster.store.faults.answerTime = Millis(4);
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.pending(1, "work") == cluster.accepted().size());
 }
--- a/tests/jobs/store_outage_test.cpp
+++ b/tests/jobs/store_outage_test.cpp
@@ -15,16 +15,16 @@
 
 struct Outage {
     std::string name;
-    StoreTrouble trouble;
+    StoreFaults faults;
 };
 
 const std::vector<Outage>& outages()
 {
     static const std::vector<Outage> all {
-        { "refusing", { .leasesWait = true, .refusing = true } },
-        { "silent", { .leasesWait = true, .silent = true } },
-        { "silent, leases end", { .silent = true } },
-        { "answers lost", { .leasesWait = true, .lostAnswers = 1 } },
+        { "refusing", { .leasesPaused = true, .refusing = true } },
+        { "silent", { .leasesPaused = true, .unresponsive = true } },
+        { "silent, leases end", { .unresponsive = true } },
+        { "answers lost", { .leasesPaused = true, .lostAnswers = 1 } },
         { "a third of the answers lost, a third of the writes late", { .lostAnswers = 0.33, .lateWrites = 0.33 } },
     };
     return all;
@@ -42,21 +42,21 @@
         REQUIRE(waitFor(Millis(5'000), [&] { return shows(jobId(1), JobStatus::Succeeded); }));
     }
 
-    void beginOutage(const StoreTrouble& trouble)
+    void beginOutage(const StoreFaults& faults)
     {
-        store.trouble = trouble;
-        witness.noteTrouble(clock.now() + outageTime + settleTime);
+        store.faults = faults;
+        checker.noteFaults(clock.now() + outageTime + settleTime);
     }
 
     /// Ends the outage, and checks that all that was accepted ends as it should.
     void endOutage()
     {
-        store.trouble = {};
+        store.faults = {};
         CHECK(waitFor(settleTime, [&] {
-            return std::all_of(accepted().begin(), accepted().end(), [&](const std::string& id) { return witness.hasSucceeded(id) && shows(id, JobStatus::Succeeded, anyUp()); });
+            return std::all_of(accepted().begin(), accepted().end(), [&](const std::string& id) { return checker.hasSucceeded(id) && shows(id, JobStatus::Succeeded, anyUp()); });
         }));
         clock.runFor(Millis(8'000));
-        for (const Breach& breach : witness.breaches())
+        for (const Breach& breach : checker.breaches())
             FAIL_CHECK(breach.rule << ' ' << breach.detail);
     }
 
@@ -73,7 +73,7 @@
             OutageCluster cluster(11);
             cluster.submit(1, "work", jobId(2), job({ step(2) }));
             cluster.clock.runFor(Millis(1));
-            cluster.beginOutage(outage.trouble);
+            cluster.beginOutage(outage.faults);
             cluster.submit(2, "work", jobId(3), job({ step(2) }));
             cluster.clock.runFor(outageTime);
             cluster.endOutage();
@@ -91,7 +91,7 @@
                 OutageCluster cluster(12);
                 cluster.submit(1, "work", jobId(2), job({ step(6), step(6, { 0 }) }));
                 cluster.clock.runFor(Millis(begin));
-                cluster.beginOutage(outage.trouble);
+                cluster.beginOutage(outage.faults);
                 cluster.clock.runFor(outageTime);
                 cluster.endOutage();
             }
@@ -109,7 +109,7 @@
             for (std::uint64_t i = 2; i < 12; ++i)
                 cluster.submit(i % 3, "work", jobId(i), job({ step(8) }));
             cluster.clock.runFor(Millis(150));
-            cluster.beginOutage(outage.trouble);
+            cluster.beginOutage(outage.faults);
             cluster.clock.runFor(outageTime / 2);
             if (const std::optional<std::size_t> owner = cluster.owner())
                 cluster.kill(*owner);
@@ -128,12 +128,12 @@
             for (std::uint64_t i = 2; i < 8; ++i)
                 cluster.submit(i % 3, "work", jobId(i), job({ step(4), step(4, { 0 }) }));
             cluster.clock.runFor(Millis(100));
-            cluster.beginOutage(outage.trouble);
+            cluster.beginOutage(outage.faults);
             cluster.clock.runFor(outageTime);
-            cluster.store.trouble = {};
+            cluster.store.faults = {};
             cluster.submit(0, "work", jobId(8), job({ step(4) }));
             cluster.clock.runFor(Millis(2'000));
-            cluster.beginOutage(outage.trouble);
+            cluster.beginOutage(outage.faults);
             cluster.clock.runFor(outageTime);
             cluster.endOutage();
         }
@@ -147,11 +147,11 @@
     for (std::uint64_t i = 2; i < 8; ++i)
         cluster.submit(i % 3, "work", jobId(i), job({ step(4), step(4, { 0 }) }));
     cluster.clock.runFor(Millis(100));
-    cluster.beginOutage({ .silent = true });
+    cluster.beginOutage({ .unresponsive = true });
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         cluster.cutFromStore(i, true);
     cluster.clock.runFor(outageTime / 2);
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     SECTION("for the owner last")
     {
         for (std::size_t i = 0; i < cluster.entries(); ++i)
@@ -172,10 +172,10 @@
 {
     SmallCluster cluster(3);
     const std::size_t owner = cluster.owner().value();
-    cluster.store.trouble = { .leasesWait = true, .silent = true };
+    cluster.store.faults = { .leasesPaused = true, .unresponsive = true };
     cluster.clock.runFor(Millis(4'300));
     CHECK(!cluster.entry(owner).shards().front().ownedHere);
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     cluster.clock.runFor(Millis(300));
     CHECK(cluster.entry(owner).shards().front().ownedHere);
     CHECK(cluster.entry(owner).shards().front().copyAgeMillis <= 300);
@@ -216,15 +216,15 @@
     CHECK(shows("lanemoor_unsaved_changes 0"));
     cluster.submit(owner, "work", jobId(1), job({ step(2) }));
     cluster.clock.runFor(Millis(300));
-    cluster.store.trouble = { .leasesWait = true, .refusing = true };
+    cluster.store.faults = { .leasesPaused = true, .refusing = true };
     cluster.clock.runFor(Millis(1'500));
     CHECK(shows("lanemoor_store_condition{state=\"refused\"} 1"));
     CHECK(shows("lanemoor_store_condition{state=\"writing\"} 0"));
     CHECK(shows("lanemoor_unsaved_changes 1"));
-    cluster.store.trouble = { .leasesWait = true, .lostAnswers = 1 };
+    cluster.store.faults = { .leasesPaused = true, .lostAnswers = 1 };
     cluster.clock.runFor(Millis(1'500));
     CHECK(shows("lanemoor_store_condition{state=\"reading-only\"} 1"));
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     cluster.clock.runFor(Millis(1'500));
     CHECK(shows("lanemoor_store_condition{state=\"writing\"} 1"));
     CHECK(shows("lanemoor_unsaved_changes 0"));
@@ -234,14 +234,14 @@
 TEST_CASE("A job is accepted within 400 ms though the answers to all writes are lost")
 {
     SmallCluster cluster(18);
-    cluster.store.trouble = { .leasesWait = true, .lostAnswers = 1 };
+    cluster.store.faults = { .leasesPaused = true, .lostAnswers = 1 };
     cluster.submit(0, "work", jobId(1), job({ step(2) }));
     CHECK(cluster.waitFor(Millis(1'700), [&] { return cluster.accepted().contains(jobId(1)); }));
     // By now the response times are known: the first calls may wait 800 ms.
-    cluster.store.trouble = {};
+    cluster.store.faults = {};
     cluster.submit(0, "work", jobId(2), job({ step(2) }));
     cluster.clock.runFor(Millis(1'000));
-    cluster.store.trouble = { .leasesWait = true, .lostAnswers = 1 };
+    cluster.store.faults = { .leasesPaused = true, .lostAnswers = 1 };
     cluster.submit(0, "work", jobId(3), job({ step(2) }));
     CHECK(cluster.waitFor(Millis(400), [&] { return cluster.accepted().contains(jobId(3)); }));
     CHECK(cluster.entry(0).metrics().find("lanemoor_store_hedges_total{outcome=\"confirmed\"} 0") == std::string::npos);
--- a/tests/jobs/support.h
+++ b/tests/jobs/support.h
@@ -76,7 +76,7 @@
     explicit SmallCluster(std::uint64_t seed = 1, std::size_t entries = 3, std::size_t instances = 4, std::size_t reserve = 2, double workersPerCore = 0, Millis evacuationTime = Millis(0), bool hasHalls = false)
         : model::JobCluster(seed, entries)
     {
-        relayAt(workersPerCore);
+        setWorkersPerCore(workersPerCore);
         setEvacuationTime(evacuationTime);
         workers.addReserve("off");
         for (std::size_t i = 0; i < instances + reserve; ++i)
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -139,8 +139,8 @@
     cluster.clock.runFor(Millis(2'400));
     cluster.submit(0, "work", jobId(3), job({ step(6) }));
     cluster.clock.runFor(Millis(600));
-    CHECK_FALSE(cluster.witness.workerOf(jobId(1), { 0, 1, 0 }).empty());
-    CHECK(cluster.witness.workerOf(jobId(2), { 0, 0, 0 }).empty());
-    CHECK_FALSE(cluster.witness.workerOf(jobId(3), { 0, 0, 0 }).empty());
+    CHECK_FALSE(cluster.checker.workerOf(jobId(1), { 0, 1, 0 }).empty());
+    CHECK(cluster.checker.workerOf(jobId(2), { 0, 0, 0 }).empty());
+    CHECK_FALSE(cluster.checker.workerOf(jobId(3), { 0, 0, 0 }).empty());
     CHECK(cluster.waitFor(Millis(9'000), [&] { return cluster.shows(jobId(2), JobStatus::Succeeded); }));
 }
--- a/tests/jobs/unanswered_order_test.cpp
+++ b/tests/jobs/unanswered_order_test.cpp
@@ -31,20 +31,20 @@
     void loseOrders(double share)
     {
         for (auto& [worker, model] : workers.workers())
-            model.trouble.lostOrders = share;
+            model.faults.lostCommands = share;
     }
 
     void crashTwo()
     {
         for (std::uint32_t index : { 0U, 1U })
-            workers.crash(witness.workerOf(id, { 0, 0, index }), Millis(60'000));
+            workers.crash(checker.workerOf(id, { 0, 0, index }), Millis(60'000));
     }
 
     [[nodiscard]] std::uint32_t running()
     {
         std::uint32_t count = 0;
         for (std::uint32_t index = 0; index < tasks; ++index)
-            count += witness.workerOf(id, { 0, 0, index }).empty() ? 0 : 1;
+            count += checker.workerOf(id, { 0, 0, index }).empty() ? 0 : 1;
         return count;
     }
 
@@ -65,7 +65,7 @@
     cluster.loseOrders(0);
     cluster.clock.runFor(Millis(3'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Tasks whose starts and stops were left unanswered come to work again under the next owner")
@@ -79,43 +79,43 @@
     cluster.loseOrders(0);
     cluster.clock.runFor(Millis(10'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// The same wait by another way: what stands still on its worker counts as away for the others that do.
 TEST_CASE("Tasks that stand still on two workers at once are started again, and come to work when the workers do")
 {
     LongRunningCluster cluster;
-    const auto hang = [&](bool hanging) {
+    const auto hang = [&](bool stalled) {
         for (auto& [worker, model] : cluster.workers.workers())
-            model.trouble.hanging = hanging && (worker == "i-6" || worker == "i-7");
+            model.faults.stalled = stalled && (worker == "i-6" || worker == "i-7");
     };
     hang(true);
     cluster.crashTwo();
     cluster.clock.runFor(Millis(5'000));
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.clock.runFor(Millis(12'000));
-    CHECK(cluster.witness.starts() >= starts + 2);
+    CHECK(cluster.checker.starts() >= starts + 2);
     hang(false);
     cluster.clock.runFor(Millis(15'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 namespace {
 
 /// Plays one job after another on six workers, three of which are in `trouble`.
 struct UnansweredCluster : SmallCluster {
-    explicit UnansweredCluster(const model::WorkerTrouble& trouble)
+    explicit UnansweredCluster(const model::WorkerFaults& faults)
         : SmallCluster(1, 3, 6, 2)
     {
         workers.runTimes = [](const Attempt&) { return Millis(300); };
         for (std::uint64_t number = 1; number <= jobs; ++number) {
             for (auto& [id, worker] : workers.workers())
-                worker.trouble = worker.instance < "m-3" ? trouble : model::WorkerTrouble {};
+                worker.faults = worker.instance < "m-3" ? faults : model::WorkerFaults {};
             submit(0, "work", jobId(number), job({ step(6) }));
             const MonotonicInstant begin = clock.now();
-            waitFor(Millis(20'000), [&] { return witness.hasSucceeded(jobId(number)) && shows(jobId(number), JobStatus::Succeeded); });
+            waitFor(Millis(20'000), [&] { return checker.hasSucceeded(jobId(number)) && shows(jobId(number), JobStatus::Succeeded); });
             m_times.push_back(std::chrono::duration_cast<Millis>(clock.now() - begin));
         }
         std::sort(m_times.begin(), m_times.end());
@@ -135,10 +135,10 @@
 /// Guards against waiting for three calls to time out in a row before a task starts elsewhere.
 TEST_CASE("A start that is left unanswered costs its job tenths of a second")
 {
-    const UnansweredCluster cluster({ .lateOrders = 0.3 });
+    const UnansweredCluster cluster({ .lateCommands = 0.3 });
     CHECK(cluster.time(0.5) <= Millis(700));
     CHECK(cluster.time(0.9) <= Millis(1'500));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against learning the ends at a worker only after a renewal has timed out, and against closing the worker meanwhile.
@@ -147,5 +147,5 @@
     const UnansweredCluster cluster({ .lostRenewals = 0.3 });
     CHECK(cluster.time(0.5) <= Millis(600));
     CHECK(cluster.time(0.9) <= Millis(1'500));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
--- a/tests/jobs/worker_entry_test.cpp
+++ b/tests/jobs/worker_entry_test.cpp
@@ -114,20 +114,20 @@
     cluster.workers.runTimes = [](const Attempt&) { return Millis(4'000); };
     cluster.submit(0, "work", jobId(1), job({ step(9) }));
     cluster.clock.runFor(Millis(600));
-    const std::string spoilt = cluster.witness.workerOf(jobId(1), { 0, 0, 0 });
+    const std::string spoilt = cluster.checker.workerOf(jobId(1), { 0, 0, 0 });
     REQUIRE_FALSE(spoilt.empty());
-    const std::uint64_t startsBefore = cluster.witness.starts();
+    const std::uint64_t startsBefore = cluster.checker.starts();
     cluster.documents.workers.erase(spoilt);
     cluster.store.put(cluster.documents.workerPrefix() + spoilt, "\xff no entry");
     cluster.clock.runFor(Millis(300));
     cluster.submit(0, "work", jobId(2), job({ step(7) }));
     cluster.clock.runFor(Millis(600));
     for (std::uint32_t i = 0; i < 7; ++i)
-        CHECK(cluster.witness.workerOf(jobId(2), { 0, 0, i }) != spoilt);
-    CHECK(cluster.witness.starts() > startsBefore);
-    CHECK(cluster.witness.workerOf(jobId(1), { 0, 0, 0 }) == spoilt);
+        CHECK(cluster.checker.workerOf(jobId(2), { 0, 0, i }) != spoilt);
+    CHECK(cluster.checker.starts() > startsBefore);
+    CHECK(cluster.checker.workerOf(jobId(1), { 0, 0, 0 }) == spoilt);
     cluster.clock.runFor(Millis(12'000));
     CHECK(cluster.shows(jobId(1), JobStatus::Succeeded));
     CHECK(cluster.shows(jobId(2), JobStatus::Succeeded));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -16,16 +16,16 @@
 constexpr unsigned ok = 200;
 constexpr unsigned gone = 410;
 constexpr unsigned unknownOutcome = 504;
-constexpr Millis callTime { 6'000 };
+constexpr Millis callTimeout { 6'000 };
 constexpr Millis closeMargin { 200 }; // An unanswered call that ends this long before its deadline counts as closed by the peer.
-constexpr Millis balancerPause { 100 };
-constexpr Millis balancerTime { 500 };
+constexpr Millis balancerInterval { 100 };
+constexpr Millis balancerTimeout { 500 };
 constexpr Millis retryPause { 1'000 };
 constexpr std::int64_t meanPause = 80; // Milliseconds between submissions.
 constexpr unsigned burstJobs = 16;
-constexpr unsigned mostTries = 4;
-constexpr unsigned mostSteps = 2;
-constexpr unsigned mostTasks = 4;
+constexpr unsigned maxTries = 4;
+constexpr unsigned maxSteps = 2;
+constexpr unsigned maxTasks = 4;
 constexpr unsigned probeTime = 50; // ms
 constexpr std::uint32_t attempts = 3; // Equals max_attempts in the configuration.
 constexpr unsigned failingOneIn = 30;
@@ -46,7 +46,7 @@
     return step;
 }
 
-Submission judge(const aio::HttpReply& reply)
+Submission classifyReply(const aio::HttpReply& reply)
 {
     if (reply.delivery == Delivery::NotSent)
         return Submission::Refused;
@@ -57,10 +57,10 @@
 
 } // namespace
 
-Callers::Callers(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<void()> drainEvents)
+Callers::Callers(aio::AsioEventLoop& loop, SoakCluster& cluster, GuaranteeMonitor& guarantees, std::function<void()> drainEvents)
     : m_loop(loop)
     , m_cluster(cluster)
-    , m_promises(promises)
+    , m_guarantees(guarantees)
     , m_drainEvents(std::move(drainEvents))
     , m_client(loop, { .mostConnections = 256 })
     , m_balancer(loop, { .mostConnections = 2 })
@@ -106,24 +106,24 @@
     json payload { { "ms", time } };
     if (happens(failingOneIn))
         payload["fails"] = true;
-    SubmittedJob job { .id = id.data(), .tasks = {}, .mostAttempts = attempts };
+    SubmittedJob job { .id = id.data(), .tasks = {}, .maxAttempts = attempts };
     json steps = json::array();
-    const auto count = 1 + static_cast<unsigned>(m_random() % mostSteps);
+    const auto count = 1 + static_cast<unsigned>(m_random() % maxSteps);
     for (unsigned number = 0; number < count; ++number) {
-        job.tasks.push_back(1 + static_cast<std::uint32_t>(m_random() % mostTasks));
+        job.tasks.push_back(1 + static_cast<std::uint32_t>(m_random() % maxTasks));
         steps.push_back(stepOf(job.tasks.back(), number, time));
     }
-    m_promises.noteSubmitted(job);
+    m_guarantees.noteSubmitted(job);
     m_queues[job.id] = happens(2) ? "alpha" : "beta";
     const json body { { "spec", payload.dump() }, { "steps", steps } };
-    return { .id = job.id, .queue = m_queues[job.id], .body = body.dump(), .triesLeft = happens(triedOnceOneIn) ? 1 : mostTries };
+    return { .id = job.id, .queue = m_queues[job.id], .body = body.dump(), .triesLeft = happens(triedOnceOneIn) ? 1 : maxTries };
 }
 
 std::string Callers::probe(unsigned entry)
 {
     const json body { { "spec", json { { "ms", probeTime } }.dump() }, { "steps", json::array({ stepOf(1, 0, probeTime) }) } };
     Call call = makeCall();
-    m_promises.noteSubmitted({ .id = call.id, .tasks = { 1 }, .mostAttempts = attempts });
+    m_guarantees.noteSubmitted({ .id = call.id, .tasks = { 1 }, .maxAttempts = attempts });
     call.body = body.dump();
     call.triesLeft = 1;
     submit(call, entry);
@@ -139,8 +139,8 @@
 
 void Callers::onAnswer(Call call, const aio::HttpReply& reply)
 {
-    const Submission answer = judge(reply);
-    m_promises.noteAnswer(call.id, answer);
+    const Submission answer = classifyReply(reply);
+    m_guarantees.noteAnswer(call.id, answer);
     m_counts.refusals += answer == Submission::Refused ? 1 : 0;
     m_counts.unknown += answer == Submission::Unknown ? 1 : 0;
     if (answer == Submission::Accepted || --call.triesLeft == 0)
@@ -150,18 +150,18 @@
 
 void Callers::cancelLater(const Call& call)
 {
-    constexpr std::uint64_t mostPause = 2'000;
-    m_loop.callAt(m_loop.now() + Millis(static_cast<std::int64_t>(m_random() % mostPause)), [this, id = call.id] { cancel(id, mostTries); });
+    constexpr std::uint64_t maxPause = 2'000;
+    m_loop.callAt(m_loop.now() + Millis(static_cast<std::int64_t>(m_random() % maxPause)), [this, id = call.id] { cancel(id, maxTries); });
 }
 
 void Callers::cancel(const std::string& id, unsigned triesLeft)
 {
-    m_promises.noteCancelSent(id);
+    m_guarantees.noteCancelSent(id);
     HttpRequest request { .method = "DELETE", .target = '/' + m_queues[id] + '/' + id, .headers = {}, .body = {} };
     send(readyEntry(), std::move(request), id, [this, id, triesLeft](const aio::HttpReply& reply) {
         if (reply.delivery == Delivery::Answered && reply.response.status == ok) {
             ++m_counts.cancels;
-            m_promises.noteCancelled(id, now());
+            m_guarantees.noteCancelled(id, now());
         } else if (triesLeft > 1 && !(reply.delivery == Delivery::Answered && reply.response.status == gone)) {
             m_loop.callAt(m_loop.now() + retryPause, [this, id, triesLeft] { cancel(id, triesLeft - 1); });
         }
@@ -170,7 +170,7 @@
 
 void Callers::askForOpenJobs()
 {
-    for (const std::string& id : m_promises.openJobs()) {
+    for (const std::string& id : m_guarantees.openJobs()) {
         if (m_asked.insert(id).second)
             ask(id);
     }
@@ -186,9 +186,9 @@
         m_drainEvents();
         const json body = json::parse(reply.response.body, nullptr, false);
         if (reply.response.status == gone)
-            m_promises.noteStatus(id, {}, now());
+            m_guarantees.noteStatus(id, {}, now());
         else if (reply.response.status == ok && body.is_object())
-            m_promises.noteStatus(id, body.value("state", ""), now());
+            m_guarantees.noteStatus(id, body.value("state", ""), now());
     });
 }
 
@@ -196,13 +196,13 @@
 {
     request.headers.add("Host", names::host);
     const SoakCluster::Entry& target = m_cluster.entries()[entry];
-    const jobs::MonotonicInstant deadline = m_loop.now() + callTime;
+    const jobs::MonotonicInstant deadline = m_loop.now() + callTimeout;
     m_client.send(target.front(), { .request = std::move(request), .deadline = deadline }, [this, &target, id, deadline, incarnation = target.incarnation, wasReady = target.isReady, done = std::move(done)](const aio::HttpReply& reply) {
         const bool isClosed = reply.delivery == Delivery::Unanswered && m_loop.now() + closeMargin < deadline;
         const bool mayHaveBeenKilled = target.isKilled || target.incarnation != incarnation;
         // A load balancer sends no requests to a process that reports not ready.
         if (isClosed && wasReady && !mayHaveBeenKilled)
-            m_promises.noteCut(target.name, id, now());
+            m_guarantees.noteClosedEarly(target.name, id, now());
         done(reply);
     });
 }
@@ -213,7 +213,7 @@
         if (!entry.process)
             continue;
         const HttpRequest request { .method = "GET", .target = "/", .headers = {}, .body = {} };
-        m_balancer.send(entry.readiness(), { .request = request, .deadline = m_loop.now() + balancerTime }, [this, &entry, incarnation = entry.incarnation](const aio::HttpReply& reply) {
+        m_balancer.send(entry.readiness(), { .request = request, .deadline = m_loop.now() + balancerTimeout }, [this, &entry, incarnation = entry.incarnation](const aio::HttpReply& reply) {
             const bool isReady = reply.delivery == Delivery::Answered && reply.response.status == ok;
             if (incarnation != entry.incarnation)
                 return;
@@ -222,7 +222,7 @@
             entry.isReady = isReady;
         });
     }
-    m_loop.callAt(m_loop.now() + balancerPause, [this] { balance(); });
+    m_loop.callAt(m_loop.now() + balancerInterval, [this] { balance(); });
 }
 
 unsigned Callers::readyEntry()
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -2,9 +2,9 @@
 /// \file
 /// Simulated callers of the job service, and the load balancer that chooses a process for each request.
 
+#include "guarantee_monitor.h"
 #include "lanemoor/aio/asio_event_loop.h"
 #include "lanemoor/aio/http_client.h"
-#include "promises.h"
 #include "soak_cluster.h"
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 class Callers {
 public:
     /// \param drainEvents Reads the worker events written so far; called before a status is checked.
-    Callers(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<void()> drainEvents);
+    Callers(aio::AsioEventLoop& loop, SoakCluster& cluster, GuaranteeMonitor& guarantees, std::function<void()> drainEvents);
 
     /// \brief Submits jobs at random times until `end`.
     void submitUntil(jobs::MonotonicInstant end);
@@ -68,7 +68,7 @@
 
     aio::AsioEventLoop& m_loop;
     SoakCluster& m_cluster;
-    Promises& m_promises;
+    GuaranteeMonitor& m_guarantees;
     std::function<void()> m_drainEvents;
     aio::HttpClient m_client;
     aio::HttpClient m_balancer;
--- a/tests/soak/checks_test.cpp
+++ b/tests/soak/checks_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the soak's guarantee checks and fault plan. A check that never fires would let every soak run pass.
 #include "soak/fault_plan.h"
-#include "soak/promises.h"
+#include "soak/guarantee_monitor.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,18 +15,18 @@
     return { { "event", kind }, { "at", at }, { "worker", worker }, { "task", task }, { "run", 1 }, { "hall", "hall-0" } };
 }
 
-Promises withJob()
+GuaranteeMonitor withJob()
 {
-    Promises promises;
-    promises.noteSubmitted({ .id = job, .tasks = { 1, 1 }, .mostAttempts = 3 });
-    return promises;
+    GuaranteeMonitor guarantees;
+    guarantees.noteSubmitted({ .id = job, .tasks = { 1, 1 }, .maxAttempts = 3 });
+    return guarantees;
 }
 
-std::vector<std::string> brokenIn(const Promises& promises)
+std::vector<std::string> brokenIn(const GuaranteeMonitor& guarantees)
 {
     std::vector<std::string> broken;
-    for (const Breach& breach : promises.breaches())
-        broken.push_back(breach.promise);
+    for (const Breach& breach : guarantees.breaches())
+        broken.push_back(breach.guarantee);
     return broken;
 }
 
@@ -34,63 +34,63 @@
 
 } // namespace
 
-TEST_CASE("The soak notices two attempts at once, and none where the first has ended")
+TEST_CASE("The soak detects two concurrent attempts of a task, but not successive ones")
 {
-    Promises promises = withJob();
-    promises.noteEvent(event("start", 1));
-    promises.noteEvent(event("lapsed", 2));
-    promises.noteEvent(event("start", 3, "w-2"));
-    CHECK(promises.breaches().empty());
-    promises.noteEvent(event("start", 4, "w-3"));
-    CHECK(brokenIn(promises) == Names { promise::oneAttemptAtOnce });
+    GuaranteeMonitor guarantees = withJob();
+    guarantees.noteEvent(event("start", 1));
+    guarantees.noteEvent(event("lapsed", 2));
+    guarantees.noteEvent(event("start", 3, "w-2"));
+    CHECK(guarantees.breaches().empty());
+    guarantees.noteEvent(event("start", 4, "w-3"));
+    CHECK(brokenIn(guarantees) == Names { guarantee::oneAttemptAtOnce });
 }
 
-TEST_CASE("The soak notices a start after an acknowledged success")
+TEST_CASE("The soak detects a start after an acknowledged success")
 {
-    Promises promises = withJob();
-    promises.noteEvent(event("start", 1));
-    promises.noteEvent(event("done", 2));
-    promises.noteEvent(event("start", 3));
-    promises.noteEvent(event("done", 4));
-    CHECK(promises.breaches().empty());
-    promises.noteEvent(event("stored", 5));
-    promises.noteEvent(event("start", 6));
-    CHECK(brokenIn(promises) == Names { promise::noneAfterSuccess });
+    GuaranteeMonitor guarantees = withJob();
+    guarantees.noteEvent(event("start", 1));
+    guarantees.noteEvent(event("done", 2));
+    guarantees.noteEvent(event("start", 3));
+    guarantees.noteEvent(event("done", 4));
+    CHECK(guarantees.breaches().empty());
+    guarantees.noteEvent(event("stored", 5));
+    guarantees.noteEvent(event("start", 6));
+    CHECK(brokenIn(guarantees) == Names { guarantee::noneAfterSuccess });
 }
 
-TEST_CASE("The soak notices a step that starts before the one it depends on")
+TEST_CASE("The soak detects a step that starts before the step it depends on")
 {
-    Promises promises = withJob();
-    promises.noteEvent(event("start", 1, "w-1", "00000000000000aa.0.1.0"));
-    CHECK(brokenIn(promises) == Names { promise::stepsInOrder });
+    GuaranteeMonitor guarantees = withJob();
+    guarantees.noteEvent(event("start", 1, "w-1", "00000000000000aa.0.1.0"));
+    CHECK(brokenIn(guarantees) == Names { guarantee::stepsInOrder });
 }
 
-TEST_CASE("The soak notices accepted jobs that do not end, are not known, or are shown as what they are not")
+TEST_CASE("The soak detects accepted jobs that never end, are unknown to the service, or have a wrong status")
 {
-    Promises promises = withJob();
-    promises.noteAnswer(job, Submission::Accepted);
-    promises.noteStatus(job, "running", 1);
-    CHECK(promises.openJobs() == Names { job });
-    promises.noteStatus(job, "", 2);
-    promises.noteStatus(job, "", 2);
-    promises.finish(3);
-    CHECK(brokenIn(promises) == Names { promise::acceptedJobsKnown, promise::acceptedJobsEnd });
+    GuaranteeMonitor guarantees = withJob();
+    guarantees.noteAnswer(job, Submission::Accepted);
+    guarantees.noteStatus(job, "running", 1);
+    CHECK(guarantees.openJobs() == Names { job });
+    guarantees.noteStatus(job, "", 2);
+    guarantees.noteStatus(job, "", 2);
+    guarantees.finish(3);
+    CHECK(brokenIn(guarantees) == Names { guarantee::acceptedJobsKnown, guarantee::acceptedJobsEnd });
     for (const char* status : { "succeeded", "failed", "cancelled" }) {
-        Promises others = withJob();
+        GuaranteeMonitor others = withJob();
         others.noteAnswer(job, Submission::Accepted);
         others.noteStatus(job, status, 1);
-        CHECK(brokenIn(others) == Names { promise::statusIsTrue });
+        CHECK(brokenIn(others) == Names { guarantee::statusIsTrue });
     }
 }
 
-TEST_CASE("The soak notices a refused job that runs, but not one whose answer was lost")
+TEST_CASE("The soak detects a refused job that runs, unless an answer to its submission was lost")
 {
-    Promises refused = withJob();
+    GuaranteeMonitor refused = withJob();
     refused.noteAnswer(job, Submission::Refused);
     refused.noteEvent(event("start", 1));
     refused.finish(2);
-    CHECK(brokenIn(refused) == Names { promise::refusalsAreTrue });
-    Promises lost = withJob();
+    CHECK(brokenIn(refused) == Names { guarantee::refusalsAreTrue });
+    GuaranteeMonitor lost = withJob();
     lost.noteAnswer(job, Submission::Refused);
     lost.noteAnswer(job, Submission::Unknown);
     lost.noteEvent(event("start", 1));
@@ -98,37 +98,37 @@
     CHECK(lost.breaches().empty());
 }
 
-TEST_CASE("The soak notices late starts in evacuated halls and of cancelled jobs, but not of processes out of contact")
+TEST_CASE("The soak detects late starts in evacuated halls and of cancelled jobs, but not shortly after faults")
 {
     for (const bool inTrouble : { false, true }) {
-        Promises promises = withJob();
+        GuaranteeMonitor guarantees = withJob();
         if (inTrouble)
-            promises.noteTrouble(14'000);
-        promises.noteEvacuation("hall-0", 10'000);
-        promises.noteEvent(event("start", 15'000));
-        promises.noteEvent(event("lapsed", 15'000));
-        CHECK(promises.breaches().empty());
-        promises.noteCancelled(job, 10'000);
-        promises.noteEvent(event("start", 15'001));
-        CHECK(brokenIn(promises) == (inTrouble ? Names {} : Names { promise::nothingUnasked, promise::evacuatedHallsRest }));
+            guarantees.noteFaults(14'000);
+        guarantees.noteEvacuation("hall-0", 10'000);
+        guarantees.noteEvent(event("start", 15'000));
+        guarantees.noteEvent(event("lapsed", 15'000));
+        CHECK(guarantees.breaches().empty());
+        guarantees.noteCancelled(job, 10'000);
+        guarantees.noteEvent(event("start", 15'001));
+        CHECK(brokenIn(guarantees) == (inTrouble ? Names {} : Names { guarantee::nothingUnasked, guarantee::evacuatedHallsRest }));
     }
 }
 
-TEST_CASE("The soak notices a configuration that reverts and acts of two owners within their interval")
+TEST_CASE("The soak detects a configuration that reverts, and acts of two owners within the min interval")
 {
-    Promises promises;
-    promises.noteConfiguration("entry-0", 2, 1);
-    promises.noteConfiguration("entry-1", 1, 2);
-    CHECK(promises.breaches().empty());
-    promises.noteConfiguration("entry-0", 1, 3);
+    GuaranteeMonitor guarantees;
+    guarantees.noteConfiguration("entry-0", 2, 1);
+    guarantees.noteConfiguration("entry-1", 1, 2);
+    CHECK(guarantees.breaches().empty());
+    guarantees.noteConfiguration("entry-0", 1, 3);
     const auto act = [](std::int64_t at, int fence) { return nlohmann::json { { "event", "act" }, { "at", at }, { "instance", "m-0" }, { "fence", fence } }; };
-    promises.noteEvent(act(10'000, 1));
-    promises.noteEvent(act(13'000, 2));
-    promises.noteEvent(act(15'999, 3));
-    CHECK(brokenIn(promises) == Names { promise::configurationNeverReverts, promise::ownersApart });
+    guarantees.noteEvent(act(10'000, 1));
+    guarantees.noteEvent(act(13'000, 2));
+    guarantees.noteEvent(act(15'999, 3));
+    CHECK(brokenIn(guarantees) == Names { guarantee::configurationNeverReverts, guarantee::ownersApart });
 }
 
-TEST_CASE("A seed determines the soak's plan, whose calm parts meet neither processes nor store")
+TEST_CASE("A seed determines the fault plan, whose calm phases disturb neither processes nor the store")
 {
     constexpr unsigned seconds = 60;
     CHECK(planFaults(7, seconds) == planFaults(7, seconds));
--- a/tests/soak/child.cpp
+++ b/tests/soak/child.cpp
@@ -15,7 +15,7 @@
 constexpr mode_t logMode = 0644;
 
 /// Runs in the child, between fork and exec.
-[[noreturn]] void become(const std::string& program, char* const* arguments, const std::string& output, pid_t parent)
+[[noreturn]] void execProgram(const std::string& program, char* const* arguments, const std::string& output, pid_t parent)
 {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     // The parent may have ended before the call above.
@@ -41,7 +41,7 @@
     if (m_pid < 0)
         throw std::runtime_error("can't start " + program);
     if (m_pid == 0)
-        become(program, values.data(), output, parent);
+        execProgram(program, values.data(), output, parent);
 }
 
 Child::~Child()
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -10,16 +10,16 @@
 constexpr Millis cycle { 30'000 };
 constexpr Millis calmFrom { 18'000 }; // From this offset to the end of each cycle, only workers fail and operators act.
 constexpr Millis evacuationFrom { 15'000 };
-constexpr Millis evacuationTime { 14'000 };
+constexpr Millis evacuationDuration { 14'000 };
 constexpr unsigned ownerOneIn = 2; // One in this many process faults targets the owner.
 
 /// A sequence of non-overlapping faults with random pauses between them.
 struct Series {
     std::vector<FaultKind> kinds;
-    Millis leastPause { 0 };
-    Millis mostPause { 0 };
-    Millis leastDuration { 0 };
-    Millis mostDuration { 0 };
+    Millis minPause { 0 };
+    Millis maxPause { 0 };
+    Millis minDuration { 0 };
+    Millis maxDuration { 0 };
     bool alsoInCalm = false;
 };
 
@@ -37,19 +37,19 @@
     return series;
 }
 
-Millis between(std::mt19937_64& random, Millis least, Millis most)
+Millis between(std::mt19937_64& random, Millis shortest, Millis longest)
 {
     // Not std::uniform_int_distribution: its results differ between standard libraries.
-    const auto span = static_cast<std::uint64_t>((most - least).count()) + 1;
-    return least + Millis(static_cast<std::int64_t>(random() % span));
+    const auto span = static_cast<std::uint64_t>((longest - shortest).count()) + 1;
+    return shortest + Millis(static_cast<std::int64_t>(random() % span));
 }
 
 void planSeries(const Series& series, std::mt19937_64& random, Millis end, std::vector<PlannedFault>& faults)
 {
     Millis at { 0 };
     while (true) {
-        at += between(random, series.leastPause, series.mostPause);
-        PlannedFault fault { .at = at, .duration = between(random, series.leastDuration, series.mostDuration) };
+        at += between(random, series.minPause, series.maxPause);
+        PlannedFault fault { .at = at, .duration = between(random, series.minDuration, series.maxDuration) };
         fault.kind = series.kinds[random() % series.kinds.size()];
         fault.onOwner = random() % ownerOneIn == 0;
         fault.target = static_cast<unsigned>(random());
@@ -126,8 +126,8 @@
     }
     std::seed_seq numbers { seed, ++number };
     std::mt19937_64 random(numbers);
-    for (Millis at = evacuationFrom; at + evacuationTime <= end; at += cycle)
-        faults.push_back({ .at = at, .duration = evacuationTime, .kind = FaultKind::EvacuateHall, .hall = static_cast<unsigned>(random()) });
+    for (Millis at = evacuationFrom; at + evacuationDuration <= end; at += cycle)
+        faults.push_back({ .at = at, .duration = evacuationDuration, .kind = FaultKind::EvacuateHall, .hall = static_cast<unsigned>(random()) });
     std::stable_sort(faults.begin(), faults.end(), [](const PlannedFault& a, const PlannedFault& b) { return a.at < b.at; });
     return faults;
 }
--- a/tests/soak/fault_runner.cpp
+++ b/tests/soak/fault_runner.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-constexpr Millis requestsLeave { 2 }; // Shorter than the store's response time, so that the burst is still in flight at SIGTERM.
-constexpr Millis stopCheck { 20 };
+constexpr Millis burstLeadTime { 2 }; // Shorter than the store's response time, so that the burst is still in flight at SIGTERM.
+constexpr Millis stopPollInterval { 20 };
 constexpr Millis stopLimit { 12'000 }; // Twice the grace period in the settings.
 constexpr Millis slowAnswer { 240 }; // 60 times the store's usual response time.
 constexpr double lostShare = 0.35;
@@ -22,10 +22,10 @@
 
 } // namespace
 
-FaultRunner::FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record)
+FaultRunner::FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, GuaranteeMonitor& guarantees, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record)
     : m_loop(loop)
     , m_cluster(cluster)
-    , m_promises(promises)
+    , m_guarantees(guarantees)
     , m_owner(std::move(owner))
     , m_beforeStop(std::move(beforeStop))
     , m_record(record)
@@ -84,7 +84,7 @@
         beginOnWorker(fault);
         return;
     case FaultKind::ChangeConfiguration:
-        tell(nameOf(fault.kind), { { "version", m_cluster.configurationVersion() + 1 } });
+        logFault(nameOf(fault.kind), { { "version", m_cluster.configurationVersion() + 1 } });
         m_cluster.configure();
         return;
     case FaultKind::EvacuateHall:
@@ -106,9 +106,9 @@
     // At least one process stays undisturbed.
     if (m_disturbed.contains(process) || m_disturbed.size() + 1 >= m_cluster.entries().size())
         return;
-    tell(nameOf(fault.kind), { { "process", m_cluster.entries()[process].name }, { "ms", fault.duration.count() } });
+    logFault(nameOf(fault.kind), { { "process", m_cluster.entries()[process].name }, { "ms", fault.duration.count() } });
     m_disturbed.insert(process);
-    m_promises.noteTrouble(unixNow() + fault.duration.count());
+    m_guarantees.noteFaults(unixNow() + fault.duration.count());
     if (fault.kind == FaultKind::PauseProcess)
         pause(process, fault.duration);
     else if (fault.kind == FaultKind::KillProcess)
@@ -138,7 +138,7 @@
 void FaultRunner::stop(unsigned process, Millis time)
 {
     m_beforeStop(process);
-    after(requestsLeave, [this, process, time] {
+    after(burstLeadTime, [this, process, time] {
         SoakCluster::Entry& entry = m_cluster.entries()[process];
         entry.isStopping = true;
         entry.process->signal(SIGTERM);
@@ -156,16 +156,16 @@
         return;
     }
     if (!hasEnded && now >= limit) {
-        m_promises.noteStopTooLong(entry.name, unixNow());
+        m_guarantees.noteStopTooLong(entry.name, unixNow());
         kill(process, Millis(0));
         return;
     }
-    after(stopCheck, [this, process, restartAt, limit] { awaitStop(process, restartAt, limit); });
+    after(stopPollInterval, [this, process, restartAt, limit] { awaitStop(process, restartAt, limit); });
 }
 
 void FaultRunner::restart(unsigned process)
 {
-    m_promises.noteTrouble(unixNow());
+    m_guarantees.noteFaults(unixNow());
     m_cluster.startEntry(process);
     m_disturbed.erase(process);
 }
@@ -183,8 +183,8 @@
         faults["lost_answers"] = lostShare;
     else
         faults["late_writes"] = lostShare;
-    tell(nameOf(fault.kind), { { "ms", fault.duration.count() } });
-    m_promises.noteTrouble(unixNow() + fault.duration.count());
+    logFault(nameOf(fault.kind), { { "ms", fault.duration.count() } });
+    m_guarantees.noteFaults(unixNow() + fault.duration.count());
     m_cluster.control("/store-faults", faults);
     after(fault.duration, [this] { m_cluster.control("/store-faults", json::object()); });
 }
@@ -194,8 +194,8 @@
     const unsigned process = processOf(fault);
     SoakCluster::Entry& entry = m_cluster.entries()[process];
     const unsigned hall = fault.hall % m_cluster.options().halls;
-    tell(nameOf(fault.kind), { { "process", entry.name }, { "hall", hallName(hall) }, { "ms", fault.duration.count() } });
-    m_promises.noteTrouble(unixNow() + fault.duration.count());
+    logFault(nameOf(fault.kind), { { "process", entry.name }, { "hall", hallName(hall) }, { "ms", fault.duration.count() } });
+    m_guarantees.noteFaults(unixNow() + fault.duration.count());
     const std::shared_ptr<Path>& toHall = entry.toHalls[hall];
     switch (fault.kind) {
     case FaultKind::CutProcessFromStore:
@@ -234,7 +234,7 @@
 void FaultRunner::beginOnWorker(const PlannedFault& fault)
 {
     const std::string instance = m_cluster.instance(fault.target);
-    tell(nameOf(fault.kind), { { "instance", instance }, { "ms", fault.duration.count() } });
+    logFault(nameOf(fault.kind), { { "instance", instance }, { "ms", fault.duration.count() } });
     if (fault.kind == FaultKind::KillWorker || fault.kind == FaultKind::RestartWorker) {
         m_cluster.control("/kill", { { "instance", instance }, { "back_ms", fault.duration.count() }, { "keeps_id", fault.kind == FaultKind::RestartWorker } });
         return;
@@ -247,16 +247,16 @@
 void FaultRunner::evacuate(const PlannedFault& fault)
 {
     const std::string hall = hallName(fault.hall % m_cluster.options().halls);
-    tell(nameOf(fault.kind), { { "hall", hall }, { "ms", fault.duration.count() } });
+    logFault(nameOf(fault.kind), { { "hall", hall }, { "ms", fault.duration.count() } });
     const std::string key = names::evacuationPrefix + hall;
-    m_cluster.control("/put", { { "key", key }, { "value", "{}" } }, [this, hall](std::int64_t at) { m_promises.noteEvacuation(hall, at); });
+    m_cluster.control("/put", { { "key", key }, { "value", "{}" } }, [this, hall](std::int64_t at) { m_guarantees.noteEvacuation(hall, at); });
     after(fault.duration, [this, hall, key] {
-        m_promises.noteEvacuationOver(hall);
+        m_guarantees.noteEvacuationOver(hall);
         m_cluster.control("/remove", { { "key", key } });
     });
 }
 
-void FaultRunner::tell(std::string_view fault, const json& fields)
+void FaultRunner::logFault(std::string_view fault, const json& fields)
 {
     json line { { "at", unixNow() }, { "event", "fault" }, { "kind", fault } };
     line.update(fields);
--- a/tests/soak/fault_runner.h
+++ b/tests/soak/fault_runner.h
@@ -3,8 +3,8 @@
 /// Executes a fault plan on a cluster.
 
 #include "fault_plan.h"
+#include "guarantee_monitor.h"
 #include "lanemoor/aio/asio_event_loop.h"
-#include "promises.h"
 #include "soak_cluster.h"
 
 #include <cstdint>
@@ -24,7 +24,7 @@
     /// \param owner Returns the index of the owner according to the logs; an index past the last process if unknown.
     /// \param beforeStop Called with the index of a process just before SIGTERM.
     /// \param record Receives one JSON line per fault.
-    FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record);
+    FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, GuaranteeMonitor& guarantees, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record);
 
     /// \brief Schedules `plan` relative to the current time.
     void run(const std::vector<PlannedFault>& plan);
@@ -49,11 +49,11 @@
     void cut(const std::shared_ptr<Path>& path, const PathFaults& faults, Millis time);
     void after(Millis time, std::function<void()> callback);
     [[nodiscard]] unsigned processOf(const PlannedFault& fault) const;
-    void tell(std::string_view fault, const nlohmann::json& fields);
+    void logFault(std::string_view fault, const nlohmann::json& fields);
 
     aio::AsioEventLoop& m_loop;
     SoakCluster& m_cluster;
-    Promises& m_promises;
+    GuaranteeMonitor& m_guarantees;
     std::function<unsigned()> m_owner;
     std::function<void(unsigned)> m_beforeStop;
     std::ostream& m_record;
--- /dev/null
+++ b/tests/soak/guarantee_monitor.cpp
@@ -0,0 +1,252 @@
+#include "guarantee_monitor.h"
+
+#include "log_tail.h"
+
+#include <algorithm>
+#include <cstdlib>
+#include <utility>
+
+namespace lanemoor::soak {
+
+namespace {
+
+constexpr std::int64_t reconnectTime = 4'000; // ms after a fault by which a process is connected again.
+constexpr std::int64_t evacuationBound = 5'000; // ms from the acknowledgement of an evacuation to the last start.
+constexpr std::int64_t cancelBound = 4'000; // ms from the acknowledgement of a cancel to the last start.
+constexpr std::int64_t minOwnerInterval = 3'000; // Min ms between acts of two owners on one instance.
+constexpr std::uint32_t minCrashesToFail = 2; // Worker crashes under a task from which its job may be reported as failed.
+
+bool isFinal(const std::string& status)
+{
+    return status == "succeeded" || status == "failed" || status == "cancelled";
+}
+
+} // namespace
+
+void GuaranteeMonitor::noteSubmitted(const SubmittedJob& job)
+{
+    m_jobs[job.id].spec = job;
+}
+
+void GuaranteeMonitor::noteAnswer(const std::string& id, Submission answer)
+{
+    Job& job = m_jobs[id];
+    job.accepted |= answer == Submission::Accepted;
+    job.unknown |= answer == Submission::Unknown;
+}
+
+void GuaranteeMonitor::noteStatus(const std::string& id, const std::string& status, std::int64_t at)
+{
+    Job& job = m_jobs[id];
+    if (status.empty()) {
+        if (!std::exchange(job.isReportedUnknown, true))
+            breach(guarantee::acceptedJobsKnown, "job " + id + " was accepted and is not known", { id }, at);
+        return;
+    }
+    if (isFinal(job.status) && job.status != status)
+        breach(guarantee::statusIsTrue, "job " + id + " was " + job.status + " and is " + status, { id }, at);
+    const bool isNew = job.status != status;
+    job.status = status;
+    if (isNew && isFinal(status))
+        checkStatus(id, job, at);
+}
+
+void GuaranteeMonitor::checkStatus(const std::string& id, const Job& job, std::int64_t at)
+{
+    bool allSucceeded = true;
+    bool hasCause = false;
+    for (std::uint32_t step = 0; step < job.spec.tasks.size(); ++step) {
+        for (std::uint32_t index = 0; index < job.spec.tasks[step]; ++index) {
+            const Task& task = m_tasks[nameOf(id, step, index)];
+            allSucceeded &= task.succeeded;
+            hasCause |= task.failures >= job.spec.maxAttempts || task.crashes >= minCrashesToFail;
+        }
+    }
+    if (job.status == "succeeded" && !allSucceeded)
+        breach(guarantee::statusIsTrue, "job " + id + " is shown as succeeded, but a task of it has not", { id }, at);
+    if (job.status == "failed" && !hasCause)
+        breach(guarantee::statusIsTrue, "job " + id + " is shown as failed without a cause", { id }, at);
+    if (job.status == "cancelled" && !job.cancelSent)
+        breach(guarantee::statusIsTrue, "job " + id + " is shown as cancelled, but nobody cancelled it", { id }, at);
+}
+
+void GuaranteeMonitor::noteClosedEarly(const std::string& entry, const std::string& id, std::int64_t at)
+{
+    breach(guarantee::plannedStopsCutNothing, entry + " closed a connection before the answer on job " + id, { id, entry }, at);
+}
+
+void GuaranteeMonitor::noteEvent(const nlohmann::json& event)
+{
+    const std::string kind = event.value("event", "");
+    if (kind == "start") {
+        noteStart(event);
+        return;
+    }
+    if (kind == "act") {
+        noteAct(event);
+        return;
+    }
+    if (!event.contains("task"))
+        return;
+    Task& task = m_tasks[event["task"].get<std::string>()];
+    if (kind == "stored") {
+        task.successStored = true;
+        return;
+    }
+    task.running.erase(event.value("worker", ""));
+    task.succeeded |= kind == "done";
+    task.failures += kind == "failed" ? 1 : 0;
+    task.crashes += kind == "dead" ? 1 : 0;
+}
+
+void GuaranteeMonitor::noteStart(const nlohmann::json& event)
+{
+    ++m_starts;
+    const std::string name = event.value("task", "");
+    const std::string worker = event.value("worker", "");
+    const std::int64_t at = timeOf(event);
+    const TaskName parsed = parse(name);
+    Task& task = m_tasks[name];
+    for (const auto& [other, attempt] : task.running)
+        breach(guarantee::oneAttemptAtOnce, "task " + name + " runs on " + other + " as attempt " + std::to_string(attempt) + " and starts on " + worker, { parsed.job }, at);
+    if (task.successStored)
+        breach(guarantee::noneAfterSuccess, "task " + name + " starts on " + worker + " after its success was acknowledged", { parsed.job }, at);
+    m_lastStart[event.value("hall", "")] = at;
+    task.running[worker] = event.value("run", std::uint64_t { 0 });
+    const auto found = m_jobs.find(parsed.job);
+    if (found == m_jobs.end()) {
+        breach(guarantee::nothingUnasked, "task " + name + " starts, but nobody submitted its job", { parsed.job }, at);
+        return;
+    }
+    found->second.hasStarted = true;
+    checkOrder(found->second, parsed, at);
+    checkCancelled(found->second, name, at);
+    checkEvacuation(event, at);
+}
+
+void GuaranteeMonitor::checkOrder(const Job& job, const TaskName& name, std::int64_t at)
+{
+    if (name.step == 0 || name.step >= job.spec.tasks.size())
+        return;
+    for (std::uint32_t index = 0; index < job.spec.tasks[name.step - 1]; ++index) {
+        if (!m_tasks[nameOf(name.job, name.step - 1, index)].succeeded)
+            breach(guarantee::stepsInOrder, "step " + std::to_string(name.step) + " of job " + name.job + " starts before the one before it has succeeded", { name.job }, at);
+    }
+}
+
+void GuaranteeMonitor::checkCancelled(const Job& job, const std::string& task, std::int64_t at)
+{
+    if (job.cancelledAt && at - *job.cancelledAt > cancelBound && isConnected(at))
+        breach(guarantee::nothingUnasked, "task " + task + " starts " + std::to_string(at - *job.cancelledAt) + " ms after its job was cancelled", { job.spec.id }, at);
+}
+
+void GuaranteeMonitor::checkEvacuation(const nlohmann::json& event, std::int64_t at)
+{
+    if (m_evacuatedSince.empty() || !isConnected(at))
+        return;
+    ++m_evacuationChecks;
+    const auto evacuated = m_evacuatedSince.find(event.value("hall", ""));
+    if (evacuated == m_evacuatedSince.end() || at - evacuated->second <= evacuationBound)
+        return;
+    const std::string name = event.value("task", "");
+    breach(guarantee::evacuatedHallsRest, "task " + name + " starts in " + evacuated->first + ' ' + std::to_string(at - evacuated->second) + " ms after its evacuation was acknowledged", { parse(name).job, evacuated->first }, at);
+}
+
+void GuaranteeMonitor::noteAct(const nlohmann::json& event)
+{
+    const std::string instance = event.value("instance", "");
+    const std::int64_t fence = event.value("fence", std::int64_t { 0 });
+    const std::int64_t at = timeOf(event);
+    const auto last = m_lastAct.find(instance);
+    if (last != m_lastAct.end() && last->second.first != fence && at - last->second.second < minOwnerInterval)
+        breach(guarantee::ownersApart, "instance " + instance + " is acted on under epochs " + std::to_string(last->second.first) + " and " + std::to_string(fence) + " within " + std::to_string(at - last->second.second) + " ms", { instance }, at);
+    m_lastAct[instance] = { fence, at };
+}
+
+void GuaranteeMonitor::noteFaults(std::int64_t until)
+{
+    m_faultsUntil = std::max(m_faultsUntil, until);
+}
+
+void GuaranteeMonitor::noteConfiguration(const std::string& entry, std::uint64_t version, std::int64_t at)
+{
+    std::uint64_t& highest = m_configurations[entry];
+    if (version < highest)
+        breach(guarantee::configurationNeverReverts, entry + " takes configuration " + std::to_string(version) + " after " + std::to_string(highest), { entry }, at);
+    highest = std::max(highest, version);
+}
+
+void GuaranteeMonitor::noteStopTooLong(const std::string& entry, std::int64_t at)
+{
+    breach(guarantee::plannedStopsEnd, entry + " was asked to stop and runs on", { entry }, at);
+}
+
+void GuaranteeMonitor::noteNotServing(const std::string& entry, const std::string& detail, std::int64_t at)
+{
+    breach(guarantee::servesAgain, entry + ": " + detail, { entry }, at);
+}
+
+std::vector<std::string> GuaranteeMonitor::openJobs() const
+{
+    std::vector<std::string> open;
+    for (const auto& [id, job] : m_jobs) {
+        if (job.accepted && !isFinal(job.status))
+            open.push_back(id);
+    }
+    return open;
+}
+
+bool GuaranteeMonitor::hasSucceeded(const std::string& id) const
+{
+    const auto found = m_jobs.find(id);
+    return found != m_jobs.end() && found->second.status == "succeeded";
+}
+
+void GuaranteeMonitor::finish(std::int64_t at)
+{
+    for (const std::string& id : openJobs())
+        breach(guarantee::acceptedJobsEnd, "job " + id + " was accepted and is " + (m_jobs[id].status.empty() ? "without a status" : m_jobs[id].status), { id }, at);
+    for (const auto& [id, job] : m_jobs) {
+        if (!job.accepted && !job.unknown && job.hasStarted)
+            breach(guarantee::refusalsAreTrue, "job " + id + " runs though it was only refused", { id }, at);
+    }
+}
+
+std::int64_t GuaranteeMonitor::lastStartIn(const std::string& dataHall) const
+{
+    const auto found = m_lastStart.find(dataHall);
+    return found == m_lastStart.end() ? 0 : found->second;
+}
+
+std::size_t GuaranteeMonitor::accepted() const
+{
+    return static_cast<std::size_t>(std::count_if(m_jobs.begin(), m_jobs.end(), [](const auto& job) { return job.second.accepted; }));
+}
+
+GuaranteeMonitor::TaskName GuaranteeMonitor::parse(const std::string& task)
+{
+    TaskName name;
+    name.job = task.substr(0, task.find('.'));
+    const std::size_t occurrence = task.find('.');
+    const std::size_t step = occurrence == std::string::npos ? occurrence : task.find('.', occurrence + 1);
+    if (step != std::string::npos)
+        name.step = static_cast<std::uint32_t>(std::strtoul(task.c_str() + step + 1, nullptr, 10));
+    return name;
+}
+
+std::string GuaranteeMonitor::nameOf(const std::string& job, std::uint32_t step, std::uint32_t index)
+{
+    return job + ".0." + std::to_string(step) + '.' + std::to_string(index);
+}
+
+bool GuaranteeMonitor::isConnected(std::int64_t at) const noexcept
+{
+    return at >= m_faultsUntil + reconnectTime;
+}
+
+void GuaranteeMonitor::breach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at)
+{
+    m_breaches.push_back({ .guarantee = guarantee, .detail = std::move(detail), .ids = std::move(ids), .at = at });
+}
+
+} // namespace lanemoor::soak
--- a/tests/soak/promises.h
+++ b/tests/soak/guarantee_monitor.h
@@ -15,7 +15,7 @@
 
 /// \name Guarantees
 ///@{
-namespace promise {
+namespace guarantee {
 constexpr const char* oneAttemptAtOnce = "one-attempt-at-once"; ///< No two attempts of a task run at the same time.
 constexpr const char* noneAfterSuccess = "none-after-success"; ///< No attempt starts after a success was acknowledged.
 constexpr const char* stepsInOrder = "steps-in-order"; ///< No step starts before the steps that it depends on have succeeded.
@@ -30,12 +30,12 @@
 constexpr const char* configurationNeverReverts = "configuration-never-reverts"; ///< No process applies an older configuration than before.
 constexpr const char* ownersApart = "owners-apart"; ///< Acts of two owners on one instance are separated by a minimum time.
 constexpr const char* servesAgain = "serves-again"; ///< After the last fault all processes serve with the latest configuration.
-} // namespace promise
+} // namespace guarantee
 ///@}
 
 /// A violated guarantee.
 struct Breach {
-    std::string promise;
+    std::string guarantee;
     std::string detail;
     std::vector<std::string> ids; ///< Ids of the jobs, instances or processes concerned; they select the log lines to print.
     std::int64_t at = 0; ///< Unix ms.
@@ -54,13 +54,13 @@
 struct SubmittedJob {
     std::string id;
     std::vector<std::uint32_t> tasks; ///< By step. Each step depends on the one before it.
-    std::uint32_t mostAttempts = 1;
+    std::uint32_t maxAttempts = 1;
 
     [[nodiscard]] bool operator==(const SubmittedJob&) const = default;
 };
 
 /// \brief Checks the guarantees. All times are Unix ms on this machine's clock.
-class Promises {
+class GuaranteeMonitor {
 public:
     /// \name Callers
     ///@{
@@ -71,7 +71,7 @@
     /// \param status Status name reported by the service; empty if the service reports no such job.
     void noteStatus(const std::string& id, const std::string& status, std::int64_t at);
     /// \brief Records that a process which was not killed closed a connection before the response.
-    void noteCut(const std::string& entry, const std::string& id, std::int64_t at);
+    void noteClosedEarly(const std::string& entry, const std::string& id, std::int64_t at);
     ///@}
 
     /// \name Workers and instances
@@ -85,7 +85,7 @@
     void noteEvacuation(const std::string& dataHall, std::int64_t acknowledgedAt) { m_evacuatedSince[dataHall] = acknowledgedAt; }
     void noteEvacuationOver(const std::string& dataHall) { m_evacuatedSince.erase(dataHall); }
     /// \brief Suspends the checks that hold only for connected processes until some time after `until`.
-    void noteTrouble(std::int64_t until);
+    void noteFaults(std::int64_t until);
     void noteConfiguration(const std::string& entry, std::uint64_t version, std::int64_t at);
     void noteStopTooLong(const std::string& entry, std::int64_t at);
     void noteNotServing(const std::string& entry, const std::string& detail, std::int64_t at);
@@ -106,7 +106,7 @@
     /// \returns The time of the last task start in a data hall; 0 if none.
     [[nodiscard]] std::int64_t lastStartIn(const std::string& dataHall) const;
     /// \returns The number of starts that were checked while an evacuation was in force.
-    [[nodiscard]] std::uint64_t judgedEvacuations() const noexcept { return m_judgedEvacuations; }
+    [[nodiscard]] std::uint64_t evacuationChecks() const noexcept { return m_evacuationChecks; }
 
 private:
     struct Job {
@@ -117,7 +117,7 @@
         std::optional<std::int64_t> cancelledAt;
         std::string status;
         bool hasStarted = false;
-        bool isTold = false; ///< The missing status has been reported as a breach.
+        bool isReportedUnknown = false; ///< The missing status has been reported as a breach.
     };
 
     struct Task {
@@ -142,8 +142,8 @@
     void checkEvacuation(const nlohmann::json& event, std::int64_t at);
     void noteAct(const nlohmann::json& event);
     void checkStatus(const std::string& id, const Job& job, std::int64_t at);
-    [[nodiscard]] bool isInContact(std::int64_t at) const noexcept;
-    void breach(const char* promise, std::string detail, std::vector<std::string> ids, std::int64_t at);
+    [[nodiscard]] bool isConnected(std::int64_t at) const noexcept;
+    void breach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at);
 
     std::map<std::string, Job> m_jobs;
     std::map<std::string, Task> m_tasks;
@@ -151,9 +151,9 @@
     std::map<std::string, std::uint64_t> m_configurations;
     std::map<std::string, std::pair<std::int64_t, std::int64_t>> m_lastAct; ///< Fencing token and time, by instance.
     std::map<std::string, std::int64_t> m_lastStart; ///< By data hall.
-    std::int64_t m_troubleUntil = 0;
+    std::int64_t m_faultsUntil = 0;
     std::uint64_t m_starts = 0;
-    std::uint64_t m_judgedEvacuations = 0;
+    std::uint64_t m_evacuationChecks = 0;
     std::vector<Breach> m_breaches;
 };
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-constexpr std::size_t mostLines = 200; // Log lines printed for each id of a breach.
-constexpr std::size_t mostBreaches = 20; // Breaches printed in full; the summary counts all.
-constexpr int breached = 1;
-constexpr int notStarted = 2;
+constexpr std::size_t maxLines = 200; // Log lines printed for each id of a breach.
+constexpr std::size_t maxBreaches = 20; // Breaches printed in full; the summary counts all.
+constexpr int exitBreached = 1;
+constexpr int exitNotStarted = 2;
 
 SoakOptions readOptions(int count, char** arguments)
 {
@@ -45,11 +45,11 @@
 
 void print(const Breach& breach, std::uint64_t seed, const std::vector<std::string>& logs)
 {
-    std::cout << "BREACH of " << breach.promise << " at " << breach.at << " with seed " << seed << ": " << breach.detail << '\n';
+    std::cout << "BREACH of " << breach.guarantee << " at " << breach.at << " with seed " << seed << ": " << breach.detail << '\n';
     for (const std::string& id : breach.ids) {
         std::cout << "  lines about " << id << ":\n";
         const std::vector<std::string> lines = linesAbout(id, logs);
-        for (std::size_t i = 0; i < std::min(lines.size(), mostLines); ++i)
+        for (std::size_t i = 0; i < std::min(lines.size(), maxLines); ++i)
             std::cout << "    " << lines[i] << '\n';
     }
 }
@@ -62,14 +62,14 @@
     try {
         const SoakOptions options = readOptions(count, arguments);
         const SoakResult result = runSoak(options);
-        for (std::size_t i = 0; i < std::min(result.breaches.size(), mostBreaches); ++i)
+        for (std::size_t i = 0; i < std::min(result.breaches.size(), maxBreaches); ++i)
             print(result.breaches[i], options.seed, result.logs);
         if (!result.folder.empty())
             std::cout << "logs: " << result.folder << '\n';
         std::cout << result.summary << std::endl;
-        return result.breaches.empty() ? EXIT_SUCCESS : breached;
+        return result.breaches.empty() ? EXIT_SUCCESS : exitBreached;
     } catch (const std::exception& error) {
         std::cerr << error.what() << std::endl;
-        return notStarted;
+        return exitNotStarted;
     }
 }
--- a/tests/soak/soak_cluster.cpp
+++ b/tests/soak/soak_cluster.cpp
@@ -21,12 +21,12 @@
 constexpr std::uint16_t readinessPort = 8'081;
 constexpr std::uint16_t metricsPort = 9'464;
 constexpr std::uint16_t peersPort = 7'000;
-constexpr Millis controlTime { 10'000 };
-constexpr std::chrono::seconds standinStart { 30 };
-constexpr std::chrono::milliseconds standinCheck { 10 };
+constexpr Millis controlTimeout { 10'000 };
+constexpr std::chrono::seconds standinStartTimeout { 30 };
+constexpr std::chrono::milliseconds standinPollInterval { 10 };
 constexpr double machineCores = 1;
 constexpr double relayedWorkersPerCore = 4; // Fewer than the workers of a pool, so that calls are relayed.
-constexpr unsigned changes = 3; // Number of priorities; successive configurations differ in the priority of one queue.
+constexpr unsigned priorityCount = 3; // Number of priorities; successive configurations differ in the priority of one queue.
 
 /// \returns A loopback address derived from this program's process id and `index`, so that parallel runs don't collide.
 std::string addressOf(unsigned index)
@@ -60,7 +60,7 @@
 json configurationText(std::uint64_t version)
 {
     const json pools { { { "name", "alpha" }, { "max_conns", 64 } }, { { "name", "beta" }, { "max_conns", 64 } }, { { "name", "reserve" }, { "headroom", true } } };
-    return { { "version", version }, { "routes", { queueSettings("alpha", version % changes), queueSettings("beta", 1) } }, { "services", pools }, { "tenants", json::array() } };
+    return { { "version", version }, { "routes", { queueSettings("alpha", version % priorityCount), queueSettings("beta", 1) } }, { "services", pools }, { "tenants", json::array() } };
 }
 
 } // namespace
@@ -93,10 +93,10 @@
 
 void SoakCluster::awaitStandin()
 {
-    const auto deadline = std::chrono::steady_clock::now() + standinStart;
+    const auto deadline = std::chrono::steady_clock::now() + standinStartTimeout;
     std::vector<json> lines;
     while (lines.empty() && !m_standin->exitCode() && std::chrono::steady_clock::now() < deadline) {
-        std::this_thread::sleep_for(standinCheck);
+        std::this_thread::sleep_for(standinPollInterval);
         lines = m_events.read();
     }
     if (lines.empty())
@@ -168,7 +168,7 @@
 void SoakCluster::control(const std::string& path, const json& body, std::function<void(std::int64_t)> done)
 {
     HttpRequest request { .method = "POST", .target = path, .headers = {}, .body = body.dump() };
-    m_client.send(m_control, { .request = std::move(request), .deadline = m_loop.now() + controlTime }, [done = std::move(done)](const aio::HttpReply& reply) {
+    m_client.send(m_control, { .request = std::move(request), .deadline = m_loop.now() + controlTimeout }, [done = std::move(done)](const aio::HttpReply& reply) {
         if (done && reply.delivery == aio::Delivery::Answered)
             done(currentInstant().time_since_epoch().count());
     });
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -25,7 +25,7 @@
         , m_session({ .programs = options.programs, .folder = m_folder, .seed = options.seed, .processes = options.processes, .relays = options.seed % relaysOneIn == 1 })
         , m_record(m_folder + "/faults.log", std::ios::app)
         , m_faults(
-              m_session.loop(), m_session.cluster(), m_session.promises(), [this] { return m_session.owner(); }, [this](unsigned process) { m_session.callers().burst(process); }, m_record)
+              m_session.loop(), m_session.cluster(), m_session.guarantees(), [this] { return m_session.owner(); }, [this](unsigned process) { m_session.callers().burst(process); }, m_record)
     {
     }
 
@@ -35,7 +35,7 @@
         disturb();
         recover();
         m_session.stopAll();
-        m_session.promises().finish(unixNow());
+        m_session.guarantees().finish(unixNow());
         return result();
     }
 
@@ -56,10 +56,10 @@
         std::vector<std::string> probes;
         for (unsigned index = 0; index < m_options.processes; ++index)
             probes.push_back(m_session.callers().probe(index));
-        static_cast<void>(m_session.waitFor(endLimit, [this] { return m_session.promises().openJobs().empty(); }));
+        static_cast<void>(m_session.waitFor(endLimit, [this] { return m_session.guarantees().openJobs().empty(); }));
         for (unsigned index = 0; index < m_options.processes; ++index) {
-            if (!m_session.promises().hasSucceeded(probes[index]))
-                m_session.promises().noteNotServing(nameOf(index), "job " + probes[index] + " submitted after the last fault has not succeeded", unixNow());
+            if (!m_session.guarantees().hasSucceeded(probes[index]))
+                m_session.guarantees().noteNotServing(nameOf(index), "job " + probes[index] + " submitted after the last fault has not succeeded", unixNow());
         }
     }
 
@@ -68,9 +68,9 @@
         const std::uint64_t version = m_session.cluster().configurationVersion();
         for (unsigned index = 0; index < m_options.processes; ++index) {
             if (!m_session.cluster().entries()[index].isReady)
-                m_session.promises().noteNotServing(nameOf(index), "not ready " + std::to_string(recoveryLimit.count()) + " ms after the last fault", unixNow());
+                m_session.guarantees().noteNotServing(nameOf(index), "not ready " + std::to_string(recoveryLimit.count()) + " ms after the last fault", unixNow());
             if (m_session.configurationAt(index) != version)
-                m_session.promises().noteNotServing(nameOf(index), "has configuration " + std::to_string(m_session.configurationAt(index)) + " in place of " + std::to_string(version), unixNow());
+                m_session.guarantees().noteNotServing(nameOf(index), "has configuration " + std::to_string(m_session.configurationAt(index)) + " in place of " + std::to_string(version), unixNow());
         }
     }
 
@@ -78,17 +78,17 @@
 
     [[nodiscard]] SoakResult result()
     {
-        const Promises& promises = m_session.promises();
+        const GuaranteeMonitor& guarantees = m_session.guarantees();
         const CallerCounts& counts = m_session.callers().counts();
         std::ostringstream summary;
-        summary << "seed " << m_options.seed << ": " << m_faults.faults() << " faults, " << counts.submitted << " jobs submitted, " << promises.accepted() << " accepted, " << counts.refusals << " refusals, " << counts.unknown << " unknown answers, "
-                << counts.cancels << " cancels, " << promises.starts() << " starts, " << promises.judgedEvacuations() << " of them judged against an evacuation, loop late by at most " << m_session.mostLateness().count() << " ms, " << promises.breaches().size() << " breaches";
+        summary << "seed " << m_options.seed << ": " << m_faults.faults() << " faults, " << counts.submitted << " jobs submitted, " << guarantees.accepted() << " accepted, " << counts.refusals << " refusals, " << counts.unknown << " unknown answers, "
+                << counts.cancels << " cancels, " << guarantees.starts() << " starts, " << guarantees.evacuationChecks() << " of them judged against an evacuation, loop late by at most " << m_session.maxLateness().count() << " ms, " << guarantees.breaches().size() << " breaches";
         std::vector<std::string> logs = m_session.cluster().logs();
         logs.push_back(m_folder + "/faults.log");
-        const bool isRemoved = m_options.keep.empty() && promises.breaches().empty();
+        const bool isRemoved = m_options.keep.empty() && guarantees.breaches().empty();
         if (isRemoved)
             std::filesystem::remove_all(m_folder);
-        return { promises.breaches(), isRemoved ? std::string() : m_folder, std::move(logs), summary.str() };
+        return { guarantees.breaches(), isRemoved ? std::string() : m_folder, std::move(logs), summary.str() };
     }
 
     SoakOptions m_options;
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -2,7 +2,7 @@
 /// \file
 /// One soak run from its start to its result.
 
-#include "promises.h"
+#include "guarantee_monitor.h"
 
 #include <cstdint>
 #include <string>
--- a/tests/soak/soak_session.cpp
+++ b/tests/soak/soak_session.cpp
@@ -42,14 +42,14 @@
 
 SoakSession::SoakSession(const ClusterOptions& options)
     : m_cluster(m_loop, options)
-    , m_callers(m_loop, m_cluster, m_promises, [this] { drainLogs(); })
+    , m_callers(m_loop, m_cluster, m_guarantees, [this] { drainLogs(); })
 {
     watchLogs(m_loop.now());
 }
 
 void SoakSession::watchLogs(jobs::MonotonicInstant due)
 {
-    m_mostLateness = std::max(m_mostLateness, std::chrono::duration_cast<Millis>(m_loop.now() - due));
+    m_maxLateness = std::max(m_maxLateness, std::chrono::duration_cast<Millis>(m_loop.now() - due));
     drainLogs();
     const jobs::MonotonicInstant next = m_loop.now() + tailPause;
     m_loop.callAt(next, [this, next] { watchLogs(next); });
@@ -58,7 +58,7 @@
 void SoakSession::drainLogs()
 {
     for (const nlohmann::json& event : m_cluster.events())
-        m_promises.noteEvent(event);
+        m_guarantees.noteEvent(event);
     std::vector<SoakCluster::Entry>& entries = m_cluster.entries();
     for (unsigned index = 0; index < entries.size(); ++index) {
         for (const nlohmann::json& line : entries[index].tail->read())
@@ -71,7 +71,7 @@
     const std::string event = line.value("event", "");
     if (event == "configuration-in-force") {
         const auto version = line.value("version", std::uint64_t { 0 });
-        m_promises.noteConfiguration(m_cluster.entries()[index].name, version, timeOf(line));
+        m_guarantees.noteConfiguration(m_cluster.entries()[index].name, version, timeOf(line));
         m_versions[index] = version;
     } else if (event == "ownership-taken") {
         m_owner = index;
@@ -90,7 +90,7 @@
     if (!waitFor(startLimit, [this] { return areAllReady(); }))
         throw std::runtime_error("not every process is ready in time; see " + folder);
     const std::string id = m_callers.probe(0);
-    if (!waitFor(startLimit, [this, &id] { return m_promises.hasSucceeded(id); }))
+    if (!waitFor(startLimit, [this, &id] { return m_guarantees.hasSucceeded(id); }))
         throw std::runtime_error("the first job does not end in time; see " + folder);
 }
 
@@ -149,7 +149,7 @@
     static_cast<void>(waitFor(stopLimit, [&] { return std::all_of(entries.begin(), entries.end(), hasEnded); }));
     for (const SoakCluster::Entry& entry : entries) {
         if (!hasEnded(entry))
-            m_promises.noteStopTooLong(entry.name, unixNow());
+            m_guarantees.noteStopTooLong(entry.name, unixNow());
     }
 }
 
--- a/tests/soak/soak_session.h
+++ b/tests/soak/soak_session.h
@@ -3,8 +3,8 @@
 /// A cluster with its callers and guarantee checks, all on one event loop.
 
 #include "callers.h"
+#include "guarantee_monitor.h"
 #include "lanemoor/aio/asio_event_loop.h"
-#include "promises.h"
 #include "soak_cluster.h"
 
 #include <cstdint>
@@ -29,13 +29,13 @@
     [[nodiscard]] aio::AsioEventLoop& loop() noexcept { return m_loop; }
     [[nodiscard]] SoakCluster& cluster() noexcept { return m_cluster; }
     [[nodiscard]] Callers& callers() noexcept { return m_callers; }
-    [[nodiscard]] Promises& promises() noexcept { return m_promises; }
+    [[nodiscard]] GuaranteeMonitor& guarantees() noexcept { return m_guarantees; }
 
     /// \returns The index of the process that took the ownership last, according to the logs.
     [[nodiscard]] unsigned owner() const noexcept { return m_owner; }
 
     /// \returns The max delay of a timer on the loop. The proxies delay calls by up to this much.
-    [[nodiscard]] Millis mostLateness() const noexcept { return m_mostLateness; }
+    [[nodiscard]] Millis maxLateness() const noexcept { return m_maxLateness; }
 
     /// \brief Starts all processes and waits until they serve.
     /// \throws std::runtime_error if they don't.
@@ -64,11 +64,11 @@
     void noteLine(unsigned index, const nlohmann::json& line);
 
     aio::AsioEventLoop m_loop;
-    Promises m_promises;
+    GuaranteeMonitor m_guarantees;
     SoakCluster m_cluster;
     Callers m_callers;
     unsigned m_owner = 0;
-    Millis m_mostLateness { 0 };
+    Millis m_maxLateness { 0 };
     std::map<unsigned, std::uint64_t> m_versions; ///< Configuration version in force according to the logs, by process.
 };
 
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -15,8 +15,8 @@
 using Tcp = boost::asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr Millis cutCheck { 10 }; // Interval at which data held back by a cut is retried.
-constexpr std::size_t pieceBytes = 65'536;
+constexpr Millis cutPollInterval { 10 }; // Interval at which data held back by a cut is retried.
+constexpr std::size_t chunkBytes = 65'536;
 
 } // namespace
 
@@ -54,14 +54,14 @@
     /// The data flow from one end to the other.
     struct Direction {
         Tcp::socket from;
-        std::array<char, pieceBytes> piece;
+        std::array<char, chunkBytes> chunk;
         bool isOver = false;
     };
 
     void connect(const Tcp::endpoint& server)
     {
         if (isCut(m_forward)) {
-            later(cutCheck, [self = shared_from_this(), server] { self->connect(server); });
+            later(cutPollInterval, [self = shared_from_this(), server] { self->connect(server); });
             return;
         }
         m_backward.from.async_connect(server, [self = shared_from_this()](const Error& error) {
@@ -79,27 +79,27 @@
 
     void read(Direction& direction)
     {
-        direction.from.async_read_some(boost::asio::buffer(direction.piece), [self = shared_from_this(), &direction](const Error& error, std::size_t bytes) {
+        direction.from.async_read_some(boost::asio::buffer(direction.chunk), [self = shared_from_this(), &direction](const Error& error, std::size_t bytes) {
             if (error && error != boost::asio::error::eof) {
                 self->reset();
                 return;
             }
-            self->later(self->m_path->faults.delay, [self, &direction, bytes] { self->passOn(direction, bytes); });
+            self->later(self->m_path->faults.delay, [self, &direction, bytes] { self->forward(direction, bytes); });
         });
     }
 
     /// \param bytes 0 at the end of the stream in this direction.
-    void passOn(Direction& direction, std::size_t bytes)
+    void forward(Direction& direction, std::size_t bytes)
     {
         if (isCut(direction)) {
-            later(cutCheck, [self = shared_from_this(), &direction, bytes] { self->passOn(direction, bytes); });
+            later(cutPollInterval, [self = shared_from_this(), &direction, bytes] { self->forward(direction, bytes); });
             return;
         }
         if (bytes == 0) {
             end(direction);
             return;
         }
-        boost::asio::async_write(other(direction).from, boost::asio::buffer(direction.piece, bytes), [self = shared_from_this(), &direction](const Error& error, std::size_t) {
+        boost::asio::async_write(other(direction).from, boost::asio::buffer(direction.chunk, bytes), [self = shared_from_this(), &direction](const Error& error, std::size_t) {
             if (error)
                 self->reset();
             else
@@ -169,7 +169,7 @@
             if (!self->m_acceptor.is_open())
                 return;
             if (!error)
-                self->take(std::move(client));
+                self->handleConnection(std::move(client));
             self->accept();
         });
     }
@@ -183,14 +183,14 @@
     [[nodiscard]] std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
 
 private:
-    void take(Tcp::socket client)
+    void handleConnection(Tcp::socket client)
     {
         Error error;
         const Tcp::endpoint remote = client.remote_endpoint(error);
         const std::shared_ptr<Path> path = error ? nullptr : m_choose(port(), remote.port());
-        const bool isPassed = path && !path->faults.refusing;
+        const bool isForwarded = path && !path->faults.refusing;
         const auto link = std::make_shared<Link>(m_loop, std::move(client), path);
-        if (isPassed)
+        if (isForwarded)
             link->start(m_target);
         else
             link->reset();
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -137,7 +137,7 @@
     table.add("requests and listeners in flight during the drain, uncut", std::to_string(whole) + " of 8", out && whole == 8);
 }
 
-void showLosses(Cluster& cluster, Table& table)
+void showFailures(Cluster& cluster, Table& table)
 {
     cluster.killEntry("entry-1");
     cluster.worker("quoting-1").signal(SIGKILL);
@@ -195,7 +195,7 @@
         startCluster(cluster, table);
         showRequests(cluster, table);
         showDrain(cluster, table);
-        showLosses(cluster, table);
+        showFailures(cluster, table);
         showWave(cluster, table);
     }
     std::cout << (table.violations() == 0 ? "no violation\n" : "VIOLATIONS: " + std::to_string(table.violations()) + '\n');
--- a/tools/job_demo_main.cpp
+++ b/tools/job_demo_main.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned processes = 3;
 constexpr unsigned workers = 12;
 constexpr Millis submissionTime { 3'000 };
-constexpr Millis untilKill { 1'000 };
+constexpr Millis killDelay { 1'000 };
 constexpr Millis restartAfter { 1'000 };
 constexpr Millis limit { 30'000 };
 constexpr Millis evacuationBound { 5'000 };
@@ -61,7 +61,7 @@
 {
     const unsigned owner = session.owner();
     SoakCluster::Entry& entry = session.cluster().entries()[owner];
-    session.promises().noteTrouble(unixNow() + restartAfter.count());
+    session.guarantees().noteFaults(unixNow() + restartAfter.count());
     entry.isKilled = true;
     entry.isReady = false;
     entry.process.reset();
@@ -75,55 +75,55 @@
     table.add(entry.name + " started again", isBack ? "takes requests after " + inMilliseconds(unixNow() - started) : "is not ready", isBack);
 }
 
-void showLosses(SoakSession& session, Table& table)
+void showFailures(SoakSession& session, Table& table)
 {
     session.callers().submitUntil(session.loop().now() + submissionTime);
-    pass(session, untilKill);
+    pass(session, killDelay);
     bool isKilled = false;
     session.cluster().control("/kill", { { "instance", session.cluster().instance(0) }, { "back_ms", restartAfter.count() } }, [&isKilled](std::int64_t) { isKilled = true; });
     table.add("a worker killed among running jobs", session.cluster().instance(0), session.waitFor(limit, [&isKilled] { return isKilled; }));
     killOwner(session, table);
-    pass(session, submissionTime - untilKill);
-    const bool allEnded = session.waitFor(limit, [&session] { return session.promises().openJobs().empty(); });
-    const std::string seen = std::to_string(session.promises().accepted()) + " accepted, " + std::to_string(session.promises().openJobs().size()) + " not ended, " + std::to_string(session.promises().starts()) + " starts";
+    pass(session, submissionTime - killDelay);
+    const bool allEnded = session.waitFor(limit, [&session] { return session.guarantees().openJobs().empty(); });
+    const std::string seen = std::to_string(session.guarantees().accepted()) + " accepted, " + std::to_string(session.guarantees().openJobs().size()) + " not ended, " + std::to_string(session.guarantees().starts()) + " starts";
     table.add("jobs submitted all along, watched to their end", seen, allEnded);
 }
 
 void showEvacuation(SoakSession& session, Table& table)
 {
     // Time after which the owner's crash no longer suspends the time bounds.
-    constexpr Millis contactTime { 4'000 };
-    pass(session, contactTime);
+    constexpr Millis reconnectTime { 4'000 };
+    pass(session, reconnectTime);
     std::int64_t acknowledged = 0;
     session.callers().submitUntil(session.loop().now() + evacuationBound + watchedAfterBound);
     session.cluster().control("/put", { { "key", names::evacuationPrefix + evacuated }, { "value", "{}" } }, [&](std::int64_t at) {
         acknowledged = at;
-        session.promises().noteEvacuation(evacuated, at);
+        session.guarantees().noteEvacuation(evacuated, at);
     });
     pass(session, evacuationBound + watchedAfterBound);
-    const std::int64_t last = session.promises().lastStartIn(evacuated);
+    const std::int64_t last = session.guarantees().lastStartIn(evacuated);
     const std::string seen = last > acknowledged ? "last start there after " + inMilliseconds(last - acknowledged) : "no start there any more";
     table.add(evacuated + " evacuated, allowed until " + inMilliseconds(evacuationBound.count()), seen, acknowledged > 0 && last - acknowledged <= evacuationBound.count());
-    session.promises().noteEvacuationOver(evacuated);
+    session.guarantees().noteEvacuationOver(evacuated);
     session.cluster().control("/remove", { { "key", names::evacuationPrefix + evacuated } });
     const std::int64_t over = unixNow();
     session.callers().submitUntil(session.loop().now() + submissionTime);
-    const bool servesAgain = session.waitFor(limit, [&session, over] { return session.promises().lastStartIn(evacuated) > over; });
-    table.add("the request withdrawn", servesAgain ? "first start there after " + inMilliseconds(session.promises().lastStartIn(evacuated) - over) : "no start there", servesAgain);
+    const bool servesAgain = session.waitFor(limit, [&session, over] { return session.guarantees().lastStartIn(evacuated) > over; });
+    table.add("the request withdrawn", servesAgain ? "first start there after " + inMilliseconds(session.guarantees().lastStartIn(evacuated) - over) : "no start there", servesAgain);
 }
 
 void showEnd(SoakSession& session, Table& table)
 {
-    static_cast<void>(session.waitFor(submissionTime, [&session] { return session.promises().openJobs().empty(); }));
-    static_cast<void>(session.waitFor(limit, [&session] { return session.promises().openJobs().empty(); }));
+    static_cast<void>(session.waitFor(submissionTime, [&session] { return session.guarantees().openJobs().empty(); }));
+    static_cast<void>(session.waitFor(limit, [&session] { return session.guarantees().openJobs().empty(); }));
     const std::int64_t begin = unixNow();
     session.stopAll();
-    session.promises().finish(unixNow());
+    session.guarantees().finish(unixNow());
     table.add("all entry instances asked to stop", "ended after " + inMilliseconds(unixNow() - begin), true);
-    const std::vector<Breach>& breaches = session.promises().breaches();
+    const std::vector<Breach>& breaches = session.guarantees().breaches();
     for (const Breach& breach : breaches)
-        table.add(breach.promise, breach.detail, false);
-    table.add("promises broken over " + std::to_string(session.promises().accepted()) + " accepted jobs", std::to_string(breaches.size()), breaches.empty());
+        table.add(breach.guarantee, breach.detail, false);
+    table.add("promises broken over " + std::to_string(session.guarantees().accepted()) + " accepted jobs", std::to_string(breaches.size()), breaches.empty());
 }
 
 } // namespace
@@ -141,7 +141,7 @@
         {
             SoakSession session({ .programs = arguments[1], .folder = folder, .processes = processes, .instances = workers });
             showStart(session, table);
-            showLosses(session, table);
+            showFailures(session, table);
             showEvacuation(session, table);
             showEnd(session, table);
         }
