--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -59,12 +59,12 @@
 
     LoadResult run()
     {
-        double owed = 0;
+        double pendingArrivals = 0;
         double busy = 0;
         for (int i = 0; i < ticks; ++i) {
             m_now += tick;
             finishEnded();
-            for (owed += m_arrivalsPerTick; owed >= 1; owed -= 1)
+            for (pendingArrivals += m_arrivalsPerTick; pendingArrivals >= 1; pendingArrivals -= 1)
                 offer();
             if (i % 1000 == 999)
                 cancelBurst();
--- a/bench/evacuations.cpp
+++ b/bench/evacuations.cpp
@@ -1,5 +1,5 @@
 /// Time from an evacuation request to the last start in the data hall and until the hall is empty, on simulated store and workers.
-/// Usage: bench_evacuations [RUNS [FIRST-SEED [DAY]]]
+/// Usage: bench_evacuations [RUNS [FIRST-SEED [SCENARIO]]]
 
 #include "../tests/jobs/support.h"
 #include "report.h"
@@ -33,7 +33,7 @@
 };
 
 /// Result of one run, in times from the request.
-struct Measured {
+struct RunResult {
     double lastStart = 0; ///< ms; 0: none started.
     double emptyAfter = 0; ///< ms.
     std::size_t breaches = 0;
@@ -59,7 +59,7 @@
             m_cluster.submit(0, "work", jobId(++m_jobs), job({ longStep(6) }));
     }
 
-    Measured play()
+    RunResult play()
     {
         playUntil(m_cluster.clock.now() + warmUp, [] {});
         // Operators' requests arrive at a random time between two polls of the owner.
@@ -67,7 +67,7 @@
         const MonotonicInstant begin = m_cluster.clock.now();
         disturb();
         m_cluster.evacuate(evacuated);
-        Measured measured;
+        RunResult result;
         MonotonicInstant lastStart = begin;
         MonotonicInstant busyUntil = begin;
         playUntil(begin + observationTime, [&] {
@@ -77,10 +77,10 @@
             lastStart = std::max(lastStart, *start);
             busyUntil = m_cluster.clock.now();
         });
-        measured.lastStart = passed(begin, lastStart);
-        measured.emptyAfter = passed(begin, busyUntil);
-        measured.breaches = m_cluster.checker.breaches().size();
-        return measured;
+        result.lastStart = passed(begin, lastStart);
+        result.emptyAfter = passed(begin, busyUntil);
+        result.breaches = m_cluster.checker.breaches().size();
+        return result;
     }
 
 private:
@@ -152,10 +152,10 @@
     std::vector<double> empties;
     std::size_t breaches = 0;
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const Measured measured = Run(scenario, seed).play();
-        lastStarts.push_back(measured.lastStart);
-        empties.push_back(measured.emptyAfter);
-        breaches += measured.breaches;
+        const RunResult result = Run(scenario, seed).play();
+        lastStarts.push_back(result.lastStart);
+        empties.push_back(result.emptyAfter);
+        breaches += result.breaches;
     }
     const std::string name = scenario.name;
     table.unbounded(name + ": last start, p50 ms", percentile(lastStarts, 0.5));
--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -1,5 +1,5 @@
 /// Cost of poison tasks to all other tasks, by the handling of worker crashes, on simulated store and workers.
-/// Usage: bench_lost_workers [RUNS [FIRST-SEED [DAY]]]
+/// Usage: bench_lost_workers [RUNS [FIRST-SEED [SCENARIO]]]
 
 #include "../tests/jobs/support.h"
 #include "report.h"
@@ -50,8 +50,8 @@
 
 class Run {
 public:
-    Run(const Scenario& played, const CrashPolicy& policy, std::uint64_t seed)
-        : m_scenario(played)
+    Run(const Scenario& scenario, const CrashPolicy& policy, std::uint64_t seed)
+        : m_scenario(scenario)
         , m_cluster(seed, 3, 0, 0)
     {
         Policies policies;
--- a/standins/fleet_standin.cpp
+++ b/standins/fleet_standin.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view listPath = "/v1/instances";
 
 /// \returns The worker's response body; empty if the worker can't be reached.
-std::string ask(const HttpAddress& address, const std::string& method, const std::string& target)
+std::string callWorker(const HttpAddress& address, const std::string& method, const std::string& target)
 {
     HttpRequest request;
     request.method = method;
@@ -120,7 +120,7 @@
             return;
         }
     }
-    ask(address, "POST", "/platform/" + act);
+    callWorker(address, "POST", "/platform/" + act);
     exchange.respond({ 202, {}, {} });
 }
 
@@ -148,7 +148,7 @@
         }
         std::map<std::string, std::string> states;
         for (const auto& [id, address] : workers)
-            states[id] = ask(address, "GET", "/platform/state");
+            states[id] = callWorker(address, "GET", "/platform/state");
         recordListing(states);
         std::this_thread::sleep_for(observeInterval);
     }
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -543,11 +543,11 @@
     return answer->value_or(std::nullopt);
 }
 
-bool JobCluster::waitFor(Millis time, const std::function<bool()>& holds)
+bool JobCluster::waitFor(Millis time, const std::function<bool()>& condition)
 {
     constexpr Millis step { 10 };
     const MonotonicInstant until = clock.now() + time;
-    while (!holds()) {
+    while (!condition()) {
         if (clock.now() >= until)
             return false;
         clock.runFor(step);
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -177,6 +177,7 @@
     void setStoreLink(std::size_t index, std::size_t bytesPerMs);
 
     /// \brief Sets the number of workers per core above which owners that start later have calls relayed; 0 for no relays.
+    /// Small values have calls relayed from the first worker on.
     void setWorkersPerCore(double workersPerCore) { m_workersPerCore = workersPerCore; }
 
     /// \brief Sets the policies of entries that start later.
@@ -220,8 +221,8 @@
     /// \returns The count of waiting jobs that an entry reports; nullopt if it has no count or does not respond within two seconds.
     [[nodiscard]] std::optional<std::uint64_t> pending(std::size_t index, const std::string& queue);
 
-    /// \brief Runs the clock until `holds` returns true or `time` has passed. \returns Whether the condition became true.
-    bool waitFor(Millis time, const std::function<bool()>& holds);
+    /// \brief Runs the clock until `condition` returns true or `time` has passed. \returns Whether the condition became true.
+    bool waitFor(Millis time, const std::function<bool()>& condition);
 
 private:
     struct Entry {
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -55,6 +55,7 @@
     /// \param late The command arrived long after it was sent.
     virtual void onStart(const std::string& worker, const jobs::StartOrder& command, bool late) = 0;
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
+    /// \brief An attempt has ended with its worker.
     virtual void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
     virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
     virtual void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) = 0;
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -168,19 +168,19 @@
     });
 }
 
-void Callers::askForOpenJobs()
+void Callers::requestOpenStatuses()
 {
     for (const std::string& id : m_guarantees.openJobs()) {
-        if (m_asked.insert(id).second)
-            ask(id);
+        if (m_statusRequests.insert(id).second)
+            requestStatus(id);
     }
 }
 
-void Callers::ask(const std::string& id)
+void Callers::requestStatus(const std::string& id)
 {
     const HttpRequest request { .method = "GET", .target = '/' + m_queues[id] + '/' + id, .headers = {}, .body = {} };
     send(readyEntry(), request, id, [this, id](const aio::HttpReply& reply) {
-        m_asked.erase(id);
+        m_statusRequests.erase(id);
         if (reply.delivery != Delivery::Answered)
             return;
         m_drainEvents();
@@ -207,7 +207,7 @@
     });
 }
 
-void Callers::balance()
+void Callers::pollReadiness()
 {
     for (SoakCluster::Entry& entry : m_cluster.entries()) {
         if (!entry.process)
@@ -222,7 +222,7 @@
             entry.isReady = isReady;
         });
     }
-    m_loop.callAt(m_loop.now() + balancerInterval, [this] { balance(); });
+    m_loop.callAt(m_loop.now() + balancerInterval, [this] { pollReadiness(); });
 }
 
 unsigned Callers::readyEntry()
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -36,13 +36,13 @@
     void burst(unsigned entry);
 
     /// \brief Polls the readiness of each process periodically.
-    void balance();
+    void pollReadiness();
 
     /// \brief Submits a job of one short task to a process. \returns The job's id.
     std::string probe(unsigned entry);
 
     /// \brief Requests the status of each accepted job without a final status.
-    void askForOpenJobs();
+    void requestOpenStatuses();
 
     [[nodiscard]] const CallerCounts& counts() const noexcept { return m_counts; }
 
@@ -60,7 +60,7 @@
     void onAnswer(Call call, const aio::HttpReply& reply);
     void cancelLater(const Call& call);
     void cancel(const std::string& id, unsigned triesLeft);
-    void ask(const std::string& id);
+    void requestStatus(const std::string& id);
     /// Sends a request about a job and records a connection that is closed before the response.
     void send(unsigned entry, HttpRequest request, const std::string& id, std::function<void(const aio::HttpReply&)> done);
     [[nodiscard]] unsigned readyEntry();
@@ -76,7 +76,7 @@
     jobs::MonotonicInstant m_end;
     std::map<std::string, std::string> m_queues; ///< By job.
     std::set<std::string> m_cancelled; ///< Jobs with a cancel request in flight.
-    std::set<std::string> m_asked; ///< Jobs with a status request in flight.
+    std::set<std::string> m_statusRequests; ///< Jobs with a status request in flight.
     CallerCounts m_counts;
 };
 
--- a/tests/soak/checks_test.cpp
+++ b/tests/soak/checks_test.cpp
@@ -100,9 +100,9 @@
 
 TEST_CASE("The soak detects late starts in evacuated halls and of cancelled jobs, but not shortly after faults")
 {
-    for (const bool inTrouble : { false, true }) {
+    for (const bool hasFaults : { false, true }) {
         GuaranteeMonitor guarantees = withJob();
-        if (inTrouble)
+        if (hasFaults)
             guarantees.noteFaults(14'000);
         guarantees.noteEvacuation("hall-0", 10'000);
         guarantees.noteEvent(event("start", 15'000));
@@ -110,7 +110,7 @@
         CHECK(guarantees.breaches().empty());
         guarantees.noteCancelled(job, 10'000);
         guarantees.noteEvent(event("start", 15'001));
-        CHECK(brokenIn(guarantees) == (inTrouble ? Names {} : Names { guarantee::nothingUnasked, guarantee::evacuatedHallsRest }));
+        CHECK(brokenIn(guarantees) == (hasFaults ? Names {} : Names { guarantee::nothingUnasked, guarantee::evacuatedHallsRest }));
     }
 }
 
--- a/tests/soak/connection_source.cpp
+++ b/tests/soak/connection_source.cpp
@@ -41,7 +41,7 @@
     return query;
 }
 
-/// \returns The inode of the socket with local port `own` and remote port `other`; 0 if none exists.
+/// \returns The inode of the loopback socket with local port `own` and remote port `other`; 0 if none exists.
 std::uint32_t socketInode(std::uint16_t own, std::uint16_t other)
 {
     constexpr std::size_t maxReplyBytes = 8'192;
--- a/tests/soak/soak_session.cpp
+++ b/tests/soak/soak_session.cpp
@@ -84,7 +84,7 @@
 {
     for (unsigned index = 0; index < m_cluster.entries().size(); ++index)
         m_cluster.startEntry(index);
-    m_callers.balance();
+    m_callers.pollReadiness();
     watchJobs();
     const std::string& folder = m_cluster.options().folder;
     if (!waitFor(startLimit, [this] { return areAllReady(); }))
@@ -96,25 +96,25 @@
 
 void SoakSession::watchJobs()
 {
-    m_callers.askForOpenJobs();
+    m_callers.requestOpenStatuses();
     m_loop.callAt(m_loop.now() + statusPause, [this] { watchJobs(); });
 }
 
-bool SoakSession::waitFor(Millis limit, const std::function<bool()>& holds)
+bool SoakSession::waitFor(Millis limit, const std::function<bool()>& condition)
 {
     const jobs::MonotonicInstant deadline = m_loop.now() + limit;
-    bool held = false;
+    bool isMet = false;
     const std::function<void()> check = [&] {
-        held = holds();
-        if (held || m_loop.now() >= deadline)
+        isMet = condition();
+        if (isMet || m_loop.now() >= deadline)
             m_loop.stop();
         else
             m_loop.callAt(m_loop.now() + tailPause, [&check] { check(); });
     };
     check();
-    if (!held)
+    if (!isMet)
         m_loop.run();
-    return held;
+    return isMet;
 }
 
 bool SoakSession::areAllReady()
--- a/tests/soak/soak_session.h
+++ b/tests/soak/soak_session.h
@@ -44,8 +44,8 @@
     /// \brief Polls the status of accepted jobs until each has ended.
     void watchJobs();
 
-    /// \brief Runs the loop until `holds` returns true or `limit` has passed. \returns Whether the condition became true.
-    bool waitFor(Millis limit, const std::function<bool()>& holds);
+    /// \brief Runs the loop until `condition` returns true or `limit` has passed. \returns Whether the condition became true.
+    bool waitFor(Millis limit, const std::function<bool()>& condition);
 
     [[nodiscard]] bool areAllReady();
 
