--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Measures of admission at the planned size: one pool's queue fed by 180 teams under a
-/// fake clock, with bursts of cancellations and declared times that are wrong.
+/// Benchmark of admission at the planned size: the queue of one pool with 180 teams on a
+/// simulated clock, with bursts of cancellations and run times that vary around their mean.
 /// Figures don't depend on the machine. Exits non-zero if a bound is missed.
 
 #include "lanemoor/decisions/admission.h"
@@ -25,26 +25,26 @@
 constexpr Millis batchTime { 4'000 };
 constexpr Millis urgentLimit { 3'100 };
 
-/// A request that runs until it ends.
+/// A running request and its end time.
 struct Running {
     std::uint64_t id = 0;
     Instant endsAt;
 };
 
-/// What one load came to.
+/// Result of one load.
 struct LoadResult {
     std::uint64_t urgentStarted = 0;
     std::uint64_t urgentRefused = 0;
     std::uint64_t batchOffered = 0;
     std::uint64_t batchStarted = 0;
     std::uint64_t expired = 0;
-    Millis longestUrgentWait { 0 };
-    Millis longestBatchWait { 0 };
-    double busyShare = 0; ///< Of the slots, over time.
+    Millis maxUrgentWait { 0 };
+    Millis maxBatchWait { 0 };
+    double busyShare = 0; ///< Mean share of slots in use.
     std::map<std::string, std::uint64_t> startsByTeam;
 };
 
-/// Offers requests at `load` times what the slots can do, and plays time forward.
+/// Simulates arrivals at `load` times the capacity of the slots.
 class LoadRun {
 public:
     LoadRun(double load, double batchShare, std::uint64_t seed)
@@ -59,12 +59,12 @@
 
     LoadResult run()
     {
-        double owed = 0;
+        double pendingArrivals = 0;
         double busy = 0;
         for (int i = 0; i < ticks; ++i) {
             m_now += tick;
             finishEnded();
-            for (owed += m_arrivalsPerTick; owed >= 1; owed -= 1)
+            for (pendingArrivals += m_arrivalsPerTick; pendingArrivals >= 1; pendingArrivals -= 1)
                 offer();
             if (i % 1000 == 999)
                 cancelBurst();
@@ -91,7 +91,7 @@
     void offer()
     {
         const bool batch = std::uniform_real_distribution<>(0, 1)(m_random) < m_batchShare;
-        // A tenth of the teams asks for half of everything.
+        // A tenth of the teams sends half of the requests, beside its share of the rest.
         const std::uint64_t team = m_random() % 2 == 0 ? m_random() % (teams / 10) : m_random() % teams;
         const Ticket ticket { .id = ++m_lastId, .requestClass = batch ? RequestClass::Batch : RequestClass::Check, .team = "team" + std::to_string(team), .deadline = m_now + (batch ? Millis(std::chrono::minutes(5)) : urgentLimit) };
         m_result.batchOffered += batch ? 1 : 0;
@@ -118,8 +118,8 @@
             const auto [ticket, offeredAt] = m_offered.at(*id);
             m_offered.erase(*id);
             const bool batch = ticket.requestClass == RequestClass::Batch;
-            Millis& longest = batch ? m_result.longestBatchWait : m_result.longestUrgentWait;
-            longest = std::max(longest, m_now - offeredAt);
+            Millis& maxWait = batch ? m_result.maxBatchWait : m_result.maxUrgentWait;
+            maxWait = std::max(maxWait, m_now - offeredAt);
             ++(batch ? m_result.batchStarted : m_result.urgentStarted);
             ++m_result.startsByTeam[ticket.team];
             const std::int64_t mean = (batch ? batchTime : checkTime).count();
@@ -146,12 +146,12 @@
     for (const double load : { 0.7, 1.0, 2.0 }) {
         const LoadResult result = LoadRun(load, 0.02, 20261202).run();
         const std::string name = "load " + std::to_string(load).substr(0, 3) + ": ";
-        report.told(name + "slots in use, share", result.busyShare);
-        report.told(name + "urgent requests started", static_cast<double>(result.urgentStarted));
-        report.told(name + "urgent requests refused at once", static_cast<double>(result.urgentRefused));
-        report.told(name + "given up while waiting", static_cast<double>(result.expired));
-        report.bounded(name + "longest wait of an urgent request that started, s", std::chrono::duration<double>(result.longestUrgentWait).count(), 3.1);
-        report.told(name + "longest wait of a batch request, s", std::chrono::duration<double>(result.longestBatchWait).count());
+        report.unbounded(name + "slots in use, share", result.busyShare);
+        report.unbounded(name + "urgent requests started", static_cast<double>(result.urgentStarted));
+        report.unbounded(name + "urgent requests refused at once", static_cast<double>(result.urgentRefused));
+        report.unbounded(name + "given up while waiting", static_cast<double>(result.expired));
+        report.bounded(name + "longest wait of an urgent request that started, s", std::chrono::duration<double>(result.maxUrgentWait).count(), 3.1);
+        report.unbounded(name + "longest wait of a batch request, s", std::chrono::duration<double>(result.maxBatchWait).count());
         report.bounded(name + "batch requests not started, share", 1 - static_cast<double>(result.batchStarted) / static_cast<double>(std::max<std::uint64_t>(1, result.batchOffered)), load > 1 ? 0.9 : 0.6);
     }
     return report.missed() == 0 ? 0 : 1;
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bytes and processor time of the state at a quarter to twice the planned size, for
+/// Bytes and processor time of the state at a quarter of, to twice, the planned size, for
 /// docs/CAPACITY.md. Bytes don't depend on the machine. Exits non-zero if a bound is missed.
 
 #include "report.h"
@@ -25,11 +25,11 @@
 constexpr int repeats = 20;
 constexpr double secondsPerDay = 86'400;
 constexpr double changesPerDay = 1'100;
-/// Instances that fail, are restarted or replaced, and are maintained, in a day at the planned size.
+/// Instances per day that fail, are restarted or replaced, and are maintained, at the planned size.
 constexpr double instanceEventsPerDay = 5 + 84 + 710.0 / 49;
-/// Ledger writes and list changes that one of them brings: granted, drained, rebooting, back.
+/// Ledger writes and list changes per instance event: granted, drained, rebooting, back.
 constexpr double changesPerEvent = 4;
-constexpr double instanceBytesInList = 230; ///< As the stand-in writes one.
+constexpr double instanceBytesInList = 230; ///< Size of an instance in the stand-in's list.
 
 double millisecondsOf(const std::function<void()>& work)
 {
@@ -74,14 +74,14 @@
     const double perSecond = (static_cast<double>(configurationBytes.size()) * changesPerDay * scale + (static_cast<double>(ledgerBytes.size()) + listBytes) * instanceEventsPerDay * changesPerEvent * scale) / secondsPerDay;
     char name[32];
     std::snprintf(name, sizeof name, "%.2f: ", scale);
-    report.told(std::string(name) + "instances", instances);
-    report.told(std::string(name) + "ledger, bytes", static_cast<double>(ledgerBytes.size()));
-    report.told(std::string(name) + "ledger, bytes an instance", static_cast<double>(ledgerBytes.size()) / instances);
-    report.told(std::string(name) + "configuration, bytes", static_cast<double>(configurationBytes.size()));
-    report.told(std::string(name) + "a quiet control step, ms", quiet);
-    report.told(std::string(name) + "reading a configuration, ms", reading);
-    report.told(std::string(name) + "decoding a ledger, ms", decoding);
-    report.told(std::string(name) + "resident memory added by it all, MB", residentMegabytes() - before);
+    report.unbounded(std::string(name) + "instances", instances);
+    report.unbounded(std::string(name) + "ledger, bytes", static_cast<double>(ledgerBytes.size()));
+    report.unbounded(std::string(name) + "ledger, bytes an instance", static_cast<double>(ledgerBytes.size()) / instances);
+    report.unbounded(std::string(name) + "configuration, bytes", static_cast<double>(configurationBytes.size()));
+    report.unbounded(std::string(name) + "a quiet control step, ms", quiet);
+    report.unbounded(std::string(name) + "reading a configuration, ms", reading);
+    report.unbounded(std::string(name) + "decoding a ledger, ms", decoding);
+    report.unbounded(std::string(name) + "resident memory added by it all, MB", residentMegabytes() - before);
     if (scale == 1) {
         report.bounded("planned size: documents read by a node, B/s", perSecond, 11'000);
         report.bounded("planned size: ledger, bytes", static_cast<double>(ledgerBytes.size()), 40'000);
--- a/bench/lower_bounds.cpp
+++ b/bench/lower_bounds.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A flow of least cost by cheapest augmenting paths.
-class CheapestFlow {
+/// A min-cost flow by successive shortest paths.
+class MinCostFlow {
 public:
     std::size_t addNode()
     {
@@ -21,27 +21,27 @@
         return m_edgesOf.size() - 1;
     }
 
-    /// \returns The edge's number.
+    /// \returns The index of the edge.
     std::size_t addEdge(std::size_t from, std::size_t to, std::uint32_t capacity, int cost = 0)
     {
         m_edgesOf[from].push_back(m_edges.size());
-        m_edges.push_back({ .to = to, .left = capacity, .cost = cost });
+        m_edges.push_back({ .to = to, .residual = capacity, .cost = cost });
         m_edgesOf[to].push_back(m_edges.size());
-        m_edges.push_back({ .to = from, .left = 0, .cost = -cost });
+        m_edges.push_back({ .to = from, .residual = 0, .cost = -cost });
         return m_edges.size() - 2;
     }
 
-    /// Sends one unit through `edges` if each has room. \returns Whether it did.
+    /// Sends one unit through `edges` if each has residual capacity. \returns Whether the unit was sent.
     bool push(std::initializer_list<std::size_t> edges)
     {
-        if (!std::all_of(edges.begin(), edges.end(), [&](std::size_t edge) { return m_edges[edge].left > 0; }))
+        if (!std::all_of(edges.begin(), edges.end(), [&](std::size_t edge) { return m_edges[edge].residual > 0; }))
             return false;
         for (const std::size_t edge : edges)
             pushEdge(edge);
         return true;
     }
 
-    /// Sends one more unit along the cheapest path. \returns Its cost, or nothing if none is left.
+    /// Sends one more unit along the cheapest path. \returns The path's cost, or nullopt if no path is left.
     std::optional<int> augment(std::size_t source, std::size_t sink)
     {
         std::vector<int> cost(m_edgesOf.size(), unreached);
@@ -55,7 +55,7 @@
             queued[node] = false;
             for (const std::size_t number : m_edgesOf[node]) {
                 const Edge& edge = m_edges[number];
-                if (edge.left == 0 || cost[node] + edge.cost >= cost[edge.to])
+                if (edge.residual == 0 || cost[node] + edge.cost >= cost[edge.to])
                     continue;
                 cost[edge.to] = cost[node] + edge.cost;
                 via[edge.to] = number;
@@ -76,14 +76,14 @@
 
     struct Edge {
         std::size_t to = 0;
-        std::uint32_t left = 0;
+        std::uint32_t residual = 0;
         int cost = 0;
     };
 
     void pushEdge(std::size_t edge)
     {
-        --m_edges[edge].left;
-        ++m_edges[edge ^ 1].left;
+        --m_edges[edge].residual;
+        ++m_edges[edge ^ 1].residual;
     }
 
     std::vector<Edge> m_edges;
@@ -104,7 +104,7 @@
 MovesBound movesBound(const FleetView& view)
 {
     const FleetIndex index(view.configuration, view.instances);
-    CheapestFlow flow;
+    MinCostFlow flow;
     const std::size_t source = flow.addNode();
     const std::size_t sink = flow.addNode();
     std::vector<std::size_t> nodes;
@@ -140,7 +140,7 @@
                 return;
             const bool atHome = entry.pool == view.configuration.pools[pool].name;
             const std::size_t edge = flow.addEdge(nodes[i], domainNodes[domains.of(i)], 1, atHome || strays[i] ? 0 : 1);
-            // Those who stay fill their places first, at no cost.
+            // Members that stay are assigned first, at no cost.
             if (atHome)
                 bound.unfilled -= flow.push({ sourceEdges[i], edge, domainEdges[domains.of(i)], poolEdge }) ? 1 : 0;
         });
@@ -152,7 +152,7 @@
     return bound;
 }
 
-Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timeOfOne)
+Millis rollOutBound(const Configuration& configuration, const Instances& instances, Millis timePerInstance)
 {
     const FleetIndex index(configuration, instances);
     std::uint32_t needed = 0;
@@ -160,7 +160,7 @@
         needed += index.size(pool).budgetTarget;
     const auto all = static_cast<std::uint32_t>(instances.size());
     const std::uint32_t atOnce = std::max<std::uint32_t>(1, all - std::min(all, needed));
-    return timeOfOne * ((all + atOnce - 1) / atOnce);
+    return timePerInstance * ((all + atOnce - 1) / atOnce);
 }
 
 } // namespace lanemoor::bench
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -1,14 +1,14 @@
 /// \file
-/// A worker's stand-in as a process: it serves requests, drains and reboots.
-/// Usage: endpoint_standin ID [REBOOT-MS]. It prints "listening PORT" and runs until its
-/// standard input ends.
+/// Stand-in process for a worker that serves requests, drains and reboots.
+/// Usage: endpoint_standin ID [REBOOT-MS]. Prints "listening PORT" and runs until the end of
+/// standard input.
 ///
-/// /check?ms=N        answers after N ms with the request's id and body
+/// /check?ms=N        responds after N ms with the request's id and body
 /// /listen?events=N&gapMs=M   streams N events
 /// /order             counts a run of the Idempotency-Key
-/// /cut, /close, /fail   cut the answer, close before it, answer 500
-/// /runs              tells all keys and how often each ran
-/// /platform/...      how the platform sees and controls it
+/// /cut, /close, /fail   abort amid the response, close before the response, respond with 500
+/// /runs              returns the run count of each key
+/// /platform/...      state and control calls of the platform
 
 #include "lanemoor/net/http_server.h"
 
@@ -32,10 +32,10 @@
 
 constexpr unsigned mostThreads = 300;
 
-std::chrono::milliseconds millisIn(const HttpRequest& request, std::string_view name, std::uint64_t otherwise)
+std::chrono::milliseconds millisIn(const HttpRequest& request, std::string_view name, std::uint64_t fallback)
 {
     const std::optional<std::string_view> text = queryValue(request.target, name);
-    return std::chrono::milliseconds(text ? parseDecimal(*text).value_or(otherwise) : otherwise);
+    return std::chrono::milliseconds(text ? parseDecimal(*text).value_or(fallback) : fallback);
 }
 
 class EndpointHandler final : public HttpHandler {
@@ -104,7 +104,7 @@
     void answerRuns(HttpExchange& exchange)
     {
         const std::lock_guard lock(m_mutex);
-        nlohmann::json runs { { "keys", m_runs }, { "mostInFlight", m_mostInFlight.load() }, { "served", m_served.load() }, { "refused", m_refused.load() } };
+        nlohmann::json runs { { "keys", m_runs }, { "mostInFlight", m_maxInFlight.load() }, { "served", m_served.load() }, { "refused", m_refused.load() } };
         exchange.respond({ 200, {}, runs.dump() });
     }
 
@@ -113,7 +113,7 @@
         const int now = ++m_inFlight;
         ++m_served;
         if (path != "/listen")
-            m_mostInFlight = std::max<int>(m_mostInFlight, now - m_listeners);
+            m_maxInFlight = std::max<int>(m_maxInFlight, now - m_listeners);
         if (path == "/listen")
             listen(exchange);
         else if (path == "/cut")
@@ -175,7 +175,7 @@
     std::uint64_t m_bootId = 1;
     bool m_draining = false;
     std::atomic<int> m_inFlight { 0 };
-    std::atomic<int> m_mostInFlight { 0 };
+    std::atomic<int> m_maxInFlight { 0 };
     std::atomic<int> m_listeners { 0 };
     std::atomic<std::uint64_t> m_served { 0 };
     std::atomic<std::uint64_t> m_refused { 0 };
--- a/tests/jobs/hall_evacuation_test.cpp
+++ b/tests/jobs/hall_evacuation_test.cpp
@@ -64,13 +64,13 @@
     cluster.runWithShortJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.runningIn("hall-b") > 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     cluster.evacuate(evacuated, false);
     cluster.evacuate("hall-b");
     cluster.runWithShortJobs(Millis(10'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
 }
 
@@ -89,7 +89,7 @@
         cluster.start(owner);
         cluster.runWithShortJobs(Millis(8'000));
         CHECK(cluster.runningIn(evacuated) == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -106,30 +106,30 @@
 TEST_CASE("Nothing starts while the set of evacuated data halls is unconfirmed, and starts resume once it is confirmed")
 {
     TwoHalls cluster(1, Millis(5'000));
-    cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+    cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(500));
     cluster.evacuate(evacuated);
     cluster.runWithShortJobs(Millis(8'000));
-    CHECK(cluster.witness.breaches().empty());
-    const std::uint64_t starts = cluster.witness.starts();
+    CHECK(cluster.checker.breaches().empty());
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.runWithShortJobs(Millis(1'000));
-    CHECK(cluster.witness.starts() == starts);
-    cluster.store.trouble.refusedRanges.clear();
+    CHECK(cluster.checker.starts() == starts);
+    cluster.store.faults.refusedRanges.clear();
     cluster.runWithShortJobs(Millis(8'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against a deployment without evacuations that stalls when range reads are refused.
 TEST_CASE("Without a bound on evacuations tasks start according to the last known set")
 {
     TwoHalls cluster;
-    cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+    cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
     cluster.clock.runFor(Millis(8'000));
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.runWithShortJobs(Millis(2'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
 }
 
 /// Guards against a bound that a single refused read exhausts.
@@ -137,12 +137,12 @@
 {
     TwoHalls cluster(1, Millis(5'000));
     for (int i = 0; i < 4; ++i) {
-        cluster.store.trouble.refusedRanges = cluster.documents.evacuationPrefix();
+        cluster.store.faults.refusedRanges = cluster.documents.evacuationPrefix();
         cluster.runWithShortJobs(Millis(2'500));
-        cluster.store.trouble.refusedRanges.clear();
-        const std::uint64_t starts = cluster.witness.starts();
+        cluster.store.faults.refusedRanges.clear();
+        const std::uint64_t starts = cluster.checker.starts();
         cluster.runWithShortJobs(Millis(1'000));
-        CHECK(cluster.witness.starts() >= starts + 40);
+        CHECK(cluster.checker.starts() >= starts + 40);
     }
 }
 
@@ -162,7 +162,7 @@
     cluster.runWithShortJobs(Millis(12'000));
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against moves for a request that is withdrawn at once, and against a hall that stays closed.
@@ -186,7 +186,7 @@
     CHECK(cluster.runningIn(evacuated) > 0);
     CHECK(cluster.runningIn("hall-b") == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Two data halls are evacuated at once: nothing starts, budgets hold, and all resumes after one is withdrawn")
@@ -195,15 +195,15 @@
     cluster.evacuate(evacuated);
     cluster.evacuate("hall-b");
     cluster.runWithShortJobs(Millis(8'000));
-    const std::uint64_t starts = cluster.witness.starts();
+    const std::uint64_t starts = cluster.checker.starts();
     cluster.runWithShortJobs(Millis(1'000));
-    CHECK(cluster.witness.starts() == starts);
+    CHECK(cluster.checker.starts() == starts);
     cluster.evacuate("hall-b", false);
     cluster.runWithShortJobs(Millis(8'000));
-    CHECK(cluster.witness.starts() > starts);
+    CHECK(cluster.checker.starts() > starts);
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 /// Guards against an evacuation during a network partition: the hall's workers are not notified, and must get no starts after it heals.
@@ -212,7 +212,7 @@
     TwoHalls cluster(1, Millis(5'000));
     const auto setPartitioned = [&](bool isPartitioned) {
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble.cutOff = isPartitioned && worker.entry.dataHall == evacuated;
+            worker.faults.partitioned = isPartitioned && worker.entry.dataHall == evacuated;
     };
     setPartitioned(true);
     cluster.runWithShortJobs(Millis(1'000));
@@ -222,16 +222,16 @@
     cluster.runWithShortJobs(Millis(8'000));
     CHECK(cluster.runningIn(evacuated) == 0);
     CHECK(cluster.status(0, TwoHalls::longRunning) == JobStatus::Running);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An evacuation is in force in time while the store is slow")
 {
     TwoHalls cluster(1, Millis(5'000));
-    cluster.store.trouble.answerTime = Millis(300);
+    cluster.store.faults.answerTime = Millis(300);
     cluster.runWithShortJobs(Millis(1'000));
     cluster.evacuate(evacuated);
     cluster.runWithShortJobs(Millis(10'000));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
     CHECK(cluster.runningIn(evacuated) == 0);
 }
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -193,12 +193,12 @@
             return minInstances;
         };
         minInstancesDuring(Millis(8'000), true);
-        cluster.store.trouble = { .leasesWait = true, .refusing = true };
+        cluster.store.faults = { .leasesPaused = true, .refusing = true };
         minInstancesDuring(Millis(4'000), false);
-        cluster.store.trouble = {};
+        cluster.store.faults = {};
         // Callers retry within 3 s.
         const std::size_t minInstances = minInstancesDuring(Millis(2'500), false);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         return minInstances;
     };
     const std::size_t without = minInstancesAfterOutage(false);
--- a/tests/jobs/lost_owner_test.cpp
+++ b/tests/jobs/lost_owner_test.cpp
@@ -37,7 +37,7 @@
     const std::size_t owner = cluster.owner().value();
     cluster.kill(owner);
     CHECK(untilSucceeded(cluster, owner) <= 300);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An unresponsive owner is only succeeded once its lease has expired")
@@ -80,8 +80,8 @@
     cluster.workers.runTimes = [](const Attempt&) { return Millis(400); };
     cluster.clock.runFor(Millis(2'000));
     cluster.submit(0, "work", jobId(1), job({ step(1), step(1, { 0 }) }));
-    REQUIRE(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 1; }));
-    const std::string busy = cluster.witness.workerOf(jobId(1), {});
+    REQUIRE(cluster.waitFor(Millis(1'000), [&] { return cluster.checker.starts() == 1; }));
+    const std::string busy = cluster.checker.workerOf(jobId(1), {});
     // The entry of the crashed worker remains for some seconds.
     for (const auto& [id, worker] : cluster.workers.workers()) {
         if (worker.alive && id != busy) {
@@ -90,8 +90,8 @@
         }
     }
     cluster.kill(cluster.owner().value());
-    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.witness.starts() == 2; }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.waitFor(Millis(1'000), [&] { return cluster.checker.starts() == 2; }));
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A holder is named after its instance and its start time, and is not confused with other instances")
@@ -115,5 +115,5 @@
         cluster.clock.runFor(Millis(1'500));
     }
     CHECK(cluster.owner().has_value());
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
--- a/tests/jobs/poison_task_test.cpp
+++ b/tests/jobs/poison_task_test.cpp
@@ -24,7 +24,7 @@
     explicit PoisonTaskCluster(std::uint64_t seed = 1)
         : SmallCluster(seed, 3, 6, 2)
     {
-        workers.endsWorker = [](const Attempt& attempt) { return attempt.job == poisonJob && attempt.task == TaskId { 0, 1, 0 }; };
+        workers.crashesWorker = [](const Attempt& attempt) { return attempt.job == poisonJob && attempt.task == TaskId { 0, 1, 0 }; };
         StepSpec lasting = longStep(5);
         lasting.maxPerInstance = 0;
         submit(0, "work", longRunningJob, job({ lasting }));
@@ -36,7 +36,7 @@
     bool allRun()
     {
         for (std::uint32_t i = 0; i < 5; ++i) {
-            if (witness.workerOf(longRunningJob, { 0, 0, i }).empty())
+            if (checker.workerOf(longRunningJob, { 0, 0, i }).empty())
                 return false;
         }
         return true;
@@ -73,8 +73,8 @@
 {
     PoisonTaskCluster cluster;
     cluster.clock.runFor(Millis(40'000));
-    CHECK(cluster.witness.breaches().empty());
-    CHECK(cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 }) <= 3);
+    CHECK(cluster.checker.breaches().empty());
+    CHECK(cluster.checker.workersCrashedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 }) <= 3);
     CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed));
 }
 
@@ -88,32 +88,32 @@
         cluster.clock.runFor(Millis(5'000));
         CHECK(cluster.shows(PoisonTaskCluster::longRunningJob, JobStatus::Running));
         CHECK(cluster.unserved() == 0);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
 TEST_CASE("A long-running poison task fails permanently without its job, also across a change of owner")
 {
     PoisonTaskCluster cluster;
-    cluster.workers.endsWorker = [](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::longRunningJob && attempt.task.index == 3; };
+    cluster.workers.crashesWorker = [](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::longRunningJob && attempt.task.index == 3; };
     const auto othersRun = [&] {
         for (const std::uint32_t i : { 0U, 1U, 2U, 4U }) {
-            if (cluster.witness.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, i }).empty())
+            if (cluster.checker.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, i }).empty())
                 return false;
         }
         return true;
     };
-    cluster.workers.crash(cluster.witness.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }), Millis(2'000));
+    cluster.workers.crash(cluster.checker.workerOf(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }), Millis(2'000));
     cluster.clock.runFor(Millis(25'000));
     CHECK(othersRun());
     CHECK(cluster.shows(PoisonTaskCluster::longRunningJob, JobStatus::Running));
-    const std::uint32_t ended = cluster.witness.workersEndedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 });
+    const std::uint32_t ended = cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 });
     CHECK(ended >= 3);
     cluster.kill(*cluster.owner());
     cluster.clock.runFor(Millis(15'000));
-    CHECK(cluster.witness.workersEndedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }) == ended);
+    CHECK(cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }) == ended);
     CHECK(othersRun());
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A poison task fails permanently although owners change")
@@ -125,7 +125,7 @@
         // After every second crash the owner is killed, during the wait for the proof that the worker has ended.
         for (int round = 0; round < 400; ++round) {
             cluster.clock.runFor(Millis(100));
-            const std::uint32_t now = cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 });
+            const std::uint32_t now = cluster.checker.workersCrashedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 });
             const std::optional<std::size_t> owner = cluster.owner();
             if (now == ended || !owner)
                 continue;
@@ -135,7 +135,7 @@
                 cluster.clock.after(Millis(1'500), [&cluster, index = *owner] { cluster.start(index); });
             }
         }
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
         REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value(); }));
         CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed, *cluster.owner()));
         CHECK(cluster.allRun());
@@ -149,15 +149,15 @@
         CAPTURE(seed);
         PoisonTaskCluster cluster(seed);
         std::uint32_t starts = 0;
-        cluster.workers.endsWorker = [&](const Attempt& attempt) {
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) {
             const bool isPoison = attempt.job == PoisonTaskCluster::poisonJob && attempt.task == TaskId { 0, 1, 0 };
             if (isPoison)
-                cluster.workers.endsWorkerAfter = Millis((starts++ + seed) % 3 == 0 ? 0 : 10);
+                cluster.workers.crashesWorkerAfter = Millis((starts++ + seed) % 3 == 0 ? 0 : 10);
             return isPoison;
         };
         cluster.runWithQuickJobs(Millis(30'000));
         CHECK(cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Failed));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -171,17 +171,17 @@
         const std::string id = jobId(1);
         // The worker acknowledges the start and is then partitioned at once.
         std::uint32_t starts = 0;
-        cluster.workers.endsWorker = [&](const Attempt& attempt) {
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) {
             if (++starts <= maxCrashes)
-                cluster.clock.after(Millis(3), [&cluster, id, task = attempt.task] { cluster.workers.find(cluster.witness.workerOf(id, task))->trouble.cutOff = true; });
+                cluster.clock.after(Millis(3), [&cluster, id, task = attempt.task] { cluster.workers.find(cluster.checker.workerOf(id, task))->faults.partitioned = true; });
             return false;
         };
         cluster.submit(0, "work", id, job({ step(1) }));
         REQUIRE(cluster.waitFor(Millis(60'000), [&] { return starts > maxCrashes; }));
         for (auto& [worker, model] : cluster.workers.workers())
-            model.trouble = {};
+            model.faults = {};
         REQUIRE(cluster.waitFor(Millis(15'000), [&] { return cluster.shows(id, JobStatus::Succeeded); }));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -192,12 +192,12 @@
         CAPTURE(seed);
         PoisonTaskCluster cluster(seed);
         const TaskId task { 0, 1, 0 };
-        cluster.workers.endsWorker = [&](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::poisonJob && attempt.task == task && cluster.witness.workersEndedBy(attempt.job, task) == 0; };
-        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.witness.workersEndedBy(PoisonTaskCluster::poisonJob, task) == 1; }));
+        cluster.workers.crashesWorker = [&](const Attempt& attempt) { return attempt.job == PoisonTaskCluster::poisonJob && attempt.task == task && cluster.checker.workersCrashedBy(attempt.job, task) == 0; };
+        REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.checker.workersCrashedBy(PoisonTaskCluster::poisonJob, task) == 1; }));
         // The task is a suspect from here on, and its starts reach no worker.
         for (std::uint32_t owners = 0; owners < maxCrashes; ++owners) {
             for (auto& [id, worker] : cluster.workers.workers())
-                worker.trouble.lostOrders = 1;
+                worker.faults.lostCommands = 1;
             cluster.clock.runFor(Millis(2'500));
             const std::size_t owner = cluster.owner().value();
             cluster.kill(owner);
@@ -205,10 +205,10 @@
             REQUIRE(cluster.waitFor(Millis(5'000), [&] { return cluster.owner().has_value(); }));
         }
         for (auto& [id, worker] : cluster.workers.workers())
-            worker.trouble = {};
+            worker.faults = {};
         const auto hasSucceeded = [&] { return cluster.shows(PoisonTaskCluster::poisonJob, JobStatus::Succeeded, *cluster.owner()); };
         CHECK(cluster.waitFor(Millis(30'000), hasSucceeded));
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -235,6 +235,6 @@
             CAPTURE(i);
             CHECK(cluster.shows(jobId(i), JobStatus::Succeeded));
         }
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -296,7 +296,7 @@
     RelayFixture fixture;
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(100));
-    fixture.store.cutOff = true; // Both relays use the same client here.
+    fixture.store.partitioned = true; // Both relays use the same client here.
     const std::string payload(3'000, 'x');
     std::vector<CommandOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
@@ -316,7 +316,7 @@
     fixture.clock.runFor(Millis(40));
     CHECK(outcomes.size() == 16);
     // A payload that arrives late does not start the task a second time.
-    fixture.store.cutOff = false;
+    fixture.store.partitioned = false;
     fixture.clock.runFor(Millis(3'000));
     CHECK(fixture.byFirst.starts.size() + fixture.bySecond.starts.size() == 16);
 }
@@ -326,7 +326,7 @@
     RelayFixture fixture;
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(100));
-    fixture.peers.trouble.cutOff = { "first" };
+    fixture.peers.faults.partitioned = { "first" };
     fixture.outcomes.clear();
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(1'100));
@@ -343,7 +343,7 @@
     for (const auto& [id, result] : fixture.outcomes)
         CHECK(result.outcome == CommandOutcome::Done);
     // The relay is used again once it is reachable.
-    fixture.peers.trouble.cutOff.clear();
+    fixture.peers.faults.partitioned.clear();
     fixture.clock.runFor(Millis(7'000));
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(50));
@@ -410,7 +410,7 @@
     cluster.kill((owner + 1) % 3, true);
     for (std::uint64_t i = 1; i <= 6; ++i)
         CHECK(cluster.waitFor(Millis(10'000), [&] { return cluster.shows(jobId(i), JobStatus::Succeeded, owner); }));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("Without a failure of owner or relays no lease expires and every start is acknowledged")
--- a/tests/jobs/restarted_worker_test.cpp
+++ b/tests/jobs/restarted_worker_test.cpp
@@ -65,13 +65,13 @@
         REQUIRE(cluster.unserved() == 0);
         cluster.restartAll(returnsAfter);
         cluster.clock.runFor(returnsAfter + Millis(500));
-        const std::uint64_t startsBefore = cluster.witness.starts();
+        const std::uint64_t startsBefore = cluster.checker.starts();
         for (int i = 0; i < 4; ++i)
             cluster.submitJob(8);
         cluster.clock.runFor(Millis(1'000));
         CHECK(cluster.unserved() == 0);
-        CHECK(cluster.witness.starts() - startsBefore == 4 * 8);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.starts() - startsBefore == 4 * 8);
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
@@ -80,13 +80,13 @@
     RestartCluster cluster;
     cluster.submit(0, "work", jobId(RestartCluster::firstLongJob), job({ step(12) }));
     cluster.clock.runFor(Millis(500));
-    const std::uint64_t startsBefore = cluster.witness.starts();
+    const std::uint64_t startsBefore = cluster.checker.starts();
     cluster.restartAll(Millis(50));
     cluster.clock.runFor(Millis(50 + 400));
-    CHECK(cluster.witness.starts() - startsBefore == 12);
+    CHECK(cluster.checker.starts() - startsBefore == 12);
     cluster.clock.runFor(Millis(8'000));
     CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("An owner without a report of the previous incarnation accepts the new one")
@@ -104,7 +104,7 @@
     CHECK(cluster.shows(jobId(RestartCluster::firstLongJob), JobStatus::Succeeded, newOwner));
     for (std::uint64_t i = 100; i < 103; ++i)
         CHECK(cluster.shows(jobId(i), JobStatus::Succeeded, newOwner));
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A worker that comes back under its id after its maintenance gets work")
@@ -115,7 +115,7 @@
     cluster.submitJob(4);
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.unserved() == 0);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A worker's start time is accepted only as a whole number")
--- a/tests/jobs/small_entry_test.cpp
+++ b/tests/jobs/small_entry_test.cpp
@@ -61,7 +61,7 @@
     for (std::size_t i = 0; i < cluster.entries(); ++i)
         CHECK(cluster.status(i, cancelled) == JobStatus::Cancelled);
     CHECK(cluster.entry(3).jobs(std::nullopt, 10).size() <= 2);
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 TEST_CASE("A small entry instance reads only jobs that it is asked for")
@@ -118,30 +118,30 @@
         CHECK(cluster.owner() == 0U);
         CHECK(cluster.status(1 + small % 3, jobId(30)) == JobStatus::Succeeded);
         CHECK(cluster.status(1 + small % 3, jobId(1)) == JobStatus::Running);
-        CHECK(cluster.witness.breaches().empty());
+        CHECK(cluster.checker.breaches().empty());
     }
 }
 
 TEST_CASE("A wave requested before a small entry instance takes ownership is carried out")
 {
     MixedCluster cluster;
-    cluster.askWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .maxConcurrent = 1 });
+    cluster.requestWave({ .number = 1, .instances = { "m-0", "m-1", "m-2" }, .duration = Millis(20'000), .maxConcurrent = 1 });
     cluster.kill(0);
     cluster.clock.runFor(Millis(25'000));
     const StoreItem* status = cluster.store.find(cluster.documents.waveStatusKey(1));
     REQUIRE(status);
     CHECK(status->value == "finished");
-    CHECK(cluster.witness.breaches().empty());
+    CHECK(cluster.checker.breaches().empty());
 }
 
 // Guards against rejections until the next read of the configuration after a single lost answer.
 TEST_CASE("A small entry instance accepts jobs again as soon as the store has answered")
 {
     MixedCluster cluster;
-    cluster.store.trouble.lostAnswers = 1;
+    cluster.store.faults.lostAnswers = 1;
     cluster.submit(1, "work", jobId(1), job({ step(1) }));
     cluster.clock.runFor(Millis(100));
-    cluster.store.trouble.lostAnswers = 0;
+    cluster.store.faults.lostAnswers = 0;
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.accepted().contains(jobId(1)); }));
     cluster.submit(1, "work", jobId(2), job({ step(1) }));
     CHECK(cluster.waitFor(Millis(50), [&] { return cluster.accepted().contains(jobId(2)); }));
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -32,7 +32,7 @@
         , client(store, process)
         , mirror(process, client, { .prefix = "a/", .minWatchGap = minWatchGap, .resumesImmediately = resumesImmediately }, [](const StoreItem&) {})
     {
-        store.trouble.mostEvents = 100;
+        store.faults.maxEvents = 100;
         mirror.start();
         clock.runFor(Millis(50));
     }
@@ -79,7 +79,7 @@
     WatchedStore watched(1, Millis(0));
     watched.mirror.pause();
     watched.write(10'000);
-    watched.store.trouble.lostPages = 0.4;
+    watched.store.faults.lostPages = 0.4;
     watched.mirror.resume({});
     watched.clock.runFor(Millis(70'000));
     CHECK(watched.mirror.revisionOf("a/9999") != 0);
@@ -137,8 +137,8 @@
 TEST_CASE("An instance whose mirror lags reports no outdated count of a queue's waiting jobs")
 {
     SmallCluster cluster(1, 2, 0, 0);
-    cluster.store.trouble.mostEvents = 100;
-    cluster.store.trouble.answerTime = Millis(600);
+    cluster.store.faults.maxEvents = 100;
+    cluster.store.faults.answerTime = Millis(600);
     std::deque<std::size_t> accepted; // At the end of each 100 ms.
     std::uint64_t number = 0;
     std::size_t counts = 0;
@@ -156,7 +156,7 @@
         counts += count ? 1 : 0;
     }
     CHECK(counts < 70);
-    cluster.store.trouble.answerTime = Millis(4);
+    cluster.store.faults.answerTime = Millis(4);
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.pending(1, "work") == cluster.accepted().size());
 }
--- a/tests/soak/fault_runner.h
+++ b/tests/soak/fault_runner.h
@@ -1,10 +1,10 @@
 #pragma once
 /// \file
-/// Carries out a plan of faults on a cluster.
+/// Executes a fault plan on a cluster.
 
 #include "fault_plan.h"
+#include "guarantee_monitor.h"
 #include "lanemoor/aio/asio_event_loop.h"
-#include "promises.h"
 #include "soak_cluster.h"
 
 #include <cstdint>
@@ -18,15 +18,15 @@
 
 namespace lanemoor::soak {
 
-/// \brief Begins and ends faults at their times, and tells the checks when something is in trouble.
+/// \brief Begins and ends faults at their planned times, and reports them to the guarantee checks.
 class FaultRunner {
 public:
-    /// \param owner Tells which process owns by its log; beyond the last one: none is known.
-    /// \param beforeStop Called with a process just before it is asked to stop.
-    /// \param record Gets a line for each fault.
-    FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, Promises& promises, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record);
+    /// \param owner Returns the index of the owner according to the logs; an index past the last process if unknown.
+    /// \param beforeStop Called with the index of a process just before SIGTERM.
+    /// \param record Receives one JSON line per fault.
+    FaultRunner(aio::AsioEventLoop& loop, SoakCluster& cluster, GuaranteeMonitor& guarantees, std::function<unsigned()> owner, std::function<void(unsigned)> beforeStop, std::ostream& record);
 
-    /// \brief Carries out `plan` from now on.
+    /// \brief Schedules `plan` relative to the current time.
     void run(const std::vector<PlannedFault>& plan);
 
     /// \returns Whether every fault is over and every process runs again.
@@ -49,16 +49,16 @@
     void cut(const std::shared_ptr<Path>& path, const PathFaults& faults, Millis time);
     void after(Millis time, std::function<void()> callback);
     [[nodiscard]] unsigned processOf(const PlannedFault& fault) const;
-    void tell(std::string_view fault, const nlohmann::json& fields);
+    void logFault(std::string_view fault, const nlohmann::json& fields);
 
     aio::AsioEventLoop& m_loop;
     SoakCluster& m_cluster;
-    Promises& m_promises;
+    GuaranteeMonitor& m_guarantees;
     std::function<unsigned()> m_owner;
     std::function<void(unsigned)> m_beforeStop;
     std::ostream& m_record;
-    std::set<unsigned> m_disturbed; ///< Processes that are paused, or don't run.
-    std::size_t m_pending = 0; ///< Beginnings and ends of faults that are still to come.
+    std::set<unsigned> m_disturbed; ///< Processes that are paused, stopping or not running.
+    std::size_t m_pending = 0; ///< Scheduled callbacks that have not run yet.
     std::uint64_t m_faults = 0;
 };
 
--- a/tests/soak/soak_session.cpp
+++ b/tests/soak/soak_session.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis tailPause { 20 };
 constexpr Millis statusPause { 500 };
-// Bounds are several times what an idle machine needs, so that a busy one changes no verdict.
+// Several times what an idle machine needs, so that load on the machine fails no run.
 constexpr Millis startLimit { 60'000 };
 constexpr Millis stopLimit { 20'000 };
 
@@ -29,7 +29,7 @@
 {
     if (!keep.empty()) {
         std::filesystem::create_directories(keep);
-        // Logs of a former run would be taken for those of this one.
+        // Logs of a previous run would be attributed to this one.
         if (!std::filesystem::is_empty(keep))
             throw std::runtime_error(keep + " is not empty");
         return keep;
@@ -42,14 +42,14 @@
 
 SoakSession::SoakSession(const ClusterOptions& options)
     : m_cluster(m_loop, options)
-    , m_callers(m_loop, m_cluster, m_promises, [this] { drainLogs(); })
+    , m_callers(m_loop, m_cluster, m_guarantees, [this] { drainLogs(); })
 {
     watchLogs(m_loop.now());
 }
 
 void SoakSession::watchLogs(jobs::MonotonicInstant due)
 {
-    m_mostLateness = std::max(m_mostLateness, std::chrono::duration_cast<Millis>(m_loop.now() - due));
+    m_maxLateness = std::max(m_maxLateness, std::chrono::duration_cast<Millis>(m_loop.now() - due));
     drainLogs();
     const jobs::MonotonicInstant next = m_loop.now() + tailPause;
     m_loop.callAt(next, [this, next] { watchLogs(next); });
@@ -58,7 +58,7 @@
 void SoakSession::drainLogs()
 {
     for (const nlohmann::json& event : m_cluster.events())
-        m_promises.noteEvent(event);
+        m_guarantees.noteEvent(event);
     std::vector<SoakCluster::Entry>& entries = m_cluster.entries();
     for (unsigned index = 0; index < entries.size(); ++index) {
         for (const nlohmann::json& line : entries[index].tail->read())
@@ -71,7 +71,7 @@
     const std::string event = line.value("event", "");
     if (event == "configuration-in-force") {
         const auto version = line.value("version", std::uint64_t { 0 });
-        m_promises.noteConfiguration(m_cluster.entries()[index].name, version, timeOf(line));
+        m_guarantees.noteConfiguration(m_cluster.entries()[index].name, version, timeOf(line));
         m_versions[index] = version;
     } else if (event == "ownership-taken") {
         m_owner = index;
@@ -84,37 +84,37 @@
 {
     for (unsigned index = 0; index < m_cluster.entries().size(); ++index)
         m_cluster.startEntry(index);
-    m_callers.balance();
+    m_callers.pollReadiness();
     watchJobs();
     const std::string& folder = m_cluster.options().folder;
     if (!waitFor(startLimit, [this] { return areAllReady(); }))
         throw std::runtime_error("not every process is ready in time; see " + folder);
     const std::string id = m_callers.probe(0);
-    if (!waitFor(startLimit, [this, &id] { return m_promises.hasSucceeded(id); }))
+    if (!waitFor(startLimit, [this, &id] { return m_guarantees.hasSucceeded(id); }))
         throw std::runtime_error("the first job does not end in time; see " + folder);
 }
 
 void SoakSession::watchJobs()
 {
-    m_callers.askForOpenJobs();
+    m_callers.requestOpenStatuses();
     m_loop.callAt(m_loop.now() + statusPause, [this] { watchJobs(); });
 }
 
-bool SoakSession::waitFor(Millis limit, const std::function<bool()>& holds)
+bool SoakSession::waitFor(Millis limit, const std::function<bool()>& condition)
 {
     const jobs::MonotonicInstant deadline = m_loop.now() + limit;
-    bool held = false;
+    bool hasAnswered = false;
     const std::function<void()> check = [&] {
-        held = holds();
-        if (held || m_loop.now() >= deadline)
+        hasAnswered = condition();
+        if (hasAnswered || m_loop.now() >= deadline)
             m_loop.stop();
         else
             m_loop.callAt(m_loop.now() + tailPause, [&check] { check(); });
     };
     check();
-    if (!held)
+    if (!hasAnswered)
         m_loop.run();
-    return held;
+    return hasAnswered;
 }
 
 bool SoakSession::areAllReady()
@@ -149,7 +149,7 @@
     static_cast<void>(waitFor(stopLimit, [&] { return std::all_of(entries.begin(), entries.end(), hasEnded); }));
     for (const SoakCluster::Entry& entry : entries) {
         if (!hasEnded(entry))
-            m_promises.noteStopTooLong(entry.name, unixNow());
+            m_guarantees.noteStopTooLong(entry.name, unixNow());
     }
 }
 
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The demonstration: a cluster of real processes on loopback, one pass over the main
-/// job, and a table of what happened. Exits non-zero on any violation.
+/// Demonstration of the request service: runs its main functions on a cluster of real processes
+/// on loopback and prints a table of results. Exits non-zero on any violation.
 
 #include "support/cluster.h"
 
@@ -20,7 +20,7 @@
 const std::vector<std::string> services { "counter", "misc", "orders", "quoting", "settlement" };
 const std::vector<std::string> entryNames { "entry-1", "entry-2", "entry-3" };
 
-/// Lines of the table that the demonstration ends with.
+/// Prints results as table rows and counts violations.
 class Table {
 public:
     void add(const std::string& what, const std::string& seen, bool good)
@@ -115,7 +115,7 @@
     table.add("an operator's change in force on every entry within 5 s", inMilliseconds(secondsSince(start)), everywhere);
 }
 
-/// Drains an instance that holds a request and a listener.
+/// Drains an instance that has requests and listeners in flight.
 void showDrain(Cluster& cluster, Table& table)
 {
     std::vector<Answer> held(8);
@@ -137,7 +137,7 @@
     table.add("requests and listeners in flight during the drain, uncut", std::to_string(whole) + " of 8", out && whole == 8);
 }
 
-void showLosses(Cluster& cluster, Table& table)
+void showFailures(Cluster& cluster, Table& table)
 {
     cluster.killEntry("entry-1");
     cluster.worker("quoting-1").signal(SIGKILL);
@@ -195,7 +195,7 @@
         startCluster(cluster, table);
         showRequests(cluster, table);
         showDrain(cluster, table);
-        showLosses(cluster, table);
+        showFailures(cluster, table);
         showWave(cluster, table);
     }
     std::cout << (table.violations() == 0 ? "no violation\n" : "VIOLATIONS: " + std::to_string(table.violations()) + '\n');
