--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -64,7 +64,7 @@
     WorkerHealthOptions health;
     FailureDomainOptions failureDomains;
     AdmissionOptions admission;
-    bool seesRises = true; ///< See CapacityOptions.
+    bool seesRises = true; ///< Whether the load forecast weighs the newest arrivals more and extrapolates a rise.
 };
 
 /// Usage of a worker, as input for decisions on instances.
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -165,8 +165,8 @@
     bool m_leaseExpired = false;
     bool m_awaitingAcknowledgement = false;
     std::uint64_t m_storedUpTo = 0;
-    std::int64_t m_clockSample = 0; ///< A time on the worker's clock, ms,
-    MonotonicInstant m_clockSampledBy; ///< reached at this local time at the latest.
+    std::int64_t m_clockSample = 0; ///< A time on the worker's clock, ms; 0 before the first response.
+    MonotonicInstant m_clockSampledBy; ///< Local time by which the worker's clock had reached `m_clockSample`.
     std::int64_t m_lastSeenOnClock = 0; ///< Newest time on the worker's clock, ms; responses may overtake each other.
     MonotonicInstant m_answeredAt; ///< When `m_lastSeenOnClock` was received.
     std::int64_t m_latestLease = 0; ///< Latest granted lease, on the worker's clock, ms.
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -63,7 +63,8 @@
     std::uint32_t minInstances = 2; ///< Min size of a pool with queues, so that one instance may fail.
     bool sharesFairly = true; ///< Whether a pool with more capacity drains instances for one with less.
     /// Min lead of a pool over the one it drains for, in multiples of the instance's processor time. A drain and a move waste some
-    /// 2.5 s of the instance. A gap of 2 scores 0.020 lower than 5 on changed deployments, and the same on the others.
+    /// 2.5 s of the instance. A gap of 2 lowers the score of a run by 0.020 on modified deployments, and makes no
+    /// difference on the others.
     double fairnessGap = 5.0;
     bool backlogApart = true; ///< Whether jobs that end late in any case only get capacity that no other job asks for.
     bool seesRises = true; ///< Whether the newest arrivals weigh more and a rise is extrapolated.
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -24,9 +24,9 @@
     double lostShare = 0.5; ///< A data hall is lost if more than this share of its workers stops answering.
     Millis returnStep { 250 }; ///< Interval between two batches of readmitted workers.
     double returnShare = 0.25; ///< Share of the data hall's workers in one batch.
-    /// A data hall of which only a smaller share returns counts as back if no other worker came for this time.
+    /// A data hall of which at most `lostShare` returns counts as back if no worker was readmitted for this time.
     Millis returnSettleTime { 5'000 };
-    /// A data hall of which no worker returns counts as back after this: its only remaining instances may be off.
+    /// A data hall of which no worker returns counts as back after this: all of its remaining instances may be off.
     Millis maxLossTime { 30'000 };
 
     [[nodiscard]] bool operator==(const FailureDomainOptions&) const = default;
--- a/include/lanemoor/jobs/policy/organisation_share.h
+++ b/include/lanemoor/jobs/policy/organisation_share.h
@@ -80,8 +80,8 @@
 /// \brief Tracks organisations below their share whose tasks are too large for the free room.
 ///
 /// While others fill each free core at once, a large task never finds room. An organisation that started nothing for
-/// `starvedAfter` gets a claim: others beyond their share wait until it starts a task, for at most `memory`. They then go on for
-/// as long.
+/// `starvedAfter` gets a claim: others beyond their share wait until it starts a task, for at most `memory`. If it
+/// starts none, the others run for at least `memory` before the next claim.
 class ShareDeficits {
 public:
     /// \param memory Max duration of a claim.
--- a/include/lanemoor/jobs/policy/placement.h
+++ b/include/lanemoor/jobs/policy/placement.h
@@ -18,7 +18,7 @@
 
 /// A task that may have crashed the workers that started it, at a site that has not survived its start yet.
 struct SiteSuspect {
-    std::string quarantineKey; ///< See `quarantineKey`: suspects with the same key need no separation.
+    std::string quarantineKey; ///< From the function of this name; suspects with the same key need no separation.
     std::uint32_t suspicion = 0; ///< Crashes that it may have caused.
 };
 
@@ -42,7 +42,7 @@
 /// Conditions on the site beside the step's own needs.
 struct PlacementQuery {
     std::string avoidWorker; ///< Only used if no other site is available.
-    std::string quarantineKey; ///< See `quarantineKey`.
+    std::string quarantineKey; ///< Of the task, from the function of this name.
     std::uint32_t suspicion = 0; ///< Crashes that the task may have caused.
     std::string rack; ///< Only sites of this rack; empty: any.
     bool nearOnly = false; ///< Only sites in the rack that the step prefers, if it prefers one.
--- a/include/lanemoor/jobs/policy/sliding_extreme.h
+++ b/include/lanemoor/jobs/policy/sliding_extreme.h
@@ -24,7 +24,7 @@
     {
         while (!m_samples.empty() && now - m_samples.front().at > window)
             m_samples.pop_front();
-        // A later sample dominates this one, which can never be the extreme again.
+        // An earlier sample that the new value dominates can never be the extreme again.
         while (!m_samples.empty() && Compare {}(m_samples.back().value, value))
             m_samples.pop_back();
         m_samples.push_back({ now, value });
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -38,7 +38,7 @@
 /// Observations of a worker within the window.
 struct WorkerEvidence {
     std::int32_t calls = 0; ///< Starts and stops.
-    std::int32_t unanswered = 0; ///< Calls whose answer is overdue.
+    std::int32_t unanswered = 0; ///< Calls whose answer is overdue and has not come since.
     std::int32_t ends = 0; ///< Attempts whose run time was compared with that of peers.
     std::int32_t lateEnds = 0; ///< Attempts that took far longer.
 
--- a/src/jobs/owner/admission_controller.h
+++ b/src/jobs/owner/admission_controller.h
@@ -32,7 +32,7 @@
     [[nodiscard]] const std::vector<AdmissionBudget>& budgets() const noexcept { return m_published.budgets; }
 
 private:
-    using QueueAndOrganisation = std::pair<std::string, std::string>; // Queue and organisation.
+    using QueueAndOrganisation = std::pair<std::string, std::string>;
     using ByPool = std::map<std::string, std::map<QueueAndOrganisation, AcceptedWork>>;
 
     /// Moving averages of declared values over the latest jobs of a queue.
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -219,7 +219,7 @@
     case CommandOutcome::Unknown:
         ++m_counts.unknownStarts;
         m_state.options.log->decision("start-in-doubt", { { "attempt", nameOf(attempt) }, { "worker", worker } });
-        // Only in phase Ordered: a stop that was sent meanwhile settles the start.
+        // Only in phase Sent: a stop that was sent meanwhile settles the start.
         if (const LiveAttempt* live = findLive(attempt, worker); live && live->phase == AttemptPhase::Sent)
             job->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
         return;
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Pause per crash of the task. A task that waits for three seconds although it could run counts as forgotten.
+/// Pause per crash of the task. With `maxCrashes` crashes it stays below three seconds: a task that waits longer although it could run
+/// counts as forgotten.
 constexpr Millis retryPauseStep { 570 };
 
 /// Number of recorded crashes from which a further crash is inferred without an acknowledgement, and without an owner that observed the
--- a/src/jobs/owner/fleet_controller.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -532,7 +532,7 @@
         seen.healthy = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
         seen.arriving = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
         const bool isClosed = this->isClosed(instance, use);
-        // An instance that is moving there won't be open for tasks either.
+        // An instance of a closed data hall is not open for tasks after a move either.
         seen.healthy = seen.healthy && (reserve || !isClosed);
         if (hasPendingCall(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -157,9 +157,9 @@
     }
 }
 
-/// Under overload with oldest-first order, every job would end slightly late; jobs that can still
-/// meet their objective come before those that can't. Jobs that have begun are exempt: placing them last
-/// once they missed their objective cost 0.036 on further/, since half-done work is thrown away.
+/// Under overload with oldest-first order, every job would end slightly late; jobs that can still meet their objective come before
+/// those that cannot. Jobs that have started are exempt: placing them last once they missed their objective discards half-done work, and
+/// lowered the score of a run by 0.036.
 bool OwnerState::isHopeless(const OwnerJob& job, MonotonicInstant now) const
 {
     return now >= hopelessFrom(job);
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -68,7 +68,7 @@
     ResponseTime responses; ///< Response times of starts.
     /// A step for which no worker had capacity.
     struct WaitingStep {
-        MonotonicInstant since; ///< When this was first found.
+        MonotonicInstant since; ///< When a pass first found no worker for it.
         std::optional<MonotonicInstant> explainedAt; ///< When `wait` was determined and logged.
         StepWait wait; ///< The reason.
     };
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -18,7 +18,7 @@
     /// has expired.
     PlacementPass(OwnerState& state, CommandDispatcher& dispatcher, AdviceClient& advice, std::function<bool()> isSettled);
 
-    /// \returns The time when the next task or occurrence becomes startable, if only its time is missing.
+    /// \returns When the next task or occurrence becomes startable by the passage of time alone; nothing: none does.
     std::optional<MonotonicInstant> run();
 
     using Waiting = std::map<std::string, std::map<Requirement, WaitingTasks>>;
