--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -172,8 +172,8 @@
 
     /// \brief Handles the platform's instance list. The list names incarnations whose entries may be missing in the
     /// store and that may run tasks of an earlier owner.
-    /// \param askedAt Time when the list was requested.
-    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt);
+    /// \param requestedAt Time when the list was requested.
+    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt);
 
     /// \returns Whether every worker that may run tasks of an earlier owner has reported or its lease has expired;
     /// true if this instance is not the owner.
--- a/include/lanemoor/jobs/owner/worker_record.h
+++ b/include/lanemoor/jobs/owner/worker_record.h
@@ -71,7 +71,7 @@
     [[nodiscard]] bool isProbablyUp(MonotonicInstant now) const;
 
     /// \returns Whether a recorded start may be sent: the worker is open, and its capacity still covers all reservations.
-    [[nodiscard]] bool takesRecordedStart(MonotonicInstant now) const;
+    [[nodiscard]] bool acceptsRecordedStart(MonotonicInstant now) const;
 
     /// \returns Whether the incarnation is old enough to appear in a list of instances, so that a later list without it proves its end.
     [[nodiscard]] bool isEstablished(MonotonicInstant now) const { return now >= establishedAt(); }
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -50,13 +50,13 @@
     virtual void onUnresponsive(WorkerSession& session) = 0;
 
     /// \brief The incarnation or its lease has ended: none of its attempts runs any more.
-    /// \param isIncarnationOver False: only the lease has expired; the worker may respond again, with no running attempts.
-    virtual void onEnded(WorkerSession& session, bool isIncarnationOver) = 0;
+    /// \param hasIncarnationEnded False: only the lease has expired; the worker may respond again, with no running attempts.
+    virtual void onEnded(WorkerSession& session, bool hasIncarnationEnded) = 0;
 
     /// \brief The worker has restarted under its id. No attempt of the previous incarnation runs any more; an unacknowledged
     /// command to the previous incarnation may still reach the new one.
-    /// \param startedAt Start time of the new incarnation. \param wasOver The previous incarnation, or its lease, was already known to have ended.
-    virtual void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) = 0;
+    /// \param startedAt Start time of the new incarnation. \param hadEnded The previous incarnation, or its lease, was already known to have ended.
+    virtual void onRestart(WorkerSession& session, std::int64_t startedAt, bool hadEnded) = 0;
 
     /// \brief The worker has rejected the call, since it has accepted calls of a later owner.
     virtual void onFenced(WorkerSession& session) = 0;
@@ -122,7 +122,7 @@
     [[nodiscard]] bool isUnresponsive() const noexcept { return m_unresponsive; }
 
     /// \returns Whether the incarnation is known to have ended.
-    [[nodiscard]] bool isIncarnationOver() const noexcept { return m_incarnationOver; }
+    [[nodiscard]] bool hasIncarnationEnded() const noexcept { return m_incarnationEnded; }
 
     /// \returns When every lease granted to this worker has certainly expired.
     [[nodiscard]] MonotonicInstant leaseExpiresBy() const;
@@ -156,7 +156,7 @@
     bool m_renewing = false;
     bool m_hasAnswered = false;
     bool m_unresponsive = false;
-    bool m_incarnationOver = false;
+    bool m_incarnationEnded = false;
     bool m_restartSuspected = false; ///< Another incarnation may respond under this id.
     MonotonicInstant m_nextProbeAt; ///< No probe is sent before this.
     MonotonicInstant m_reducedWaitUntil;
--- a/include/lanemoor/jobs/policy/call_budget.h
+++ b/include/lanemoor/jobs/policy/call_budget.h
@@ -13,7 +13,7 @@
 /// \code
 /// CallBudget budget(590.0, now);
 /// const std::size_t calls = std::min(wanted, budget.available(now));
-/// budget.take(calls);
+/// budget.consume(calls);
 /// \endcode
 class CallBudget {
 public:
@@ -28,7 +28,7 @@
     [[nodiscard]] std::size_t available(MonotonicInstant now);
 
     /// \brief Removes tokens for calls that are made now.
-    void take(std::size_t calls);
+    void consume(std::size_t calls);
 
     /// \brief Empties the bucket after the interface refused a call over its rate: another client has used the rate up.
     void drain() noexcept { m_tokens = 0; }
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -136,7 +136,7 @@
     void planDrains(std::vector<Balance>& pools, std::vector<CapacityDrain>& drains, std::size_t maxDrains) const;
     void powerOff(std::vector<Balance>& pools, std::vector<CapacityMove>& moves, std::size_t maxMoves, MonotonicInstant now) const;
     [[nodiscard]] bool mayPowerOff(MonotonicInstant now) const;
-    [[nodiscard]] bool takes(const std::string& pool, const std::string& kind) const;
+    [[nodiscard]] bool acceptsKind(const std::string& pool, const std::string& kind) const;
 
     CapacityOptions m_options;
     std::optional<MonotonicInstant> m_firstSeen;
--- a/include/lanemoor/jobs/policy/crash_attribution.h
+++ b/include/lanemoor/jobs/policy/crash_attribution.h
@@ -52,7 +52,7 @@
 [[nodiscard]] std::string quarantineKey(const Attempt& attempt, bool isLongRunning);
 
 /// \returns Whether the evidence suffices to fail a task without another crash.
-[[nodiscard]] bool isExhausted(const CrashCount& crashes, std::uint32_t openProbations, bool isInherited) noexcept;
+[[nodiscard]] bool isExhausted(const CrashCount& crashes, std::uint32_t unsettledProbations, bool isInherited) noexcept;
 
 /// An attempt that was running when its worker crashed.
 struct LostAttempt {
--- a/include/lanemoor/jobs/policy/ejection_bound.h
+++ b/include/lanemoor/jobs/policy/ejection_bound.h
@@ -17,7 +17,7 @@
 /// State of a worker for the bound.
 struct EjectionMember {
     const WorkerEntry* worker = nullptr;
-    bool out = false; ///< Ejected or probing.
+    bool outOfService = false; ///< Ejected or probing.
     bool answering = true; ///< It answers calls.
 };
 
@@ -52,7 +52,7 @@
 private:
     struct Group {
         std::uint32_t workers = 0;
-        std::uint32_t out = 0;
+        std::uint32_t outOfService = 0;
         std::uint32_t answering = 0;
     };
 
@@ -62,7 +62,7 @@
     [[nodiscard]] bool leavesMinInstances(const EjectionMember& member) const;
     [[nodiscard]] bool isDomainUnresponsive(const Domain& domain, const EjectionMember& member) const;
     void count(const EjectionMember& member);
-    void take(const EjectionMember& member);
+    void countEjected(const EjectionMember& member);
 
     WorkerHealthOptions m_options;
     MinInstances m_minInstances;
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -113,7 +113,7 @@
     void noteStop(const std::string& worker, bool hasEnded, MonotonicInstant now);
 
     /// \brief Removes a worker whose end was planned.
-    void noteGone(const std::string& worker);
+    void forgetWorker(const std::string& worker);
 
     /// \returns Losses, returns and readmissions up to now.
     [[nodiscard]] HallFindings update(MonotonicInstant now);
@@ -167,7 +167,7 @@
     void declareLost(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings);
     void readmitHall(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings);
     void admitPart(Loss& loss, MonotonicInstant now, HallFindings& findings);
-    [[nodiscard]] bool isBack(const Loss& loss, MonotonicInstant now) const;
+    [[nodiscard]] bool hasReturned(const Loss& loss, MonotonicInstant now) const;
 
     FailureDomainOptions m_options;
     std::map<std::string, Hall> m_halls;
--- a/include/lanemoor/jobs/policy/maintenance_plan.h
+++ b/include/lanemoor/jobs/policy/maintenance_plan.h
@@ -65,7 +65,7 @@
     void noteRefused(const std::string& instance, MonotonicInstant retryAt);
 
     /// \brief Records that an instance of the wave does not exist any longer.
-    void noteGone(const std::string& instance);
+    void noteRemoved(const std::string& instance);
 
     /// \returns Whether the maintenance of every instance has started.
     [[nodiscard]] bool isFinished() const noexcept;
--- a/include/lanemoor/jobs/policy/organisation_use.h
+++ b/include/lanemoor/jobs/policy/organisation_use.h
@@ -19,7 +19,7 @@
 public:
     /// \brief Takes a token for a job. \param perSecond The rate; 0: no limit.
     /// \returns Whether the job is within the rate.
-    bool take(double perSecond, MonotonicInstant now);
+    bool tryConsume(double perSecond, MonotonicInstant now);
 
 private:
     double m_left = 0;
--- a/include/lanemoor/jobs/policy/unacknowledged_starts.h
+++ b/include/lanemoor/jobs/policy/unacknowledged_starts.h
@@ -53,11 +53,11 @@
     /// \returns Number of further starts that may be sent.
     [[nodiscard]] std::uint32_t startsLeft(MonotonicInstant now) const;
 
-    /// \brief Drops starts of attempts that have ended. \param isOver Predicate on an attempt.
+    /// \brief Drops starts of attempts that have ended. \param hasEnded Predicate on an attempt.
     template <typename Predicate>
-    void dropSettled(Predicate isOver)
+    void dropSettled(Predicate hasEnded)
     {
-        std::erase_if(m_unacknowledged, [&](const auto& pending) { return isOver(pending.first); });
+        std::erase_if(m_unacknowledged, [&](const auto& pending) { return hasEnded(pending.first); });
     }
 
 private:
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -111,10 +111,10 @@
     [[nodiscard]] bool isEjected(MonotonicInstant now) const noexcept { return now < m_backoff.until(); }
 
     /// \returns Whether it gets one attempt at a time, to show that it is healthy again.
-    [[nodiscard]] bool isProbing(MonotonicInstant now) const noexcept { return isOut(now) && !isEjected(now); }
+    [[nodiscard]] bool isProbing(MonotonicInstant now) const noexcept { return isOutOfService(now) && !isEjected(now); }
 
     /// \returns Whether it is ejected or probing.
-    [[nodiscard]] bool isOut(MonotonicInstant now) const noexcept;
+    [[nodiscard]] bool isOutOfService(MonotonicInstant now) const noexcept;
 
     /// \returns End of the last backoff; the epoch of the clock if there was none.
     [[nodiscard]] MonotonicInstant ejectedUntil() const noexcept { return m_backoff.until(); }
--- a/src/jobs/intake/admission_gate.cpp
+++ b/src/jobs/intake/admission_gate.cpp
@@ -67,7 +67,7 @@
     AdmissionDecision decision { .admitted = false, .basis = AdmissionBasis::Budget, .budget = budget.granted, .grantAge = std::chrono::duration_cast<Millis>(now - m_grantedAt), .retryAfter = retryAfterOf(budget.granted) };
     if (now >= m_expiresAt) {
         decision.basis = AdmissionBasis::SafeShare;
-        decision.admitted = budget.safeShare.take(std::max(jobsPerSecond / m_entries, 1.0), now);
+        decision.admitted = budget.safeShare.tryConsume(std::max(jobsPerSecond / m_entries, 1.0), now);
         return decision;
     }
     refill(budget, now);
--- a/src/jobs/owner/admission_controller.cpp
+++ b/src/jobs/owner/admission_controller.cpp
@@ -54,12 +54,12 @@
         return;
     const auto [place, isFirst] = m_typicalValues.try_emplace(record.queue);
     const double weight = isFirst ? 1 : newestJobWeight;
-    const auto mix = [weight](double& mean, double newest) { mean += weight * (newest - mean); };
+    const auto average = [weight](double& mean, double newest) { mean += weight * (newest - mean); };
     const QueueSettings* queue = m_state.configuration()->queue(record.queue);
     const auto chain = static_cast<double>(job.chain.count());
-    mix(place->second.workMillis, static_cast<double>(declaredWork(record.spec)) / milli);
-    mix(place->second.chainMillis, chain);
-    mix(place->second.allowedMillis, queue ? queue->stretch * chain + static_cast<double>(queue->latencyTarget.count()) : chain);
+    average(place->second.workMillis, static_cast<double>(declaredWork(record.spec)) / milli);
+    average(place->second.chainMillis, chain);
+    average(place->second.allowedMillis, queue ? queue->stretch * chain + static_cast<double>(queue->latencyTarget.count()) : chain);
 }
 
 void AdmissionController::tickLater()
@@ -76,7 +76,7 @@
     m_timer = 0;
     const AdmissionOptions& options = m_state.options.admission;
     AdmissionGrants grants { .term = m_state.ownership.term, .validity = options.grantValidity, .budgets = compute() };
-    notePressed(grants.budgets);
+    noteUnderPressure(grants.budgets);
     const MonotonicInstant now = m_state.now();
     const bool expires = !grants.budgets.empty() && now - m_publishedAt >= options.grantValidity / 2;
     if (expires || differsSignificantly(m_published, grants)) {
@@ -87,14 +87,14 @@
     tickLater();
 }
 
-void AdmissionController::notePressed(const std::vector<AdmissionBudget>& budgets)
+void AdmissionController::noteUnderPressure(const std::vector<AdmissionBudget>& budgets)
 {
     const MonotonicInstant now = m_state.now();
-    std::erase_if(m_pressedUntil, [now](const auto& pressed) { return now >= pressed.second; });
+    std::erase_if(m_underPressureUntil, [now](const auto& pressure) { return now >= pressure.second; });
     for (const AdmissionBudget& budget : budgets) {
-        const bool isNew = !m_pressedUntil.contains({ budget.queue, budget.organisation });
+        const bool isNew = !m_underPressureUntil.contains({ budget.queue, budget.organisation });
         if (isNew || budget.workMillis < budget.jobMillis)
-            m_pressedUntil[{ budget.queue, budget.organisation }] = now + pressureRetention;
+            m_underPressureUntil[{ budget.queue, budget.organisation }] = now + pressureRetention;
     }
 }
 
@@ -130,7 +130,7 @@
         AcceptedWork& work = entryOf(accepted, name, group.jobs().begin()->second.job->state.record().pool);
         work.workMillis += static_cast<std::int64_t>(static_cast<double>(group.sums(false).work + group.sums(true).work) / milli * work.correction);
     }
-    for (const auto& [name, until] : m_pressedUntil)
+    for (const auto& [name, until] : m_underPressureUntil)
         entryOf(accepted, name, {}).wasUnderPressure = true;
     return accepted;
 }
--- a/src/jobs/owner/admission_controller.h
+++ b/src/jobs/owner/admission_controller.h
@@ -45,7 +45,7 @@
     void tickLater();
     void tick();
     [[nodiscard]] std::vector<AdmissionBudget> compute() const;
-    void notePressed(const std::vector<AdmissionBudget>& budgets);
+    void noteUnderPressure(const std::vector<AdmissionBudget>& budgets);
     [[nodiscard]] ByPool acceptedByPool() const;
     AcceptedWork& entryOf(ByPool& accepted, const QueueAndOrganisation& name, const std::string& fallbackPool) const;
     [[nodiscard]] UsualJob typicalJobOf(const std::string& queue) const;
@@ -54,7 +54,7 @@
     const OwnerState& m_state;
     TimerId m_timer = 0;
     std::map<std::string, TypicalValues> m_typicalValues; ///< By queue.
-    std::map<QueueAndOrganisation, MonotonicInstant> m_pressedUntil; ///< Queues and organisations that stay in the grants until the given time.
+    std::map<QueueAndOrganisation, MonotonicInstant> m_underPressureUntil; ///< Queues and organisations that stay in the grants until the given time.
     AdmissionGrants m_published;
     MonotonicInstant m_publishedAt;
 };
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t maxBackoff = 3; // Doublings of the pause between stops.
 constexpr Millis probeMargin { 10 }; // A worker's clock may be slow by 2%, and has a resolution of 1 ms.
 constexpr Millis pauseAfterNoRoom { 200 }; // Time until the next reports bring the worker's free resources up to date.
-constexpr Millis pauseAfterFailedOrder { 400 }; // A worker that refuses commands gets none for this time.
+constexpr Millis pauseAfterRefusal { 400 }; // A worker that refuses commands gets none for this time.
 
 /// Renewals are answered when an attempt ends or after a second: these probes detect sooner whether the worker still runs.
 void probeSoon(WorkerSession& session)
@@ -46,7 +46,7 @@
     job.state.begin(task, number, worker.entry.id, m_state.now());
     worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspicion = suspicion });
     worker.probationUntil = m_state.now() + maxProbation;
-    m_health.noteStartBooked(worker, attempt);
+    m_health.noteStartReserved(worker, attempt);
     if (isFirstStart)
         m_state.store(job.state.id());
     if (suspicion == 0)
@@ -75,7 +75,7 @@
     if (!live || live->phase != AttemptPhase::Recording)
         return;
     WorkerRecord* record = recordOfSession(worker, session);
-    if (!record || !record->takesRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !record->session->leaseForCommand()) {
+    if (!record || !record->acceptsRecordedStart(m_state.now()) || !m_state.mayStart(*m_state.job(attempt.job)) || !record->session->leaseForCommand()) {
         withdrawRecorded(attempt, worker);
         return;
     }
@@ -92,8 +92,8 @@
 bool CommandDispatcher::needsVerifiedWorker(const Attempt& attempt) const
 {
     const JobState& job = m_state.job(attempt.job)->state;
-    const std::uint32_t own = 1;
-    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspicion() > own;
+    const std::uint32_t suspicionOfThisStart = 1;
+    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspicion() > suspicionOfThisStart;
 }
 
 /// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
@@ -136,17 +136,17 @@
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const TaskState& task = *job.find(attempt.task);
-    const StartCommand order { .attempt = attempt,
+    const StartCommand command { .attempt = attempt,
         .payload = job.record().spec.payload,
         .leaseUntil = worker.session->leaseForCommand().value_or(0),
         .epoch = m_state.ownership.epoch,
         .checkpoint = task.checkpoint,
         .ticket = ticket };
     ++m_counts.starts;
-    m_health.noteStartSent(worker, order);
+    m_health.noteStartSent(worker, command);
     m_state.options.log->decision("task-start",
         { { "attempt", nameOf(attempt) }, { "worker", worker.entry.id }, { "epoch", static_cast<std::int64_t>(m_state.ownership.epoch) }, { "crashes", std::int64_t { task.crashes.total() } }, { "recorded", std::int64_t { task.probationOf(attempt.number) != nullptr } }, { "worker_verified", std::int64_t { task.live->sentAtWorkerClock > 0 } } });
-    m_state.options.workers->start(worker.session->incarnation(), order, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const CommandResult& result) {
+    m_state.options.workers->start(worker.session->incarnation(), command, [self = weak_from_this(), attempt, id = worker.entry.id, session = std::weak_ptr(worker.session)](const CommandResult& result) {
         const auto dispatcher = self.lock();
         if (dispatcher && !dispatcher->m_closed)
             dispatcher->onStartAnswered(attempt, id, session.lock().get(), result);
@@ -198,22 +198,22 @@
 {
     WorkerRecord* record = recordOfSession(worker, session);
     OwnerJob* job = m_state.job(attempt.job);
-    bool isOfLife = false;
+    bool isOfIncarnation = false;
     if (record && result.outcome != CommandOutcome::OtherIncarnation)
-        isOfLife = record->session->noteClock(result.workerClock);
+        isOfIncarnation = record->session->noteClock(result.workerClock);
     if (record && result.outcome != CommandOutcome::OtherIncarnation && result.outcome != CommandOutcome::Unknown)
         m_health.noteStartAnswered(*record, attempt);
     switch (result.outcome) {
     case CommandOutcome::Done:
         if (!record)
             return;
-        if (job && isOfLife && job->state.noteConfirmed(attempt, result.workerClock))
+        if (job && isOfIncarnation && job->state.noteConfirmed(attempt, result.workerClock))
             m_state.store(attempt.job);
         if (const LiveAttempt* live = findLive(attempt, worker))
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
         if (record->reservations.suspects().contains(attempt))
             probeSoon(*record->session);
-        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isOfLife)))
+        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isOfIncarnation)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
         return;
     case CommandOutcome::Unknown:
@@ -244,7 +244,7 @@
         const bool full = outcome == CommandOutcome::NoRoom;
         const bool stale = outcome == CommandOutcome::LeaseExpired || outcome == CommandOutcome::Superseded || outcome == CommandOutcome::BadTicket;
         if (!stale)
-            record->closedUntil = now + (full ? pauseAfterNoRoom : pauseAfterFailedOrder);
+            record->closedUntil = now + (full ? pauseAfterNoRoom : pauseAfterRefusal);
     }
     release(attempt, worker, now);
     m_state.requestPass();
@@ -403,15 +403,15 @@
 
 void CommandDispatcher::giveUp(OwnerJob& job, const TaskId& task)
 {
-    const bool wasOver = isFinal(job.state.status());
-    const bool isOver = job.state.giveUp(task);
-    if (wasOver)
+    const bool wasFinished = isFinal(job.state.status());
+    const bool jobFails = job.state.giveUp(task);
+    if (wasFinished)
         return;
     ++m_counts.givenUp;
     const TaskState& state = *job.state.find(task);
-    m_state.options.log->decision("task-given-up", { { "attempt", nameOf(Attempt { job.state.id(), task, state.lastAttempt }) }, { "workers_lost", std::int64_t { state.crashes.total() } }, { "confirmed", std::int64_t { state.crashes.confirmed } }, { "job_fails", std::int64_t { isOver } } });
+    m_state.options.log->decision("task-given-up", { { "attempt", nameOf(Attempt { job.state.id(), task, state.lastAttempt }) }, { "workers_lost", std::int64_t { state.crashes.total() } }, { "confirmed", std::int64_t { state.crashes.confirmed } }, { "job_fails", std::int64_t { jobFails } } });
     m_state.store(job.state.id());
-    if (isOver)
+    if (jobFails)
         finish(job);
 }
 
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -64,7 +64,7 @@
 {
     if (m_state.now() >= m_nextWorkerCountAt) {
         m_nextWorkerCountAt = m_state.now() + maxWorkerCountAge;
-        m_aliveWorkerCount = static_cast<std::size_t>(std::count_if(m_state.workers.begin(), m_state.workers.end(), [](const auto& worker) { return !worker.second.session->isIncarnationOver(); }));
+        m_aliveWorkerCount = static_cast<std::size_t>(std::count_if(m_state.workers.begin(), m_state.workers.end(), [](const auto& worker) { return !worker.second.session->hasIncarnationEnded(); }));
     }
     return m_aliveWorkerCount;
 }
@@ -72,33 +72,33 @@
 /// Also drops index entries without unsettled probations.
 std::vector<CrashTracker::ProbationStart> CrashTracker::probationStartsAt(const std::string& worker)
 {
-    std::vector<ProbationStart> open;
+    std::vector<ProbationStart> unsettled;
     const auto indexed = m_state.probations.find(worker);
     if (indexed == m_state.probations.end())
-        return open;
+        return unsettled;
     std::erase_if(indexed->second, [&](const auto& entry) {
         OwnerJob* job = m_state.job(entry.first);
         const TaskState* task = job ? job->state.find(entry.second) : nullptr;
         if (!task)
             return true;
-        const std::size_t before = open.size();
+        const std::size_t before = unsettled.size();
         for (const Probation& probation : task->probations) {
             if (probation.worker == worker)
-                open.push_back({ .job = job, .task = entry.second, .probation = probation });
+                unsettled.push_back({ .job = job, .task = entry.second, .probation = probation });
         }
-        return open.size() == before;
+        return unsettled.size() == before;
     });
     if (indexed->second.empty())
         m_state.probations.erase(indexed);
-    return open;
+    return unsettled;
 }
 
 /// \returns The starts at the incarnation of the session.
 std::vector<CrashTracker::ProbationStart> CrashTracker::probationStartsOf(const WorkerRecord& worker)
 {
-    std::vector<ProbationStart> open = probationStartsAt(worker.entry.id);
-    std::erase_if(open, [&](const ProbationStart& start) { return !isSameIncarnation(start.probation.workerStartedAt, worker.session->incarnation().startedAt); });
-    return open;
+    std::vector<ProbationStart> unsettled = probationStartsAt(worker.entry.id);
+    std::erase_if(unsettled, [&](const ProbationStart& start) { return !isSameIncarnation(start.probation.workerStartedAt, worker.session->incarnation().startedAt); });
+    return unsettled;
 }
 
 void CrashTracker::withdraw(const ProbationStart& start, std::string_view reason)
@@ -163,7 +163,7 @@
         m_state.requestPass();
 }
 
-void CrashTracker::noteSilence(WorkerRecord& worker)
+void CrashTracker::noteUnresponsive(WorkerRecord& worker)
 {
     if (worker.isEndOrdered || worker.reservations.empty())
         return;
@@ -192,7 +192,7 @@
     if (worker.isEndOrdered)
         return;
     noteInheritedFailure(worker);
-    noteSilence(worker);
+    noteUnresponsive(worker);
     for (const ProbationStart& start : probationStartsOf(worker)) {
         const TaskState* task = m_state.liveTask(start.attempt(), worker.entry.id);
         if (task && task->live->phase != AttemptPhase::Recording)
@@ -229,13 +229,13 @@
 }
 
 /// \returns The attempts lost in a worker crash, latest start first.
-/// \param open Starts on probation at that incarnation, including those of reserved attempts.
-std::vector<LostAttempt> CrashTracker::lostAttempts(const WorkerRecord& worker, const std::vector<ProbationStart>& open) const
+/// \param unsettled Starts on probation at that incarnation, including those of reserved attempts.
+std::vector<LostAttempt> CrashTracker::lostAttempts(const WorkerRecord& worker, const std::vector<ProbationStart>& unsettled) const
 {
     std::vector<LostAttempt> lost;
     if (worker.session->hasAnswered())
         lost = reservedAttempts(worker);
-    for (const ProbationStart& start : open) {
+    for (const ProbationStart& start : unsettled) {
         if (worker.reservations.contains(start.attempt()) || isFinal(start.job->state.status()))
             continue;
         LostAttempt& entry = lost.emplace_back(LostAttempt { .attempt = start.attempt(), .isLongRunning = start.job->state.spec(start.task.step).longRunning, .survived = std::nullopt, .isInherited = start.job->inherited, .before = start.job->state.find(start.task)->crashes });
@@ -251,15 +251,15 @@
     if (std::exchange(worker.isEndAttributed, true))
         return std::nullopt;
     noteInheritedFailure(worker);
-    const std::vector<ProbationStart> open = probationStartsOf(worker);
-    std::vector<LostAttempt> lost = worker.isEndOrdered ? std::vector<LostAttempt>() : lostAttempts(worker, open);
+    const std::vector<ProbationStart> unsettled = probationStartsOf(worker);
+    std::vector<LostAttempt> lost = worker.isEndOrdered ? std::vector<LostAttempt>() : lostAttempts(worker, unsettled);
     // A draining worker continues for seconds: it crashed if it became unresponsive right after a start.
     const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
     const auto wasSurvived = [probation](const LostAttempt& each) { return each.isAdopted || each.survived.value_or(Millis(0)) >= probation; };
     if (worker.entry.draining && std::all_of(lost.begin(), lost.end(), wasSurvived))
         lost.clear();
     if (worker.isEndOrdered || (worker.entry.draining && lost.empty())) {
-        std::for_each(open.begin(), open.end(), [this](const ProbationStart& start) { withdraw(start, "planned-end"); });
+        std::for_each(unsettled.begin(), unsettled.end(), [this](const ProbationStart& start) { withdraw(start, "planned-end"); });
         return std::nullopt;
     }
     // For a worker that never responded to this owner, only the records of a previous owner count.
@@ -273,7 +273,7 @@
     for (const LostAttempt& start : attribution.possibleSuspects)
         attributeCrash(start.attempt, worker.entry.id, false);
     // The other starts are not the cause.
-    std::for_each(open.begin(), open.end(), [this](const ProbationStart& start) { withdraw(start, "survived"); });
+    std::for_each(unsettled.begin(), unsettled.end(), [this](const ProbationStart& start) { withdraw(start, "survived"); });
     return attribution.failed;
 }
 
@@ -292,7 +292,7 @@
 {
     m_areInheritedTasksReleased = true;
     for (const auto& [id, worker] : m_state.workers) {
-        if (!worker.session->hasAnswered() || worker.session->isUnresponsive() || worker.session->isIncarnationOver())
+        if (!worker.session->hasAnswered() || worker.session->isUnresponsive() || worker.session->hasIncarnationEnded())
             m_state.inheritedFailures.noteFailure(worker.entry.pool);
     }
     const std::string pools = m_state.inheritedFailures.text();
@@ -312,7 +312,7 @@
     }
 }
 
-void CrashTracker::settleUnknownIncarnations(bool isProvedOver)
+void CrashTracker::settleUnknownIncarnations(bool isEndProved)
 {
     std::vector<std::string> workers;
     for (const auto& [id, tasks] : m_state.probations)
@@ -323,7 +323,7 @@
             const bool isPrevious = record && !isSameIncarnation(start.probation.workerStartedAt, record->session->incarnation().startedAt);
             if ((record && !isPrevious) || start.isLive())
                 continue;
-            attributeCrash(start.attempt(), id, start.probation.confirmsCrash() && (isPrevious || isProvedOver));
+            attributeCrash(start.attempt(), id, start.probation.confirmsCrash() && (isPrevious || isEndProved));
         }
     }
 }
--- a/src/jobs/owner/crash_tracker.h
+++ b/src/jobs/owner/crash_tracker.h
@@ -31,7 +31,7 @@
 
     /// \brief Notes an unresponsive worker: puts the starts on probation that may have crashed it. Proof of its end takes a second
     /// or more, in which the owner may crash too.
-    void noteSilence(WorkerRecord& worker);
+    void noteUnresponsive(WorkerRecord& worker);
 
     /// \brief Notes an overdue response: the starts on probation at the worker may have crashed it. The note is stored, so that it survives
     /// a crash of this owner before the worker counts as unresponsive.
@@ -52,8 +52,8 @@
     void noteUnansweredWorkers();
 
     /// \brief Settles probations at incarnations without a session.
-    /// \param isProvedOver Whether all incarnations that may be up are known, so that an unknown one has ended.
-    void settleUnknownIncarnations(bool isProvedOver);
+    /// \param isEndProved Whether all incarnations that may be up are known, so that an unknown one has ended.
+    void settleUnknownIncarnations(bool isEndProved);
 
     /// \returns The pause before the next start of a suspect task, which makes coinciding unrelated crashes less likely.
     [[nodiscard]] Millis retryPause(const Attempt& attempt) const;
@@ -73,7 +73,7 @@
     [[nodiscard]] std::vector<ProbationStart> probationStartsAt(const std::string& worker);
     [[nodiscard]] std::vector<ProbationStart> probationStartsOf(const WorkerRecord& worker);
     [[nodiscard]] std::vector<LostAttempt> reservedAttempts(const WorkerRecord& worker) const;
-    [[nodiscard]] std::vector<LostAttempt> lostAttempts(const WorkerRecord& worker, const std::vector<ProbationStart>& open) const;
+    [[nodiscard]] std::vector<LostAttempt> lostAttempts(const WorkerRecord& worker, const std::vector<ProbationStart>& unsettled) const;
     void noteInheritedFailure(const WorkerRecord& worker);
     [[nodiscard]] static bool isInferred(const ProbationStart& start, const WorkerRecord& worker);
     void withdraw(const ProbationStart& start, std::string_view reason);
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -29,8 +29,8 @@
     if (now < m_state.nextDisplacementAt)
         return;
     for (const auto& [key, waiting] : m_state.waits) {
-        const bool isBound = !waiting.wait.label.empty() && waiting.wait.labelled > 0 && waiting.wait.labelledWithRoom == 0 && waiting.wait.heldByQuotaOf.empty();
-        const OwnerJob* job = isBound && now - waiting.since >= minWaitTime ? m_state.job(key.first) : nullptr;
+        const bool lacksLabelledRoom = !waiting.wait.label.empty() && waiting.wait.labelled > 0 && waiting.wait.labelledWithRoom == 0 && waiting.wait.heldByQuotaOf.empty();
+        const OwnerJob* job = lacksLabelledRoom && now - waiting.since >= minWaitTime ? m_state.job(key.first) : nullptr;
         if (!job || isFinal(job->state.status()) || !job->state.steps().contains(key.second) || job->state.steps().at(key.second).idle() == 0)
             continue;
         makeRoomFor(job->state, key.second, m_state.poolOf(job->state));
--- a/src/jobs/owner/evacuation.cpp
+++ b/src/jobs/owner/evacuation.cpp
@@ -51,11 +51,11 @@
 {
     for (auto& [id, worker] : m_state.workers) {
         if ((worker.evacuating || worker.hallEvacuated || worker.entry.draining) && !worker.reservations.empty())
-            empty(worker);
+            evacuateWorker(worker);
     }
 }
 
-void Evacuation::empty(WorkerRecord& worker)
+void Evacuation::evacuateWorker(WorkerRecord& worker)
 {
     std::vector<Attempt> stopping;
     for (const auto& [attempt, reservation] : worker.reservations) {
--- a/src/jobs/owner/evacuation.h
+++ b/src/jobs/owner/evacuation.h
@@ -22,7 +22,7 @@
     void run();
 
 private:
-    void empty(WorkerRecord& worker);
+    void evacuateWorker(WorkerRecord& worker);
     [[nodiscard]] bool mayStop(const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker);
     [[nodiscard]] bool isBatchToMove(const JobState& job, const Attempt& attempt, const Reservation& reservation, const WorkerRecord& worker);
 
--- a/src/jobs/owner/fair_placement.cpp
+++ b/src/jobs/owner/fair_placement.cpp
@@ -215,9 +215,9 @@
 
 void FairPlacement::defer(const PlacementCandidate& candidate, std::size_t first)
 {
-    PlacementCandidate rest = candidate;
-    rest.tasks.erase(rest.tasks.begin(), rest.tasks.begin() + static_cast<std::ptrdiff_t>(first));
-    m_deferred.push_back({ .head = { std::move(rest) }, .group = nullptr, .next = {}, .end = {} });
+    PlacementCandidate remaining = candidate;
+    remaining.tasks.erase(remaining.tasks.begin(), remaining.tasks.begin() + static_cast<std::ptrdiff_t>(first));
+    m_deferred.push_back({ .head = { std::move(remaining) }, .group = nullptr, .next = {}, .end = {} });
 }
 
 void FairPlacement::noteDeficits()
--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -34,7 +34,7 @@
 public:
     /// Tasks of one step that may start together even if the first ones use up their organisation's share: a job ends only with its
     /// last task, so splitting the step would delay the whole job.
-    static constexpr std::size_t tasksTogether = 16;
+    static constexpr std::size_t maxTasksTogether = 16;
 
     /// \param room Capacity and usage of the pool before the pass.
     FairPlacement(OwnerState& state, std::string pool, MonotonicInstant now, const PoolRoom& room, FairPlacementActions actions);
--- a/src/jobs/owner/fleet_controller.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -81,7 +81,7 @@
         m_evacuationMoves = EvacuationMoves();
         m_callBudget = CallBudget(m_options.callsPerSecond, m_options.loop->now());
         for (const auto& [number, wave] : m_waves)
-            begin(wave);
+            resumeWave(wave);
         list();
         planSoon();
     }
@@ -100,7 +100,7 @@
             return;
         m_options.log->change("wave-asked", { { "wave", static_cast<std::int64_t>(wave.number) }, { "instances", static_cast<std::int64_t>(wave.instances.size()) }, { "at_once", std::int64_t { wave.maxConcurrent } } });
         if (m_active)
-            begin(wave);
+            resumeWave(wave);
     }
 
     FleetCounts counts;
@@ -109,7 +109,7 @@
     /// The incarnation that the list last showed on an instance.
     struct ListedIncarnation {
         std::string worker;
-        std::optional<MonotonicInstant> goneSince; ///< Since when lists show another incarnation or none.
+        std::optional<MonotonicInstant> unlistedSince; ///< Since when lists show another incarnation or none.
     };
 
     /// An instance after a call, until the list must reflect it.
@@ -184,9 +184,9 @@
     /// the next owner in case this one crashes soon.
     void notePreviousCall(const std::string& instance, Millis age)
     {
-        const MonotonicInstant asked = m_options.loop->now() - age;
-        m_previousCalls[instance] = asked + maxCallDelay;
-        m_recentCalls[instance] = asked;
+        const MonotonicInstant requestedAt = m_options.loop->now() - age;
+        m_previousCalls[instance] = requestedAt + maxCallDelay;
+        m_recentCalls[instance] = requestedAt;
     }
 
     /// Instances of the previous owner's recent calls may be down for maintenance, whether or not the calls were answered.
@@ -194,12 +194,12 @@
     {
         for (const auto& [instance, calledBy] : m_previousCalls) {
             if (plan.wave().contains(instance))
-                plan.noteMayBeDown(instance, upAgainBy(calledBy));
+                plan.noteMayBeDown(instance, maintenanceEndsBy(calledBy));
         }
     }
 
     /// \returns When an instance whose maintenance begins no later than `begin` is certainly up again.
-    [[nodiscard]] MonotonicInstant upAgainBy(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + returnMargin; }
+    [[nodiscard]] MonotonicInstant maintenanceEndsBy(MonotonicInstant begin) const { return begin + m_options.maintenanceTime + returnMargin; }
 
     /// \returns Whether the previous owner's last call for the instance is too recent.
     [[nodiscard]] bool isBlocked(const std::string& instance) const
@@ -215,7 +215,7 @@
     /// Records a call before it is sent, on condition of the ownership: an owner that was
     /// superseded without noticing can't send any. Calls of one turn of the event loop share a record.
     /// \param send Receives whether the call may be sent.
-    void record(const std::string& instance, std::function<void(bool)> send)
+    void recordCall(const std::string& instance, std::function<void(bool)> send)
     {
         m_recentCalls[instance] = m_options.loop->now();
         m_unrecordedCalls.push_back(std::move(send));
@@ -242,9 +242,9 @@
                 m_callRecordRevision = result.revision;
             else
                 readCallRecordRevision();
-            const bool may = fresh && maySendCalls();
+            const bool maySend = fresh && maySendCalls();
             for (const std::function<void(bool)>& send : sends)
-                send(may);
+                send(maySend);
         }));
     }
 
@@ -258,11 +258,11 @@
     }
 
     /// Reads the progress of the wave before it continues.
-    void begin(const WaveRequest& wave)
+    void resumeWave(const WaveRequest& wave)
     {
         m_options.store->read(waveKey(wave.number), inTerm<ReadResult>([this, wave](const ReadResult& result) {
             if (result.outcome != StoreOutcome::Done && result.outcome != StoreOutcome::NotFound) {
-                laterAtStore([this, wave] { begin(wave); });
+                laterAtStore([this, wave] { resumeWave(wave); });
                 return;
             }
             const std::set<std::string> done = decodeInstances(result.item.value).value_or(std::set<std::string> {});
@@ -304,14 +304,14 @@
     /// Polls the list of the fleet.
     void list()
     {
-        m_options.fleet->list(inTerm<FleetList>([this, askedAt = m_options.loop->now()](const FleetList& list) {
+        m_options.fleet->list(inTerm<FleetList>([this, requestedAt = m_options.loop->now()](const FleetList& list) {
             const WorkMeter::Piece piece(m_options.meter, WorkKind::FleetPlan);
-            if (std::exchange(m_listAnswers, list.complete) != list.complete)
+            if (std::exchange(m_isListAvailable, list.complete) != list.complete)
                 m_options.log->change(list.complete ? "fleet-list-back" : "fleet-list-lost", {});
             if (list.complete)
                 applyList(list.instances);
             if (list.complete)
-                m_options.scheduler->noteFleet(list.instances, askedAt);
+                m_options.scheduler->noteFleet(list.instances, requestedAt);
             planSoon();
             later(hasPendingChanges() ? m_options.listEveryWithPendingChanges : m_options.listEvery, [this] { this->list(); });
         }));
@@ -364,11 +364,11 @@
             incarnation = { instance.worker.empty() ? incarnation.worker : instance.worker, std::nullopt };
             return;
         }
-        if (!incarnation.goneSince)
-            incarnation.goneSince = now;
-        if (now - *incarnation.goneSince < maxFleetListLag)
+        if (!incarnation.unlistedSince)
+            incarnation.unlistedSince = now;
+        if (now - *incarnation.unlistedSince < maxFleetListLag)
             return;
-        m_options.scheduler->noteIncarnationUnlisted(incarnation.worker, *incarnation.goneSince);
+        m_options.scheduler->noteIncarnationUnlisted(incarnation.worker, *incarnation.unlistedSince);
         incarnation = { instance.worker, std::nullopt };
     }
 
@@ -472,7 +472,7 @@
         std::int64_t off = 0;
         std::int64_t unavailable = 0;
         std::int64_t evacuating = 0;
-        std::int64_t unsound = 0;
+        std::int64_t unhealthy = 0;
         std::int64_t open = 0;
         std::int64_t free = 0;
         for (const auto& [id, instance] : m_list) {
@@ -487,13 +487,13 @@
             } else if (use->evacuating) {
                 ++evacuating;
             } else if (!use->healthy) {
-                ++unsound;
+                ++unhealthy;
             } else {
                 ++open;
                 free += use->free.milliCpu;
             }
         }
-        m_options.log->decision("fleet-use", { { "off", off }, { "away", unavailable }, { "evacuating", evacuating }, { "unsound", unsound }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
+        m_options.log->decision("fleet-use", { { "off", off }, { "away", unavailable }, { "evacuating", evacuating }, { "unsound", unhealthy }, { "open", open }, { "free_mcpu_of_open", free }, { "plan_inspected", static_cast<std::int64_t>(m_capacity.inspected()) } });
     }
 
     /// \returns The load of each pool, without its instances.
@@ -524,29 +524,29 @@
     [[nodiscard]] PoolInstance instanceOf(const FleetInstance& instance, const WorkerUse* use, bool reserve) const
     {
         const bool isUp = instance.state == FleetState::Up;
-        const bool isSound = isOpenForTasks(use);
-        PoolInstance seen { .instance = instance.id, .kind = instance.kind, .rack = instance.rack, .capacity = instance.capacity, .idleSince = std::nullopt };
+        const bool isOpen = isOpenForTasks(use);
+        PoolInstance poolInstance { .instance = instance.id, .kind = instance.kind, .rack = instance.rack, .capacity = instance.capacity, .idleSince = std::nullopt };
         const auto draining = m_draining.find(instance.id);
         if (draining != m_draining.end())
-            seen.drainingFrom = draining->second.from;
-        seen.healthy = !isUp || reserve || !use || isSound || m_moving.contains(instance.id) || draining != m_draining.end();
-        seen.arriving = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
+            poolInstance.drainingFrom = draining->second.from;
+        poolInstance.healthy = !isUp || reserve || !use || isOpen || m_moving.contains(instance.id) || draining != m_draining.end();
+        poolInstance.arriving = !reserve && (!isUp || !use || m_moving.contains(instance.id) || draining != m_draining.end());
         const bool isClosed = this->isClosed(instance, use);
         // An instance of a closed data hall is not open for tasks after a move either.
-        seen.healthy = seen.healthy && (reserve || !isClosed);
+        poolInstance.healthy = poolInstance.healthy && (reserve || !isClosed);
         if (hasPendingCall(instance.id) || isBlocked(instance.id) || isClosed)
-            return seen;
-        if (isUp && !reserve && isSound && use->attempts > 0 && use->pinned == 0) {
-            seen.drainable = instance.worker;
-            seen.emptyBy = use->emptyBy;
-            seen.longRunning = use->longRunning;
+            return poolInstance;
+        if (isUp && !reserve && isOpen && use->attempts > 0 && use->pinned == 0) {
+            poolInstance.drainable = instance.worker;
+            poolInstance.emptyBy = use->emptyBy;
+            poolInstance.longRunning = use->longRunning;
         }
-        const bool isIdle = isUp && (reserve || (isSound && use->attempts == 0));
+        const bool isIdle = isUp && (reserve || (isOpen && use->attempts == 0));
         if (!isIdle)
-            return seen;
+            return poolInstance;
         const auto before = m_idleSince.find(instance.id);
-        seen.idleSince = before == m_idleSince.end() ? m_options.loop->now() : before->second;
-        return seen;
+        poolInstance.idleSince = before == m_idleSince.end() ? m_options.loop->now() : before->second;
+        return poolInstance;
     }
 
     /// \returns The pool in which the instance counts: for a moving instance, the destination.
@@ -567,10 +567,10 @@
             const auto load = loads.find(destinationOf(instance));
             if (load == loads.end() || instance.state == FleetState::Down)
                 continue;
-            PoolInstance seen = instanceOf(instance, useOf(instance), load->second.reserve);
-            if (seen.idleSince)
-                idleSince[id] = *seen.idleSince;
-            load->second.instances.push_back(std::move(seen));
+            PoolInstance poolInstance = instanceOf(instance, useOf(instance), load->second.reserve);
+            if (poolInstance.idleSince)
+                idleSince[id] = *poolInstance.idleSince;
+            load->second.instances.push_back(std::move(poolInstance));
         }
         m_idleSince = std::move(idleSince);
         std::vector<PoolLoad> list;
@@ -597,7 +597,7 @@
         const std::vector<PoolLoad> pools = loads();
         const std::size_t available = availableCalls();
         const CapacityStep step = m_capacity.next(pools, m_options.loop->now(), available);
-        m_callBudget.take(step.moves.size() + step.drains.size());
+        m_callBudget.consume(step.moves.size() + step.drains.size());
         for (const PoolLoad& pool : pools)
             logSize(pool);
         for (const std::string& instance : step.undrains)
@@ -651,7 +651,7 @@
         if (reserve == configuration->pools.end())
             return;
         const std::vector<CapacityMove> moves = m_evacuationMoves.next(emptied(), reserve->name, maxMoves, m_options.loop->now());
-        m_callBudget.take(moves.size());
+        m_callBudget.consume(moves.size());
         for (const CapacityMove& move : moves)
             this->move(move);
     }
@@ -709,20 +709,20 @@
         // No task may be placed there between this decision and the call.
         setEvacuating(worker, true);
         m_options.log->decision("instance-move", { { "instance", move.instance }, { "from", move.from }, { "to", move.to }, { "worker", worker } });
-        record(move.instance, [this, move, worker](bool may) {
-            if (may)
+        recordCall(move.instance, [this, move, worker](bool maySend) {
+            if (maySend)
                 sendMove(move, worker);
             else
-                moved(move, worker, FleetOutcome::NotDone);
+                onMoveAnswered(move, worker, FleetOutcome::NotDone);
         });
     }
 
     void sendMove(const CapacityMove& move, const std::string& worker)
     {
-        m_options.fleet->move(move.instance, move.to, { m_options.holder, m_ownership.epoch }, inTerm<FleetOutcome>([this, move, worker](const FleetOutcome& outcome) { moved(move, worker, outcome); }));
+        m_options.fleet->move(move.instance, move.to, { m_options.holder, m_ownership.epoch }, inTerm<FleetOutcome>([this, move, worker](const FleetOutcome& outcome) { onMoveAnswered(move, worker, outcome); }));
     }
 
-    void moved(const CapacityMove& move, const std::string& worker, FleetOutcome outcome)
+    void onMoveAnswered(const CapacityMove& move, const std::string& worker, FleetOutcome outcome)
     {
         m_moving.erase(move.instance);
         if (outcome == FleetOutcome::Done) {
@@ -752,7 +752,7 @@
             if (m_finished.contains(number))
                 continue;
             if (!m_list.empty())
-                noteGone(plan);
+                noteRemovedInstances(plan);
             if (plan.isFinished()) {
                 finish(plan);
                 continue;
@@ -771,12 +771,12 @@
         }
     }
 
-    void noteGone(MaintenancePlan& plan)
+    void noteRemovedInstances(MaintenancePlan& plan)
     {
         for (const std::string& instance : plan.wave().instances) {
             if (!m_list.contains(instance) && !plan.done().contains(instance)) {
                 m_options.log->decision("instance-gone", { { "instance", instance }, { "wave", static_cast<std::int64_t>(plan.wave().number) } });
-                plan.noteGone(instance);
+                plan.noteRemoved(instance);
             }
         }
     }
@@ -784,26 +784,26 @@
     void maintain(MaintenancePlan& plan, const std::string& instance)
     {
         plan.noteRequested(instance);
-        m_callBudget.take(1);
+        m_callBudget.consume(1);
         const std::uint64_t number = plan.wave().number;
         const std::string worker = m_list[instance].worker;
         m_options.log->decision("maintenance-ordered", { { "instance", instance }, { "wave", static_cast<std::int64_t>(number) }, { "worker", worker } });
-        record(instance, [this, number, instance, worker](bool may) {
-            if (may)
+        recordCall(instance, [this, number, instance, worker](bool maySend) {
+            if (maySend)
                 sendMaintenance(number, instance, worker);
             else
-                maintained(number, instance, worker, FleetOutcome::NotDone);
+                onMaintenanceAnswered(number, instance, worker, FleetOutcome::NotDone);
         });
     }
 
     void sendMaintenance(std::uint64_t number, const std::string& instance, const std::string& worker)
     {
         m_options.fleet->maintain(instance, number, { m_options.holder, m_ownership.epoch }, inTerm<FleetOutcome>([this, number, instance, worker](const FleetOutcome& outcome) {
-            maintained(number, instance, worker, outcome);
+            onMaintenanceAnswered(number, instance, worker, outcome);
         }));
     }
 
-    void maintained(std::uint64_t number, const std::string& instance, const std::string& worker, FleetOutcome outcome)
+    void onMaintenanceAnswered(std::uint64_t number, const std::string& instance, const std::string& worker, FleetOutcome outcome)
     {
         const auto found = m_plans.find(number);
         if (found == m_plans.end())
@@ -814,21 +814,21 @@
         switch (outcome) {
         case FleetOutcome::Done:
             ++counts.maintained;
-            plan.noteAccepted(instance, upAgainBy(now));
+            plan.noteAccepted(instance, maintenanceEndsBy(now));
             overrideInstance(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
             m_options.scheduler->noteLifeOver(worker, true);
-            writeRecord(plan);
+            writeWaveProgress(plan);
             later(m_options.maintenanceTime + returnMargin, [this] { planSoon(); });
             break;
         case FleetOutcome::NotInWave:
         case FleetOutcome::Refused:
             ++counts.refused;
-            plan.noteGone(instance);
+            plan.noteRemoved(instance);
             setEvacuating(worker, false);
             break;
         case FleetOutcome::Unknown:
             ++counts.unknown;
-            plan.noteMayBeDown(instance, upAgainBy(now));
+            plan.noteMayBeDown(instance, maintenanceEndsBy(now));
             [[fallthrough]];
         default:
             plan.noteRefused(instance, now + busyRetryPause);
@@ -863,7 +863,7 @@
 
     /// Stores the progress for a successor. If this write is lost, the successor requests some maintenance again, which the
     /// platform recognises as done.
-    void writeRecord(const MaintenancePlan& plan)
+    void writeWaveProgress(const MaintenancePlan& plan)
     {
         const Transaction transaction { .expected = { m_options.ownership->condition() }, .writes = { { waveKey(plan.wave().number), encode(plan.done()), 0 } }, .removals = {} };
         m_options.store->commit(transaction, [](const CommitResult&) {});
@@ -876,7 +876,7 @@
     MonotonicInstant m_planDueAt;
     MonotonicInstant m_planFrom; ///< Time of the next plan at the earliest.
     WorkerUses m_uses; ///< As of the start of the current plan, with the changes that it has made.
-    bool m_listAnswers = true;
+    bool m_isListAvailable = true;
     std::uint64_t m_generation = 0;
     Ownership m_ownership;
     bool m_isCallRecordReady = false; ///< The previous owner's calls are known, and no write of the record is in progress.
--- a/src/jobs/owner/hall_evacuations.cpp
+++ b/src/jobs/owner/hall_evacuations.cpp
@@ -66,11 +66,11 @@
         m_options.store->range(m_options.prefix, afterKey, m_options.readTimeout, [self = weak_from_this(), generation = m_generation](const ItemsResult& result) {
             const auto impl = self.lock();
             if (impl && impl->m_generation == generation)
-                impl->received(result);
+                impl->onPageReceived(result);
         });
     }
 
-    void received(const ItemsResult& result)
+    void onPageReceived(const ItemsResult& result)
     {
         if (result.outcome != StoreOutcome::Done) {
             readLater(m_options.retryPause);
--- a/src/jobs/owner/hall_inventory.cpp
+++ b/src/jobs/owner/hall_inventory.cpp
@@ -29,7 +29,7 @@
     std::map<std::string, HallPoolReport> pools;
     MonotonicInstant emptyBy = now;
     for (const auto& [id, worker] : m_state.workers) {
-        if (worker.entry.dataHall != hall.dataHall || (worker.session->isIncarnationOver() && worker.reservations.empty()))
+        if (worker.entry.dataHall != hall.dataHall || (worker.session->hasIncarnationEnded() && worker.reservations.empty()))
             continue;
         HallPoolReport& pool = pools.try_emplace(worker.entry.pool, HallPoolReport { .pool = worker.entry.pool }).first->second;
         count(worker, pool);
@@ -49,7 +49,7 @@
 void HallInventory::count(const WorkerRecord& worker, HallPoolReport& pool) const
 {
     ++pool.workers;
-    const bool isUnreachable = worker.session->isUnresponsive() || worker.session->isIncarnationOver();
+    const bool isUnreachable = worker.session->isUnresponsive() || worker.session->hasIncarnationEnded();
     for (const auto& [attempt, reservation] : worker.reservations) {
         const auto job = m_state.jobs.find(attempt.job);
         const TaskState* task = job == m_state.jobs.end() ? nullptr : job->second.state.find(attempt.task);
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -36,24 +36,24 @@
 {
 }
 
-void HealthMonitor::noteStartBooked(WorkerRecord& worker, const Attempt& attempt)
+void HealthMonitor::noteStartReserved(WorkerRecord& worker, const Attempt& attempt)
 {
     if (worker.health.isProbing(m_state.now()))
         worker.probingAttempt = attempt;
 }
 
-void HealthMonitor::noteStartSent(WorkerRecord& worker, const StartCommand& order)
+void HealthMonitor::noteStartSent(WorkerRecord& worker, const StartCommand& command)
 {
-    if (!isOn())
+    if (!isEnabled())
         return;
     if (worker.starts.isDistrusted(m_state.now()))
-        worker.starts.dropSettled([&](const Attempt& open) { return !worker.reservations.contains(open); });
-    worker.starts.noteSent(order.attempt, order.leaseUntil, m_state.now());
+        worker.starts.dropSettled([&](const Attempt& attempt) { return !worker.reservations.contains(attempt); });
+    worker.starts.noteSent(command.attempt, command.leaseUntil, m_state.now());
 }
 
 void HealthMonitor::noteStartOverdue(WorkerRecord& worker, const Attempt& attempt)
 {
-    if (!isOn() || !worker.starts.noteOverdue(attempt, m_state.now()))
+    if (!isEnabled() || !worker.starts.noteOverdue(attempt, m_state.now()))
         return;
     worker.health.noteUnanswered(m_state.now());
     queueIfFailing(worker);
@@ -61,7 +61,7 @@
 
 void HealthMonitor::noteStartAnswered(WorkerRecord& worker, const Attempt& attempt)
 {
-    if (!isOn())
+    if (!isEnabled())
         return;
     if (worker.starts.noteAnswered(attempt))
         worker.health.noteLateAnswer(m_state.now());
@@ -71,7 +71,7 @@
 
 void HealthMonitor::noteStopOverdue(WorkerRecord& worker)
 {
-    if (!isOn())
+    if (!isEnabled())
         return;
     worker.health.noteUnanswered(m_state.now());
     queueIfFailing(worker);
@@ -79,13 +79,13 @@
 
 void HealthMonitor::noteStopAnswered(WorkerRecord& worker)
 {
-    if (isOn())
+    if (isEnabled())
         worker.health.noteStopAnswered(m_state.now());
 }
 
 void HealthMonitor::noteProbeOverdue(WorkerRecord& worker)
 {
-    if (isOn())
+    if (isEnabled())
         worker.starts.noteProbeOverdue();
 }
 
@@ -113,7 +113,7 @@
 void HealthMonitor::noteRunTime(WorkerRecord& worker, const JobState& job, const Attempt& attempt, Millis observed)
 {
     const StepSpec& step = job.spec(attempt.task.step);
-    if (!isOn() || step.gang || step.bestEffort || step.longRunning || step.estimate <= Millis(0) || worker.session->wasOverdueLately())
+    if (!isEnabled() || step.gang || step.bestEffort || step.longRunning || step.estimate <= Millis(0) || worker.session->wasOverdueLately())
         return;
     double ratio = static_cast<double>(observed.count()) / static_cast<double>(step.estimate.count());
     if (isFar(worker, step))
@@ -145,21 +145,21 @@
     members.reserve(m_state.workers.size());
     for (const auto& [id, record] : m_state.workers) {
         if (mayServe(record))
-            members.push_back({ .worker = &record.entry, .out = record.health.isOut(m_state.now()), .answering = isAnswering(record) });
+            members.push_back({ .worker = &record.entry, .outOfService = record.health.isOutOfService(m_state.now()), .answering = isAnswering(record) });
     }
     return members;
 }
 
 MinInstances HealthMonitor::minInstances() const
 {
-    MinInstances least;
+    MinInstances needed;
     for (const auto& [pool, demand] : m_state.demands) {
-        for (const auto& [requirement, asked] : demand) {
-            if (asked.minInstances > 0 && !requirement.preferred)
-                least[{ pool, requirement.label }] = asked.minInstances;
+        for (const auto& [requirement, classDemand] : demand) {
+            if (classDemand.minInstances > 0 && !requirement.preferred)
+                needed[{ pool, requirement.label }] = classDemand.minInstances;
         }
     }
-    return least;
+    return needed;
 }
 
 void HealthMonitor::ejectFailing()
@@ -173,12 +173,12 @@
             id = m_failing.erase(id);
             continue;
         }
-        candidates.push_back({ .member = { .worker = &record->entry, .out = record->health.isOut(now), .answering = isAnswering(*record) }, .fault = fault, .score = record->health.score(now) });
+        candidates.push_back({ .member = { .worker = &record->entry, .outOfService = record->health.isOutOfService(now), .answering = isAnswering(*record) }, .fault = fault, .score = record->health.score(now) });
         ++id;
     }
     if (candidates.empty())
         return;
-    if (isOn())
+    if (isEnabled())
         candidates = EjectionBound(m_state.options.health, members(), minInstances()).choose(std::move(candidates));
     for (const EjectionCandidate& candidate : candidates)
         eject(*m_state.worker(candidate.member.worker->id), candidate.fault);
@@ -190,7 +190,7 @@
 {
     const MonotonicInstant now = m_state.now();
     // Without an attempt since the last backoff the worker was not probed: only stops of earlier attempts are unanswered.
-    if (worker.health.isOut(now) && !worker.probingAttempt)
+    if (worker.health.isOutOfService(now) && !worker.probingAttempt)
         worker.health.postponeProbe(m_state.options.health, now);
     else
         worker.health.eject(fault, m_state.options.health, now);
@@ -229,7 +229,7 @@
     std::map<std::string, std::uint32_t> ejected;
     for (const std::string& id : m_ejected) {
         const WorkerRecord* record = m_state.worker(id);
-        if (record && record->health.isOut(m_state.now()))
+        if (record && record->health.isOutOfService(m_state.now()))
             ++ejected[record->entry.pool];
     }
     return ejected;
@@ -240,7 +240,7 @@
     const MonotonicInstant now = m_state.now();
     std::erase_if(m_ejected, [&](const std::string& id) {
         const WorkerRecord* record = m_state.worker(id);
-        if (record && record->health.isOut(now))
+        if (record && record->health.isOutOfService(now))
             return false;
         // A new incarnation has no record: it was not readmitted but starts afresh.
         if (record && record->health.ejectedUntil() != MonotonicInstant {})
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -24,8 +24,8 @@
 
     /// \name Calls
     ///@{
-    void noteStartBooked(WorkerRecord& worker, const Attempt& attempt);
-    void noteStartSent(WorkerRecord& worker, const StartCommand& order);
+    void noteStartReserved(WorkerRecord& worker, const Attempt& attempt);
+    void noteStartSent(WorkerRecord& worker, const StartCommand& command);
     void noteStartOverdue(WorkerRecord& worker, const Attempt& attempt);
     void noteStartAnswered(WorkerRecord& worker, const Attempt& attempt);
     void noteStopOverdue(WorkerRecord& worker);
@@ -64,7 +64,7 @@
     void findReadmitted();
     [[nodiscard]] std::vector<EjectionMember> members() const;
     [[nodiscard]] MinInstances minInstances() const;
-    [[nodiscard]] bool isOn() const { return m_state.options.health.enabled; }
+    [[nodiscard]] bool isEnabled() const { return m_state.options.health.enabled; }
 
     OwnerState& m_state;
     SchedulerCounts& m_counts;
--- a/src/jobs/owner/inherited_failures.cpp
+++ b/src/jobs/owner/inherited_failures.cpp
@@ -2,7 +2,7 @@
 
 namespace lanemoor::jobs {
 
-void InheritedFailures::begin(std::optional<std::set<std::string>> pools)
+void InheritedFailures::reset(std::optional<std::set<std::string>> pools)
 {
     m_isUnknown = !pools;
     m_pools = std::move(pools).value_or(std::set<std::string>());
--- a/src/jobs/owner/inherited_failures.h
+++ b/src/jobs/owner/inherited_failures.h
@@ -18,7 +18,7 @@
 class InheritedFailures {
 public:
     /// \param pools Pools in which incarnations ended shortly before this term; nothing: unknown, so any pool may be affected.
-    void begin(std::optional<std::set<std::string>> pools);
+    void reset(std::optional<std::set<std::string>> pools);
 
     /// \brief An incarnation of the pool has ended, or had not responded when the tasks of previous owners were about to start again.
     void noteFailure(const std::string& pool) { m_pools.insert(pool); }
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -49,16 +49,16 @@
 constexpr Millis idlePassInterval { 200 };
 
 /// \returns Steps of an inherited job whose tasks may have started already.
-std::set<StepId> openSteps(const JobState& job)
+std::set<StepId> possiblyStartedSteps(const JobState& job)
 {
-    std::set<StepId> open;
+    std::set<StepId> startedSteps;
     if (job.status() != JobStatus::Running)
-        return open;
+        return startedSteps;
     for (const auto& [id, step] : job.steps()) {
         if (step.idle() > 0 && job.isUnblocked(id))
-            open.insert(id);
+            startedSteps.insert(id);
     }
-    return open;
+    return startedSteps;
 }
 
 /// Adds the minimum number of instances over which the tasks of unfinished steps must be spread.
@@ -193,7 +193,7 @@
                 .mayWrite = [this] { return m_options.ownership->isHeld(); },
                 .superseded = [this] { m_options.ownership->noteSuperseded(); },
                 .meter = m_options.meter });
-        state.inheritedFailures.begin(m_options.directory->poolsWithRecentEnds());
+        state.inheritedFailures.reset(m_options.directory->poolsWithRecentEnds());
         for (const auto& [id, entry] : m_options.catalog->all())
             load(id, entry, ownership.term > 1);
         m_options.directory->dropExpired();
@@ -283,7 +283,7 @@
         if (!m_term)
             return;
         for (auto& [id, record] : m_term->state.workers)
-            noteHall(record);
+            updateHallEvacuated(record);
         requestPass();
     }
 
@@ -310,7 +310,7 @@
                 use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = record.session->hasAnswered() || now >= record.session->leaseExpiresBy();
-            use.healthy = record.listed && !record.entry.draining && record.isHallOpen() && record.session->hasAnswered() && !record.session->isUnresponsive() && !record.session->isIncarnationOver() && !record.health.isEjected(now);
+            use.healthy = record.listed && !record.entry.draining && record.isHallOpen() && record.session->hasAnswered() && !record.session->isUnresponsive() && !record.session->hasIncarnationEnded() && !record.health.isEjected(now);
             uses.emplace(id, use);
         }
         return uses;
@@ -334,7 +334,7 @@
             return {};
         OwnerState& state = m_term->state;
         state.demands = demandsNow();
-        noteWanted(state);
+        updateLabelDemand(state);
         return state.demands;
     }
 
@@ -349,7 +349,7 @@
         requestPass();
     }
 
-    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt)
+    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt)
     {
         if (!m_term)
             return;
@@ -365,7 +365,7 @@
             unknown += runs && !m_term->state.worker(instance.worker) ? 1 : 0;
         }
         m_term->unknownInstances = unknown;
-        noteReportedIncarnations(instances, askedAt, *configuration);
+        noteReportedIncarnations(instances, requestedAt, *configuration);
         endUnlistedIncarnations();
         if (first)
             m_options.log->change("fleet-listed", { { "instances", static_cast<std::int64_t>(instances.size()) }, { "kinds", kindsText(instances) }, { "unknown", std::int64_t { unknown } }, { "unmet", static_cast<std::int64_t>(m_term->unreportedWorkers.size()) } });
@@ -484,7 +484,7 @@
     }
 
     /// Updates the demand level of each required label, which keeps other tasks off scarce instances.
-    static void noteWanted(OwnerState& state)
+    static void updateLabelDemand(OwnerState& state)
     {
         state.labelDemand.clear();
         for (const auto& [pool, classes] : state.demands) {
@@ -533,7 +533,7 @@
         m_term->admission->noteArrival(job);
         if (inherited) {
             job.state.openOccurrences(m_options.loop->timeOfDay());
-            job.possiblyStartedBefore = openSteps(job.state);
+            job.possiblyStartedBefore = possiblyStartedSteps(job.state);
             m_term->reconciler.crashes().load(job);
         }
         if (entry.cancelled)
@@ -554,7 +554,7 @@
         m_term->state.forecast.noteArrival(record.queue, record.spec, now, organisation ? shareWithinQuota(*job->account, organisation->quota, record.spec) : 1);
         if (!organisation)
             return;
-        job->beyondRate = !job->account->rate.take(organisation->weight, now);
+        job->beyondRate = !job->account->rate.tryConsume(organisation->weight, now);
         job->account->beyondRate += job->beyondRate ? 1 : 0;
     }
 
@@ -591,12 +591,12 @@
         beginSession(record, entry.worker.startedAt);
     }
 
-    void noteHall(WorkerRecord& record) const { record.hallEvacuated = m_options.evacuations->contains(record.entry.dataHall); }
+    void updateHallEvacuated(WorkerRecord& record) const { record.hallEvacuated = m_options.evacuations->contains(record.entry.dataHall); }
 
     void beginSession(WorkerRecord& record, std::int64_t startedAt)
     {
         const OwnerState& state = m_term->state;
-        noteHall(record);
+        updateHallEvacuated(record);
         WorkerSessionOptions options { .epoch = state.ownership.epoch,
             .inheritedLeaseExpiresBy = state.inheritedLeaseExpiresBy,
             .leaseTime = m_options.workerLeaseTime,
@@ -619,7 +619,7 @@
         if (startedAt != 0 && record.previousStarts.contains(startedAt))
             return;
         record.entry = entry.worker;
-        noteHall(record);
+        updateHallEvacuated(record);
         if (record.session->incarnation().startedAt != 0 && !record.isEntryOfIncarnation())
             record.session->noteRestart(startedAt);
     }
@@ -668,7 +668,7 @@
         settleInherited();
         term->health.run();
         PlacementPass placement(term->state, *term->dispatcher, *term->adviceClient, [this] { return isSettled(); });
-        const std::optional<MonotonicInstant> wake = placement.run();
+        const std::optional<MonotonicInstant> nextPassAt = placement.run();
         m_waiting = placement.waiting();
         counts.sitesInspected += placement.sitesInspected();
         if (term != m_term)
@@ -681,7 +681,7 @@
         }
         const MonotonicInstant end = m_options.loop->now();
         m_earliestPassAt = std::max(m_earliestPassAt, begin + passIntervalFactor * (end - begin));
-        schedulePass(std::max(m_earliestPassAt, wake ? std::min(*wake, end + idlePassInterval) : end + idlePassInterval));
+        schedulePass(std::max(m_earliestPassAt, nextPassAt ? std::min(*nextPassAt, end + idlePassInterval) : end + idlePassInterval));
     }
 
     /// Settles the probations that previous owners left, before the tasks start again.
@@ -707,19 +707,19 @@
     [[nodiscard]] bool isUnreported(const std::string& id) const
     {
         const auto found = m_term->state.workers.find(id);
-        return found != m_term->state.workers.end() && !found->second.session->hasAnswered() && !found->second.session->isIncarnationOver();
+        return found != m_term->state.workers.end() && !found->second.session->hasAnswered() && !found->second.session->hasIncarnationEnded();
     }
 
     /// An incarnation that a complete list does not name runs nowhere, if it was known before the time of the list.
-    void noteReportedIncarnations(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt, const ServiceConfiguration& configuration)
+    void noteReportedIncarnations(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt, const ServiceConfiguration& configuration)
     {
         ReportedIncarnations& incarnations = m_term->reportedIncarnations;
         incarnations.note(instances, configuration);
         for (auto& [id, record] : m_term->state.workers) {
             if (incarnations.names(id))
                 record.unlistedSince.reset();
-            else if (incarnations.isComplete() && !record.unlistedSince && askedAt - record.knownSince >= maxFleetListLag)
-                record.unlistedSince = askedAt;
+            else if (incarnations.isComplete() && !record.unlistedSince && requestedAt - record.knownSince >= maxFleetListLag)
+                record.unlistedSince = requestedAt;
         }
     }
 
@@ -729,10 +729,10 @@
     {
         std::vector<std::string> ended;
         for (const auto& [id, record] : m_term->state.workers) {
-            if (!record.unlistedSince || record.session->isIncarnationOver())
+            if (!record.unlistedSince || record.session->hasIncarnationEnded())
                 continue;
-            const bool isGone = !record.session->hasAnswered() || (record.session->isUnresponsive() && m_options.loop->now() - *record.unlistedSince >= maxFleetListLag);
-            if (isGone)
+            const bool hasEnded = !record.session->hasAnswered() || (record.session->isUnresponsive() && m_options.loop->now() - *record.unlistedSince >= maxFleetListLag);
+            if (hasEnded)
                 ended.push_back(id);
         }
         for (const std::string& id : ended)
@@ -749,10 +749,10 @@
             if (!isFinal(job.status()))
                 return false;
             const CatalogEntry* known = m_options.catalog->find(entry.first);
-            const bool isOver = known && isFinal(known->progress.status) && job.liveAttempts().empty();
-            if (isOver)
+            const bool isRemovable = known && isFinal(known->progress.status) && job.liveAttempts().empty();
+            if (isRemovable)
                 state.jobs.erase(std::string(entry.first));
-            return isOver;
+            return isRemovable;
         });
     }
 
@@ -760,10 +760,10 @@
     {
         std::erase_if(m_term->state.workers, [&](const auto& entry) {
             const WorkerRecord& record = entry.second;
-            const bool ended = record.session->isIncarnationOver() || m_options.loop->now() >= record.session->leaseExpiresBy();
-            const bool isDropped = !record.listed && ended && record.reservations.empty() && (record.session->isIncarnationOver() || record.session->isUnresponsive());
+            const bool ended = record.session->hasIncarnationEnded() || m_options.loop->now() >= record.session->leaseExpiresBy();
+            const bool isDropped = !record.listed && ended && record.reservations.empty() && (record.session->hasIncarnationEnded() || record.session->isUnresponsive());
             if (isDropped)
-                m_term->state.hallLosses.noteGone(entry.first);
+                m_term->state.hallLosses.forgetWorker(entry.first);
             return isDropped;
         });
         if (m_term->isInheritedSettled)
@@ -857,9 +857,9 @@
     m_impl->setEvacuating(worker, evacuating);
 }
 
-void JobScheduler::noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt)
+void JobScheduler::noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt)
 {
-    m_impl->noteFleet(instances, askedAt);
+    m_impl->noteFleet(instances, requestedAt);
 }
 
 bool JobScheduler::isSettled() const
--- a/src/jobs/owner/ownership_manager.cpp
+++ b/src/jobs/owner/ownership_manager.cpp
@@ -48,7 +48,7 @@
         if (m_released || m_claiming || m_held)
             return;
         if (!m_mirror.isLoaded() || m_mirror.revisionOf(m_ownerKey) != 0) {
-            later(&Impl::compete);
+            retryLater(&Impl::compete);
             return;
         }
         if (m_loop.now() < m_nextClaimAt) {
@@ -64,7 +64,7 @@
             if (result.outcome != StoreOutcome::Done) {
                 self->m_claiming = false;
                 self->noteFailedClaim(result.outcome);
-                self->later(&Impl::compete);
+                self->retryLater(&Impl::compete);
                 return;
             }
             self->m_lease = result.lease;
@@ -130,7 +130,7 @@
         m_observer.lost();
         // Revoked so that the next owner doesn't wait for its expiry.
         m_store.endLease(m_lease, [](const LeaseResult&) {});
-        later(&Impl::compete);
+        retryLater(&Impl::compete);
     }
 
     void resign(Millis pause)
@@ -158,7 +158,7 @@
         m_store.endLease(std::exchange(m_holderLease, 0), [](const LeaseResult&) {});
     }
 
-    void later(void (Impl::*step)())
+    void retryLater(void (Impl::*step)())
     {
         m_loop.callAt(m_loop.now() + m_options.retryPause, [self = weak_from_this(), step] {
             if (const auto impl = self.lock())
@@ -173,10 +173,10 @@
         const Transaction transaction { .expected = { { m_ownerKey, 0 }, { m_termKey, m_mirror.revisionOf(m_termKey) } },
             .writes = { { m_ownerKey, value, m_lease }, { m_termKey, value, 0 } },
             .removals = {} };
-        m_store.commit(transaction, [self = shared_from_this()](const CommitResult& result) { self->claimed(result); });
+        m_store.commit(transaction, [self = shared_from_this()](const CommitResult& result) { self->onClaimAnswered(result); });
     }
 
-    void claimed(const CommitResult& result)
+    void onClaimAnswered(const CommitResult& result)
     {
         if (result.outcome == StoreOutcome::Done) {
             gain(result.revision);
@@ -208,7 +208,7 @@
     {
         m_claiming = false;
         m_store.endLease(m_lease, [](const LeaseResult&) {});
-        later(&Impl::compete);
+        retryLater(&Impl::compete);
     }
 
     void gain(std::uint64_t epoch)
@@ -216,7 +216,7 @@
         m_claiming = false;
         if (m_released || m_loop.now() >= m_validUntil) {
             m_store.endLease(m_lease, [](const LeaseResult&) {});
-            later(&Impl::compete);
+            retryLater(&Impl::compete);
             return;
         }
         m_held = true;
@@ -258,7 +258,7 @@
                 return;
             }
             if (result.outcome == StoreOutcome::Done)
-                self->renewed(sentAt + result.timeToLive - leaseMargin);
+                self->onRenewed(sentAt + result.timeToLive - leaseMargin);
         });
     }
 
@@ -268,11 +268,11 @@
             m_observer.suspended();
     }
 
-    void renewed(MonotonicInstant validUntil)
+    void onRenewed(MonotonicInstant validUntil)
     {
-        const bool wasOver = m_loop.now() >= m_validUntil;
+        const bool wasExpired = m_loop.now() >= m_validUntil;
         m_validUntil = std::max(m_validUntil, validUntil);
-        if (wasOver)
+        if (wasExpired)
             m_heldSince = m_loop.now();
         if (std::exchange(m_suspended, false) && m_observer.resumed)
             m_observer.resumed();
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -29,7 +29,7 @@
     m_candidates.clear();
     m_sites.clear();
     m_waiting.clear();
-    m_wake.reset();
+    m_nextPassAt.reset();
     m_waitsExplained = 0;
     const std::shared_ptr<const ServiceConfiguration> configuration = m_state.configuration();
     const bool settled = m_isSettled();
@@ -61,7 +61,7 @@
         m_candidates[m_state.poolOf(group.jobs().begin()->second.job->state)];
     for (auto& [pool, candidates] : m_candidates)
         placePool(pool, candidates);
-    return m_wake;
+    return m_nextPassAt;
 }
 
 void PlacementPass::placePool(const std::string& pool, std::vector<Candidate>& candidates)
@@ -121,17 +121,17 @@
     return inspected;
 }
 
-void PlacementPass::requestWakeAt(MonotonicInstant when)
+void PlacementPass::requestPassAt(MonotonicInstant when)
 {
-    if (!m_wake || when < *m_wake)
-        m_wake = when;
+    if (!m_nextPassAt || when < *m_nextPassAt)
+        m_nextPassAt = when;
 }
 
 void PlacementPass::openDueOccurrences(OwnerJob& job)
 {
     job.state.openOccurrences(m_timeOfDay);
     if (const std::optional<Instant> due = job.state.nextDue())
-        requestWakeAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
+        requestPassAt(m_now + std::max(Millis(1), *due - m_timeOfDay));
 }
 
 void PlacementPass::collect(OwnerJob& job, const ServiceConfiguration& configuration)
@@ -147,7 +147,7 @@
         if (tasks.size() < step.idle() && job.state.isUnblocked(id)) {
             for (const TaskState& task : step.tasks) {
                 if (!task.succeeded && !task.live && task.notBefore > now) {
-                    requestWakeAt(task.notBefore);
+                    requestPassAt(task.notBefore);
                     startsByTime = true;
                 }
             }
@@ -294,7 +294,7 @@
     const MonotonicInstant until = since + std::chrono::duration_cast<Millis>(step.estimate * longer);
     if (m_now >= until)
         return true;
-    requestWakeAt(until);
+    requestPassAt(until);
     return false;
 }
 
@@ -310,7 +310,7 @@
     }
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
         const TaskId& task = candidate.tasks[i];
-        if (m_fair && i >= FairPlacement::tasksTogether && !m_fair->mayStartMore(candidate)) {
+        if (m_fair && i >= FairPlacement::maxTasksTogether && !m_fair->mayStartMore(candidate)) {
             m_fair->defer(candidate, i);
             return;
         }
@@ -397,7 +397,7 @@
             return;
         WorkerRecord& record = *sites.records[*site];
         record.checkLiveness(m_now, m_state.responses.overdueAfter());
-        requestWakeAt(record.livenessCheckDueAt);
+        requestPassAt(record.livenessCheckDueAt);
         ++sites.livenessChecks;
     }
 }
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -66,7 +66,7 @@
     [[nodiscard]] PlacementQuery narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const;
     void checkLiveness(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
     static void reserveAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query);
-    void requestWakeAt(MonotonicInstant when);
+    void requestPassAt(MonotonicInstant when);
 
     OwnerState& m_state;
     std::shared_ptr<const ServiceConfiguration> m_configuration; ///< Constant during a pass.
@@ -79,7 +79,7 @@
     Waiting m_waiting;
     MonotonicInstant m_now; ///< Start of the pass. Reading the clock for each job and worker would take more time than the rest of the pass.
     Instant m_timeOfDay;
-    std::optional<MonotonicInstant> m_wake;
+    std::optional<MonotonicInstant> m_nextPassAt;
     std::uint32_t m_waitsExplained = 0; ///< Number of explained waits in this pass.
     FairPlacement* m_fair = nullptr; ///< Fair placement of the current pool; null: the pool has no organisation shares.
     const std::map<std::string, std::string>* m_tickets = nullptr; ///< Tickets of the step being placed; null: no tickets required.
--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -325,20 +325,20 @@
     WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
-    m_crashes.noteSilence(*worker);
+    m_crashes.noteUnresponsive(*worker);
     noteHallStop(*worker, false);
     m_state.options.log->decision("worker-silent", { { "worker", session.incarnation().id }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
 }
 
-void StatusReconciler::onEnded(WorkerSession& session, bool isIncarnationOver)
+void StatusReconciler::onEnded(WorkerSession& session, bool hasIncarnationEnded)
 {
     WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     m_state.options.log->decision("worker-over",
-        { { "worker", session.incarnation().id }, { "life_over", std::int64_t { isIncarnationOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
-    releaseAll(*worker, {}, isIncarnationOver);
-    if (isIncarnationOver) {
+        { { "worker", session.incarnation().id }, { "life_over", std::int64_t { hasIncarnationEnded } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
+    releaseAll(*worker, {}, hasIncarnationEnded);
+    if (hasIncarnationEnded) {
         noteHallStop(*worker, true);
         m_state.options.workers->forget(session.incarnation());
     }
@@ -349,18 +349,18 @@
 void StatusReconciler::noteHallStop(const WorkerRecord& worker, bool hasEnded)
 {
     if (worker.isEndOrdered || worker.entry.draining || worker.evacuating)
-        m_state.hallLosses.noteGone(worker.entry.id);
+        m_state.hallLosses.forgetWorker(worker.entry.id);
     else
         m_state.hallLosses.noteStop(worker.entry.id, hasEnded, m_state.now());
 }
 
 /// Releases the attempts of a worker whose incarnation has ended or whose lease has expired.
 /// \param unacknowledged Attempts whose start may still reach a new incarnation; they stay reserved, with unknown outcome.
-/// \param isIncarnationOver False: only the lease has expired.
-void StatusReconciler::releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver)
+/// \param hasIncarnationEnded False: only the lease has expired.
+void StatusReconciler::releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool hasIncarnationEnded)
 {
     std::optional<Attempt> failed;
-    if (isIncarnationOver)
+    if (hasIncarnationEnded)
         failed = m_crashes.noteIncarnationEnd(worker);
     else
         m_crashes.noteLeaseExpired(worker);
@@ -397,15 +397,15 @@
     return unacknowledged;
 }
 
-void StatusReconciler::onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver)
+void StatusReconciler::onRestart(WorkerSession& session, std::int64_t startedAt, bool hadEnded)
 {
     WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
     const std::set<Attempt> unacknowledged = unacknowledgedStarts(*worker);
     m_state.options.log->decision("worker-restarted",
-        { { "worker", session.incarnation().id }, { "started_at", startedAt }, { "former_start", session.incarnation().startedAt }, { "was_over", std::int64_t { wasOver } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) }, { "open_orders", static_cast<std::int64_t>(unacknowledged.size()) } });
-    if (wasOver)
+        { { "worker", session.incarnation().id }, { "started_at", startedAt }, { "former_start", session.incarnation().startedAt }, { "was_over", std::int64_t { hadEnded } }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) }, { "open_orders", static_cast<std::int64_t>(unacknowledged.size()) } });
+    if (hadEnded)
         settleExpired(*worker);
     else
         releaseAll(*worker, unacknowledged, true);
--- a/src/jobs/owner/status_reconciler.h
+++ b/src/jobs/owner/status_reconciler.h
@@ -20,8 +20,8 @@
     void onAlive(WorkerSession& session) override;
     void onProbeOverdue(WorkerSession& session) override;
     void onUnresponsive(WorkerSession& session) override;
-    void onEnded(WorkerSession& session, bool isIncarnationOver) override;
-    void onRestart(WorkerSession& session, std::int64_t startedAt, bool wasOver) override;
+    void onEnded(WorkerSession& session, bool hasIncarnationEnded) override;
+    void onRestart(WorkerSession& session, std::int64_t startedAt, bool hadEnded) override;
     void onFenced(WorkerSession& session) override;
 
     /// \returns The tracker that attributes crashes and settles the probations of starts.
@@ -38,7 +38,7 @@
     void settleMissing(WorkerRecord& worker, const Attempt& attempt, std::int64_t workerClock, MonotonicInstant sentAt);
     void confirm(const RunningAttempt& report, std::int64_t workerClock);
     void stopStalled(WorkerRecord& worker);
-    void releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool isIncarnationOver);
+    void releaseAll(WorkerRecord& worker, const std::set<Attempt>& unacknowledged, bool hasIncarnationEnded);
     void noteHallStop(const WorkerRecord& worker, bool hasEnded);
     void settleExpired(WorkerRecord& worker);
     [[nodiscard]] std::set<Attempt> unacknowledgedStarts(const WorkerRecord& worker) const;
--- a/src/jobs/owner/waiting_jobs.cpp
+++ b/src/jobs/owner/waiting_jobs.cpp
@@ -66,7 +66,7 @@
 
 void WaitingGroup::updateSums(const WaitingJob& job, bool hopeless, int sign)
 {
-    Sums& sums = hopeless ? m_hopeless : m_urgent;
+    Sums& sums = hopeless ? m_hopeless : m_timely;
     for (const auto& [requirement, milliCpu] : job.milliCpu) {
         std::int64_t& sum = sums.milliCpu[requirement];
         sum += sign * milliCpu;
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -62,7 +62,7 @@
     [[nodiscard]] Jobs::const_iterator begin(bool hopeless) const { return m_jobs.lower_bound(Key { hopeless, false, MonotonicInstant::min(), {} }); }
     [[nodiscard]] Jobs::const_iterator end(bool hopeless) const { return hopeless ? m_jobs.end() : begin(true); }
 
-    [[nodiscard]] const Sums& sums(bool hopeless) const noexcept { return hopeless ? m_hopeless : m_urgent; }
+    [[nodiscard]] const Sums& sums(bool hopeless) const noexcept { return hopeless ? m_hopeless : m_timely; }
 
     /// \returns Per resource, the largest need of all jobs added since the group was last empty.
     [[nodiscard]] const Resources& largest() const noexcept { return m_largest; }
@@ -73,7 +73,7 @@
     Jobs m_jobs;
     std::map<std::string, Key> m_keys; ///< By job id.
     std::multimap<MonotonicInstant, std::string> m_hopelessFrom; ///< Jobs that are not hopeless yet; may contain jobs that have been removed.
-    Sums m_urgent;
+    Sums m_timely;
     Sums m_hopeless;
     Resources m_largest;
 };
--- a/src/jobs/owner/worker_record.cpp
+++ b/src/jobs/owner/worker_record.cpp
@@ -40,7 +40,7 @@
 
 bool WorkerRecord::isOpen(MonotonicInstant now) const
 {
-    return listed && !entry.draining && !evacuating && isHallOpen() && session && session->hasAnswered() && !session->isUnresponsive() && !session->isIncarnationOver() && isEntryOfIncarnation() && now >= closedUntil
+    return listed && !entry.draining && !evacuating && isHallOpen() && session && session->hasAnswered() && !session->isUnresponsive() && !session->hasIncarnationEnded() && isEntryOfIncarnation() && now >= closedUntil
         && !health.isEjected(now) && startsLeft(now) > 0;
 }
 
@@ -68,9 +68,9 @@
     return session->answeredSince(now - probablyUpFor);
 }
 
-bool WorkerRecord::takesRecordedStart(MonotonicInstant now) const
+bool WorkerRecord::acceptsRecordedStart(MonotonicInstant now) const
 {
-    return !health.isEjected(now) && listed && !entry.draining && !evacuating && isHallOpen() && !session->isUnresponsive() && !session->isIncarnationOver() && isEntryOfIncarnation() && entry.capacity.covers(reservations.used());
+    return !health.isEjected(now) && listed && !entry.draining && !evacuating && isHallOpen() && !session->isUnresponsive() && !session->hasIncarnationEnded() && isEntryOfIncarnation() && entry.capacity.covers(reservations.used());
 }
 
 void WorkerRecord::checkLiveness(MonotonicInstant now, Millis overdueAfter)
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -185,16 +185,16 @@
     // with it the time when the tasks may start elsewhere. Nor do renewals that another incarnation may
     // answer, since its clock differs and it numbers its ended attempts anew.
     const bool withoutLease = m_unresponsive || mayHaveRestarted();
-    RenewCommand order { .leaseUntil = withoutLease ? 0 : leaseForCommand().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = withoutLease ? 0 : m_storedUpTo };
+    RenewCommand command { .leaseUntil = withoutLease ? 0 : leaseForCommand().value_or(0), .epoch = m_options.epoch, .endsStoredUpTo = withoutLease ? 0 : m_storedUpTo };
     if (m_hasAnswered && !withoutLease && !m_awaitingAcknowledgement)
-        order.wait = m_loop.now() < m_reducedWaitUntil ? std::min(m_options.wait, reducedWait) : m_options.wait;
+        command.wait = m_loop.now() < m_reducedWaitUntil ? std::min(m_options.wait, reducedWait) : m_options.wait;
     m_renewing = true;
     const MonotonicInstant sentAt = m_loop.now();
     m_renewalSentAt = sentAt;
     const Millis overdueAfter = m_options.overdueAfter();
     if (m_hasAnswered && !m_unresponsive)
-        watchRenewal(sentAt + order.wait + overdueAfter, overdueAfter);
-    m_control.renew(m_incarnation, order, [self = weak_from_this(), sentAt](const RenewResult& result) {
+        watchRenewal(sentAt + command.wait + overdueAfter, overdueAfter);
+    m_control.renew(m_incarnation, command, [self = weak_from_this(), sentAt](const RenewResult& result) {
         const auto session = self.lock();
         if (session && !session->m_closed)
             session->handleResponse(result, sentAt);
@@ -283,16 +283,16 @@
 
 void WorkerSession::noteRestart(std::int64_t startedAt)
 {
-    const bool wasOver = std::exchange(m_incarnationOver, true) || m_leaseExpired;
+    const bool hadEnded = std::exchange(m_incarnationEnded, true) || m_leaseExpired;
     close();
-    m_observer.onRestart(*this, startedAt, wasOver);
+    m_observer.onRestart(*this, startedAt, hadEnded);
 }
 
 void WorkerSession::noteLifeOver()
 {
-    if (m_incarnationOver)
+    if (m_incarnationEnded)
         return;
-    m_incarnationOver = true;
+    m_incarnationEnded = true;
     close();
     m_observer.onEnded(*this, true);
 }
--- a/src/jobs/policy/call_budget.cpp
+++ b/src/jobs/policy/call_budget.cpp
@@ -23,7 +23,7 @@
     return static_cast<std::size_t>(std::max(m_tokens, 0.0));
 }
 
-void CallBudget::take(std::size_t calls)
+void CallBudget::consume(std::size_t calls)
 {
     m_tokens -= static_cast<double>(calls);
 }
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -34,9 +34,9 @@
 
     [[nodiscard]] bool coversWithout(const CapacityNeed& need, const PoolInstance& instance) const
     {
-        Supply rest = *this;
-        rest.remove(instance);
-        return rest.covers(need);
+        Supply remaining = *this;
+        remaining.remove(instance);
+        return remaining.covers(need);
     }
 };
 
@@ -46,9 +46,9 @@
 struct CapacityPlan::ClassBalance {
     Requirement requirement;
     const RequirementLoad* load = nullptr;
-    CapacityNeed now; ///< For the current demand.
+    CapacityNeed current; ///< For the current demand.
     CapacityNeed recentPeak; ///< For the recent peak demand.
-    CapacityNeed lasting; ///< For the sustained demand.
+    CapacityNeed sustained; ///< For the sustained demand.
     CapacityNeed withoutMargin; ///< For the current demand, without margin.
     Supply supply;
     bool exhausted = false; ///< No remaining instance would help.
@@ -86,13 +86,13 @@
     /// \returns Shortage of the class, as a share of its need.
     [[nodiscard]] double shortage(const ClassBalance& each) const
     {
-        const CapacityNeed need = needOf(each, &ClassBalance::now);
+        const CapacityNeed need = needOf(each, &ClassBalance::current);
         const double ofCpu = need.milliCpu > 0 ? (need.milliCpu - each.supply.milliCpu) / need.milliCpu : 0;
         const double ofInstances = need.instances > 0 ? (static_cast<double>(need.instances) - each.supply.instances) / need.instances : 0;
         return std::max(ofCpu, ofInstances);
     }
 
-    [[nodiscard]] bool isShort(const ClassBalance& each) const { return !each.exhausted && !each.supply.covers(needOf(each, &ClassBalance::now)); }
+    [[nodiscard]] bool isShort(const ClassBalance& each) const { return !each.exhausted && !each.supply.covers(needOf(each, &ClassBalance::current)); }
 
     /// \returns Whether every class keeps enough without `instance`.
     [[nodiscard]] bool canSpare(const PoolInstance& instance, Need which) const
@@ -133,7 +133,7 @@
     [[nodiscard]] bool mayGive(const PoolInstance& instance, const ClassBalance& lacking) const
     {
         const bool hasNone = lacking.isRequired() && lacking.supply.instances == 0;
-        return load->reserve || canSpare(instance, &ClassBalance::now) || (hasNone && canSpare(instance, &ClassBalance::withoutMargin));
+        return load->reserve || canSpare(instance, &ClassBalance::current) || (hasNone && canSpare(instance, &ClassBalance::withoutMargin));
     }
 
     /// \returns Whether a busy instance may be drained for a class of another pool.
@@ -200,7 +200,7 @@
     m_refusedKinds[pool].push_back(kind);
 }
 
-bool CapacityPlan::takes(const std::string& pool, const std::string& kind) const
+bool CapacityPlan::acceptsKind(const std::string& pool, const std::string& kind) const
 {
     const auto refused = m_refusedKinds.find(pool);
     return refused == m_refusedKinds.end() || std::find(refused->second.begin(), refused->second.end(), kind) == refused->second.end();
@@ -258,17 +258,17 @@
     for (const auto& [requirement, load] : pool.requirements) {
         if (pool.reserve)
             break;
-        ClassBalance each { .requirement = requirement, .load = &load, .now = {}, .recentPeak = {}, .lasting = {}, .withoutMargin = {}, .supply = {} };
+        ClassBalance each { .requirement = requirement, .load = &load, .current = {}, .recentPeak = {}, .sustained = {}, .withoutMargin = {}, .supply = {} };
         for (const PoolInstance& instance : pool.instances) {
             if (instance.healthy && instance.has(requirement.label))
                 each.supply.add(instance);
         }
         DemandHistory& history = m_demands[{ pool.pool, requirement }];
-        const std::int64_t lasting = history.lowest.note(load.demandMilliCpu, now, m_options.sustainTime);
-        const std::int64_t demand = hasRoom && !load.hasWaiting ? lasting : load.demandMilliCpu;
-        each.now = needOf(requirement, load, demand, each.supply.present);
+        const std::int64_t sustained = history.lowest.note(load.demandMilliCpu, now, m_options.sustainTime);
+        const std::int64_t demand = hasRoom && !load.hasWaiting ? sustained : load.demandMilliCpu;
+        each.current = needOf(requirement, load, demand, each.supply.present);
         each.recentPeak = needOf(requirement, load, history.highest.note(demand, now, m_options.demandMemory), each.supply.present);
-        each.lasting = needOf(requirement, load, lasting, each.supply.present);
+        each.sustained = needOf(requirement, load, sustained, each.supply.present);
         if (!requirement.preferred)
             each.withoutMargin = { .milliCpu = static_cast<double>(load.demandMilliCpu) / m_options.packing, .instances = load.minInstances };
         balance.classes.push_back(std::move(each));
@@ -337,7 +337,7 @@
             fleet += static_cast<double>(instance->capacity.milliCpu);
         for (const ClassBalance& each : pool.classes) {
             if (each.isAny())
-                needs.push_back({ .pool = pool.load->pool, .needed = pool.needOf(each, &ClassBalance::lasting).milliCpu, .size = each.supply.milliCpu });
+                needs.push_back({ .pool = pool.load->pool, .needed = pool.needOf(each, &ClassBalance::sustained).milliCpu, .size = each.supply.milliCpu });
         }
     }
     // A fleet that stays idle has shown its whole demand.
@@ -392,7 +392,7 @@
             ++group.pool->inspected;
             const PoolInstance& instance = group.first();
             const bool helps = instance.has(lacking->requirement.label) && (!lacking->load->hasWaiting || instance.capacity.covers(lacking->load->largestWaiting));
-            if (!helps || !takes(receiver->load->pool, instance.kind) || !group.pool->mayGive(instance, *lacking))
+            if (!helps || !acceptsKind(receiver->load->pool, instance.kind) || !group.pool->mayGive(instance, *lacking))
                 continue;
             const auto wanted = [&](const std::string& label) { return shortPools.contains(label) ? shortPools[label] : 0; };
             // Ties go to the first pool, and there to the instance that is idle longest.
@@ -423,9 +423,9 @@
             each.exhausted = false;
             if (each.load->backlogMilliCpu == 0)
                 continue;
-            each.now.milliCpu += static_cast<double>(each.load->backlogMilliCpu) / m_options.packing;
+            each.current.milliCpu += static_cast<double>(each.load->backlogMilliCpu) / m_options.packing;
             if (each.load->backlogWaits)
-                each.now.instances = std::max(each.now.instances, each.supply.present + 1);
+                each.current.instances = std::max(each.current.instances, each.supply.present + 1);
         }
     }
 }
@@ -435,7 +435,7 @@
 {
     for (Balance& pool : pools) {
         for (const PoolInstance& instance : pool.load->instances) {
-            if (instance.drainingFrom.empty() || !pool.canSpare(instance, &ClassBalance::recentPeak) || !pool.canSpare(instance, &ClassBalance::now))
+            if (instance.drainingFrom.empty() || !pool.canSpare(instance, &ClassBalance::recentPeak) || !pool.canSpare(instance, &ClassBalance::current))
                 continue;
             undrains.push_back(instance.instance);
             pool.removeInstance(instance);
@@ -450,7 +450,7 @@
     for (; next < pool.drainable.size(); ++next) {
         const PoolInstance& instance = *pool.drainable[next];
         ++pool.inspected;
-        if (instance.has(lacking.requirement.label) && takes(receiver.load->pool, instance.kind) && pool.mayDrain(instance, lacking, m_options.fairnessGap))
+        if (instance.has(lacking.requirement.label) && acceptsKind(receiver.load->pool, instance.kind) && pool.mayDrain(instance, lacking, m_options.fairnessGap))
             return &instance;
     }
     return nullptr;
@@ -467,7 +467,7 @@
             // each instance is inspected once.
             std::vector<std::size_t> next(pools.size(), 0);
             // Exhausted classes found no idle instance, so they take part.
-            while (drains.size() < maxDrains && !lacking.supply.covers(receiver.needOf(lacking, &ClassBalance::now))) {
+            while (drains.size() < maxDrains && !lacking.supply.covers(receiver.needOf(lacking, &ClassBalance::current))) {
                 Balance* donor = nullptr;
                 const PoolInstance* chosen = nullptr;
                 std::tuple<bool, double, MonotonicInstant> best;
@@ -502,7 +502,7 @@
     if (reserve == pools.end() || !mayPowerOff(now))
         return;
     const auto isSpare = [&](const Balance& pool, const PoolInstance& instance) {
-        return now - *instance.idleSince >= m_options.idleBeforeOff && takes(reserve->load->pool, instance.kind) && pool.canSpare(instance, &ClassBalance::recentPeak) && pool.canSpare(instance, &ClassBalance::now);
+        return now - *instance.idleSince >= m_options.idleBeforeOff && acceptsKind(reserve->load->pool, instance.kind) && pool.canSpare(instance, &ClassBalance::recentPeak) && pool.canSpare(instance, &ClassBalance::current);
     };
     std::vector<std::pair<Balance*, std::deque<const PoolInstance*>>> idle;
     for (Balance& pool : pools) {
--- a/src/jobs/policy/checkpoint_move.cpp
+++ b/src/jobs/policy/checkpoint_move.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::int64_t whole = 100;
+constexpr std::int64_t fullPercent = 100;
 
 } // namespace
 
 Millis timeLeft(const CheckpointedAttempt& attempt) noexcept
 {
-    const std::int64_t done = std::min<std::int64_t>(attempt.percent, whole);
+    const std::int64_t done = std::min<std::int64_t>(attempt.percent, fullPercent);
     // Declared times are off by half and more; the attempt's own progress is accurate.
     if (done > 0)
-        return attempt.elapsed * (whole - done) / done;
+        return attempt.elapsed * (fullPercent - done) / done;
     return std::max(attempt.declaredLeft, Millis(0));
 }
 
--- a/src/jobs/policy/crash_attribution.cpp
+++ b/src/jobs/policy/crash_attribution.cpp
@@ -67,9 +67,9 @@
     return attempt.job + '/' + std::to_string(task.occurrence) + '/' + std::to_string(task.step) + '/' + std::to_string(task.index);
 }
 
-bool isExhausted(const CrashCount& crashes, std::uint32_t openProbations, bool isInherited) noexcept
+bool isExhausted(const CrashCount& crashes, std::uint32_t unsettledProbations, bool isInherited) noexcept
 {
-    return crashes.confirmed >= minConfirmedCrashes && crashes.total() + openProbations >= maxCrashesOf(isInherited);
+    return crashes.confirmed >= minConfirmedCrashes && crashes.total() + unsettledProbations >= maxCrashesOf(isInherited);
 }
 
 CrashCount crashesAfter(const LostAttempt& lost) noexcept
--- a/src/jobs/policy/ejection_bound.cpp
+++ b/src/jobs/policy/ejection_bound.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::uint32_t maxOut(std::uint32_t workers, double share)
+std::uint32_t maxOutOfService(std::uint32_t workers, double share)
 {
     return std::max(1U, static_cast<std::uint32_t>(share * static_cast<double>(workers)));
 }
@@ -42,10 +42,10 @@
         groups.push_back(&m_domains[domain]);
     for (Group* group : groups) {
         ++group->workers;
-        group->out += member.out ? 1 : 0;
+        group->outOfService += member.outOfService ? 1 : 0;
         group->answering += member.answering ? 1 : 0;
     }
-    if (member.out)
+    if (member.outOfService)
         return;
     for (const auto& [need, minInstances] : m_minInstances) {
         if (need.first == worker.pool && (need.second.empty() || hasLabel(worker, need.second)))
@@ -60,7 +60,7 @@
     for (const EjectionCandidate& candidate : candidates) {
         if (!admits(candidate))
             continue;
-        take(candidate.member);
+        countEjected(candidate.member);
         chosen.push_back(candidate);
     }
     return chosen;
@@ -74,15 +74,15 @@
     // If its neighbours do not answer either, the path to them is at fault.
     if (candidate.fault == HealthFault::Unanswered && std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) { return isDomainUnresponsive(domain, member); }))
         return false;
-    // It counts as out already.
-    if (member.out)
+    // It counts as out of service already.
+    if (member.outOfService)
         return true;
     const Group& pool = m_pools.at(worker.pool);
-    if (pool.out >= maxOut(pool.workers, m_options.mostOfPool) || pool.out + 1 >= pool.workers)
+    if (pool.outOfService >= maxOutOfService(pool.workers, m_options.mostOfPool) || pool.outOfService + 1 >= pool.workers)
         return false;
     const bool isDomainFull = std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) {
         const Group& group = m_domains.at(domain);
-        return group.out >= maxOut(group.workers, m_options.mostOfDomain);
+        return group.outOfService >= maxOutOfService(group.workers, m_options.mostOfDomain);
     });
     return !isDomainFull && leavesMinInstances(member);
 }
@@ -108,14 +108,14 @@
     });
 }
 
-void EjectionBound::take(const EjectionMember& member)
+void EjectionBound::countEjected(const EjectionMember& member)
 {
-    if (member.out)
+    if (member.outOfService)
         return;
     const WorkerEntry& worker = *member.worker;
-    ++m_pools.at(worker.pool).out;
+    ++m_pools.at(worker.pool).outOfService;
     for (const Domain& domain : domainsOf(worker))
-        ++m_domains.at(domain).out;
+        ++m_domains.at(domain).outOfService;
     for (auto& [need, serving] : m_serving) {
         if (need.first == worker.pool && (need.second.empty() || hasLabel(worker, need.second)))
             --serving;
--- a/src/jobs/policy/failure_domains.cpp
+++ b/src/jobs/policy/failure_domains.cpp
@@ -88,7 +88,7 @@
     m_workers.erase(found);
 }
 
-void HallLossDetector::noteGone(const std::string& worker)
+void HallLossDetector::forgetWorker(const std::string& worker)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
@@ -194,7 +194,7 @@
     if (now < loss.nextStepAt)
         return;
     admitPart(loss, now, findings);
-    if (!isBack(loss, now))
+    if (!hasReturned(loss, now))
         return;
     findings.changes.push_back({ .dataHall = dataHall, .isLost = false, .workers = loss.workers, .lasted = std::chrono::duration_cast<Millis>(now - loss.since) });
     for (auto& [id, worker] : m_workers)
@@ -218,7 +218,7 @@
     }
 }
 
-bool HallLossDetector::isBack(const Loss& loss, MonotonicInstant now) const
+bool HallLossDetector::hasReturned(const Loss& loss, MonotonicInstant now) const
 {
     if (!loss.waiting.empty())
         return false;
--- a/src/jobs/policy/maintenance_plan.cpp
+++ b/src/jobs/policy/maintenance_plan.cpp
@@ -125,7 +125,7 @@
     m_retryAt[instance] = retryAt;
 }
 
-void MaintenancePlan::noteGone(const std::string& instance)
+void MaintenancePlan::noteRemoved(const std::string& instance)
 {
     m_requested.erase(instance);
     m_done.insert(instance);
--- a/src/jobs/policy/organisation_use.cpp
+++ b/src/jobs/policy/organisation_use.cpp
@@ -12,18 +12,18 @@
 {
     if (limit <= 0 || each <= 0 || used + each * tasks <= limit)
         return true;
-    const bool holdsLittle = used * 2 < limit;
-    return holdsLittle && used + each * (tasks - 1) <= limit;
+    const bool usesLessThanHalf = used * 2 < limit;
+    return usesLessThanHalf && used + each * (tasks - 1) <= limit;
 }
 
 } // namespace
 
-bool RateMeter::take(double perSecond, MonotonicInstant now)
+bool RateMeter::tryConsume(double perSecond, MonotonicInstant now)
 {
     if (perSecond <= 0)
         return true;
-    const double most = std::max(perSecond, 1.0);
-    m_left = m_countedAt ? std::min(most, m_left + std::chrono::duration<double>(now - *m_countedAt).count() * perSecond) : most;
+    const double maximum = std::max(perSecond, 1.0);
+    m_left = m_countedAt ? std::min(maximum, m_left + std::chrono::duration<double>(now - *m_countedAt).count() * perSecond) : maximum;
     m_countedAt = now;
     if (m_left < 1)
         return false;
@@ -42,9 +42,9 @@
 double shareWithinQuota(const OrganisationAccount& account, const Resources& quota, const JobSpec& job)
 {
     double share = 1;
-    const auto limit = [&share](std::int64_t used, std::int64_t most, std::int64_t wanted) {
-        if (most > 0 && wanted > 0)
-            share = std::min(share, std::max(static_cast<double>(most - used) / static_cast<double>(wanted), 0.0));
+    const auto limit = [&share](std::int64_t used, std::int64_t maximum, std::int64_t wanted) {
+        if (maximum > 0 && wanted > 0)
+            share = std::min(share, std::max(static_cast<double>(maximum - used) / static_cast<double>(wanted), 0.0));
     };
     for (const StepSpec& step : job.steps) {
         const std::int64_t count = step.count;
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -66,7 +66,7 @@
 }
 
 /// \returns Whether only the label and the needs decide which sites are allowed.
-bool asksOnlyRoom(const StepSpec& step, const PlacementQuery& query)
+bool needsOnlyCapacity(const StepSpec& step, const PlacementQuery& query)
 {
     const bool isNear = query.nearOnly && !step.preferredRack.empty();
     return query.rack.empty() && !isNear && !query.admits && step.maxPerInstance == 0;
@@ -147,7 +147,7 @@
     }
     if (choice.best)
         return std::get<std::size_t>(*choice.best);
-    if (asksOnlyRoom(step, query) && !choice.isKeptApart)
+    if (needsOnlyCapacity(step, query) && !choice.isKeptApart)
         m_noRoom.push_back({ .label = step.requiredLabel, .needs = needs });
     return std::nullopt;
 }
@@ -214,26 +214,26 @@
 /// Moves a site to its new position after its free capacity has changed.
 void Placer::move(std::size_t index, const Resources& before)
 {
-    const Place was { before.milliCpu, index };
+    const Place from { before.milliCpu, index };
     const Place now { m_sites[index].free.milliCpu, index };
-    if (was == now)
+    if (from == now)
         return;
-    move(placesOf(index), was, now);
+    move(placesOf(index), from, now);
     if (const auto hall = m_byHall.find(m_sites[index].worker->dataHall); hall != m_byHall.end())
-        move(hall->second, was, now);
+        move(hall->second, from, now);
 }
 
 void Placer::move(Places& places, const Place& before, const Place& now)
 {
-    const auto was = std::lower_bound(places.begin(), places.end(), before);
-    if (was == places.end() || *was != before)
+    const auto from = std::lower_bound(places.begin(), places.end(), before);
+    if (from == places.end() || *from != before)
         return;
-    const auto is = std::lower_bound(places.begin(), places.end(), now);
-    *was = now;
-    if (is <= was)
-        std::rotate(is, was, was + 1);
+    const auto to = std::lower_bound(places.begin(), places.end(), now);
+    *from = now;
+    if (to <= from)
+        std::rotate(to, from, from + 1);
     else
-        std::rotate(was, was + 1, is);
+        std::rotate(from, from + 1, to);
 }
 
 void Placer::book(std::size_t index, const StepSpec& step)
--- a/src/jobs/policy/unacknowledged_starts.cpp
+++ b/src/jobs/policy/unacknowledged_starts.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint32_t maxOpenAtDistrusted = 2;
+constexpr std::uint32_t maxPendingIfDistrusted = 2;
 constexpr std::ptrdiff_t overdueToBlock = 2;
 /// A worker without a further overdue start in this time is trusted again.
 constexpr Millis distrustTime { 10'000 };
@@ -48,7 +48,7 @@
     if (!isDistrusted(now))
         return unlimited;
     const auto pending = static_cast<std::uint32_t>(m_unacknowledged.size());
-    return maxOpenAtDistrusted - std::min(pending, maxOpenAtDistrusted);
+    return maxPendingIfDistrusted - std::min(pending, maxPendingIfDistrusted);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/policy/worker_health.cpp
+++ b/src/jobs/policy/worker_health.cpp
@@ -143,7 +143,7 @@
     m_window = {};
 }
 
-bool WorkerHealth::isOut(MonotonicInstant now) const noexcept
+bool WorkerHealth::isOutOfService(MonotonicInstant now) const noexcept
 {
     return m_ejectedFor != HealthFault::None && (m_probeFault != HealthFault::None || now < m_backoff.until() + maxProbingTime);
 }
@@ -201,7 +201,7 @@
 WorkerHealthScore WorkerHealth::report(MonotonicInstant now) const
 {
     WorkerHealthScore report { .fault = fault(now), .score = score(now), .evidence = evidence(now), .failures = m_failures };
-    if (isOut(now))
+    if (isOutOfService(now))
         report = m_ejectionScore;
     report.ejected = isEjected(now);
     report.probing = isProbing(now);
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -76,7 +76,7 @@
     }
     KnownHalls planned;
     for (int i = 0; i < 8; ++i)
-        planned.detector.noteGone(KnownHalls::name("a", i));
+        planned.detector.forgetWorker(KnownHalls::name("a", i));
     planned.answer("b", 0, 1, start + Millis(10));
     CHECK(planned.detector.update(start + Millis(20)).changes.empty());
     HallLossDetector small;
--- a/tests/jobs/organisation_test.cpp
+++ b/tests/jobs/organisation_test.cpp
@@ -320,14 +320,14 @@
     const MonotonicInstant begin { std::chrono::seconds(100) };
     int within = 0;
     for (int i = 0; i < 50; ++i)
-        within += meter.take(10, begin + Millis(i)) ? 1 : 0;
+        within += meter.tryConsume(10, begin + Millis(i)) ? 1 : 0;
     CHECK(within == 10);
-    CHECK(meter.take(10, begin + Millis(200)));
+    CHECK(meter.tryConsume(10, begin + Millis(200)));
     RateMeter rare;
-    CHECK(rare.take(0.2, begin));
-    CHECK_FALSE(rare.take(0.2, begin + Millis(1'000)));
-    CHECK(rare.take(0.2, begin + Millis(6'000)));
-    CHECK(RateMeter().take(0, begin));
+    CHECK(rare.tryConsume(0.2, begin));
+    CHECK_FALSE(rare.tryConsume(0.2, begin + Millis(1'000)));
+    CHECK(rare.tryConsume(0.2, begin + Millis(6'000)));
+    CHECK(RateMeter().tryConsume(0, begin));
 }
 
 TEST_CASE("A quota allows what fits, and one larger task only to organisations that use little of it")
--- a/tests/jobs/plan_test.cpp
+++ b/tests/jobs/plan_test.cpp
@@ -176,7 +176,7 @@
     CHECK(plan.next(fleet, false, start + Millis(2'000)).maintain == std::vector<std::string> { "d" });
     plan.noteAccepted("d", start);
     CHECK_FALSE(plan.isFinished());
-    plan.noteGone("a");
+    plan.noteRemoved("a");
     CHECK(plan.isFinished());
 }
 
--- a/tests/jobs/whole_fleet_test.cpp
+++ b/tests/jobs/whole_fleet_test.cpp
@@ -141,7 +141,7 @@
     CHECK(budget.available(begin) == 0);
     CHECK(budget.available(begin + Millis(500)) == 50);
     CHECK(budget.available(begin + Millis(10'000)) == 100);
-    budget.take(100);
+    budget.consume(100);
     CHECK(budget.available(begin + Millis(10'000)) == 0);
     CHECK(CallBudget().available(begin) > 1'000'000);
 }
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -63,7 +63,7 @@
     CHECK(ejectIfFaulty(health, start + Millis(2'000)));
     CHECK(health.isEjected(start + Millis(5'900)));
     health.noteSuccess(start + Millis(7'000));
-    CHECK_FALSE(health.isOut(start + Millis(7'000)));
+    CHECK_FALSE(health.isOutOfService(start + Millis(7'000)));
 }
 
 TEST_CASE("An unresponsive worker is ejected after four calls, and readmitted once a start is answered")
@@ -79,7 +79,7 @@
     health.noteStartAnswered(start + Millis(1'000)); // Answer to an earlier start.
     CHECK(health.isEjected(start + Millis(1'000)));
     health.noteStartAnswered(start + Millis(2'100));
-    CHECK_FALSE(health.isOut(start + Millis(2'100)));
+    CHECK_FALSE(health.isOutOfService(start + Millis(2'100)));
 }
 
 TEST_CASE("Calls that were reset once or answered late do not eject a worker")
@@ -172,7 +172,7 @@
         CHECK(health.isEjected(now - Millis(1)));
         CHECK(health.isProbing(now));
         health.noteStartAnswered(now);
-        REQUIRE_FALSE(health.isOut(now));
+        REQUIRE_FALSE(health.isOutOfService(now));
     }
     now += Millis(20'000);
     for (int i = 0; i < 4; ++i)
@@ -191,7 +191,7 @@
     CHECK(health.fault(start + Millis(2'500)) == HealthFault::Unanswered);
     REQUIRE(ejectIfFaulty(health, start + Millis(2'500)));
     CHECK(health.isProbing(start + Millis(7'000)));
-    CHECK_FALSE(health.isOut(start + Millis(17'000)));
+    CHECK_FALSE(health.isOutOfService(start + Millis(17'000)));
 }
 
 TEST_CASE("A worker that does not answer earlier stops gets no longer ejections without a probe")
@@ -231,7 +231,7 @@
         third.push_back(pool.candidate(i, HealthFault::Failures));
     CHECK(pool.choose(third).size() == 12);
     for (std::size_t i = 1; i < 60; i += 6)
-        pool.members[i].out = true;
+        pool.members[i].outOfService = true;
     CHECK(pool.choose(third).size() == 2);
     // A worker that is out already may be ejected again.
     CHECK(pool.choose({ pool.candidate(1, HealthFault::Failures) }).size() == 1);
