--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -64,7 +64,7 @@
     WorkerHealthOptions health;
     FailureDomainOptions failureDomains;
     AdmissionOptions admission;
-    bool seesRises = true; ///< See CapacityOptions.
+    bool seesRises = true; ///< Whether the load forecast weighs the newest arrivals more and extrapolates a rise.
 };
 
 /// Usage of a worker, as input for decisions on instances.
@@ -172,8 +172,8 @@
 
     /// \brief Handles the platform's instance list. The list names incarnations whose entries may be missing in the
     /// store and that may run tasks of an earlier owner.
-    /// \param askedAt Time when the list was requested.
-    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant askedAt);
+    /// \param requestedAt Time when the list was requested.
+    void noteFleet(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt);
 
     /// \returns Whether every worker that may run tasks of an earlier owner has reported or its lease has expired;
     /// true if this instance is not the owner.
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -24,9 +24,9 @@
     double lostShare = 0.5; ///< A data hall is lost if more than this share of its workers stops answering.
     Millis returnStep { 250 }; ///< Interval between two batches of readmitted workers.
     double returnShare = 0.25; ///< Share of the data hall's workers in one batch.
-    /// A data hall of which only a smaller share returns counts as back if no other worker came for this time.
+    /// A data hall of which at most `lostShare` returns counts as back if no worker was readmitted for this time.
     Millis returnSettleTime { 5'000 };
-    /// A data hall of which no worker returns counts as back after this: its only remaining instances may be off.
+    /// A data hall of which no worker returns counts as back after this: all of its remaining instances may be off.
     Millis maxLossTime { 30'000 };
 
     [[nodiscard]] bool operator==(const FailureDomainOptions&) const = default;
@@ -113,7 +113,7 @@
     void noteStop(const std::string& worker, bool hasEnded, MonotonicInstant now);
 
     /// \brief Removes a worker whose end was planned.
-    void noteGone(const std::string& worker);
+    void forgetWorker(const std::string& worker);
 
     /// \returns Losses, returns and readmissions up to now.
     [[nodiscard]] HallFindings update(MonotonicInstant now);
@@ -167,7 +167,7 @@
     void declareLost(const std::string& dataHall, Hall& hall, const RecentStops& stops, MonotonicInstant now, HallFindings& findings);
     void readmitHall(const std::string& dataHall, Hall& hall, MonotonicInstant now, HallFindings& findings);
     void admitPart(Loss& loss, MonotonicInstant now, HallFindings& findings);
-    [[nodiscard]] bool isBack(const Loss& loss, MonotonicInstant now) const;
+    [[nodiscard]] bool hasReturned(const Loss& loss, MonotonicInstant now) const;
 
     FailureDomainOptions m_options;
     std::map<std::string, Hall> m_halls;
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -38,7 +38,7 @@
 /// Observations of a worker within the window.
 struct WorkerEvidence {
     std::int32_t calls = 0; ///< Starts and stops.
-    std::int32_t unanswered = 0; ///< Calls whose answer is overdue.
+    std::int32_t unanswered = 0; ///< Calls whose answer is overdue and has not come since.
     std::int32_t ends = 0; ///< Attempts whose run time was compared with that of peers.
     std::int32_t lateEnds = 0; ///< Attempts that took far longer.
 
@@ -111,10 +111,10 @@
     [[nodiscard]] bool isEjected(MonotonicInstant now) const noexcept { return now < m_backoff.until(); }
 
     /// \returns Whether it gets one attempt at a time, to show that it is healthy again.
-    [[nodiscard]] bool isProbing(MonotonicInstant now) const noexcept { return isOut(now) && !isEjected(now); }
+    [[nodiscard]] bool isProbing(MonotonicInstant now) const noexcept { return isOutOfService(now) && !isEjected(now); }
 
     /// \returns Whether it is ejected or probing.
-    [[nodiscard]] bool isOut(MonotonicInstant now) const noexcept;
+    [[nodiscard]] bool isOutOfService(MonotonicInstant now) const noexcept;
 
     /// \returns End of the last backoff; the epoch of the clock if there was none.
     [[nodiscard]] MonotonicInstant ejectedUntil() const noexcept { return m_backoff.until(); }
