--- a/include/lanemoor/aio/peer_sockets.h
+++ b/include/lanemoor/aio/peer_sockets.h
@@ -15,7 +15,7 @@
 struct PeerSocketsOptions {
     HttpAddress address; ///< Where others reach this process; port 0: chosen by the kernel.
     Millis connectTimeout { 1'000 }; ///< A path that drops packets reports no error.
-    std::uint32_t maxFrameBytes = 8'388'608; ///< Frames hold the messages of some ms, usually a few kB.
+    std::uint32_t maxFrameBytes = 8'388'608; ///< A frame batches the messages of some ms, usually a few kB.
     /// Bytes queued for a peer that does not read; above this limit the link is closed. Heartbeats detect such a
     /// peer within a second, in which a loaded owner sends some 100 kB.
     std::size_t maxQueuedBytes = 4'194'304;
--- a/include/lanemoor/jobs/intake/admission_gate.h
+++ b/include/lanemoor/jobs/intake/admission_gate.h
@@ -19,9 +19,9 @@
 
 /// The rule behind an admission decision.
 enum class AdmissionBasis {
-    NoPressure, ///< Nothing limits it.
-    Budget, ///< The latest grant.
-    SafeShare, ///< The latest grant has expired.
+    NoPressure, ///< No limit applies: the queue and organisation have no budget, or the job has no objective.
+    Budget, ///< The budget of the latest grant.
+    SafeShare, ///< The latest grant has expired: the instance's part of the organisation's configured rate applies.
 };
 
 /// \returns A short name of `basis`, for logs and metrics.
--- a/include/lanemoor/jobs/intake/job_intake.h
+++ b/include/lanemoor/jobs/intake/job_intake.h
@@ -62,8 +62,8 @@
     /// \brief Cancels a job; `done` is called once the store has the cancellation.
     void cancel(const std::string& id, const std::function<void(LookupOutcome)>& done);
 
-    /// \returns Whether a write got no answer and the store has answered no later call. New jobs then get NotAccepted, except for a
-    /// periodic probe.
+    /// \returns Whether a write got no answer and the store has answered no later call. New jobs then get NotAccepted without a write, or
+    /// Unknown if an earlier write may still store them; a periodic probe is sent nevertheless.
     [[nodiscard]] bool isStoreUnavailable() const noexcept;
 
     /// \brief Notes that the store answered a call made outside this class.
--- a/include/lanemoor/jobs/intake/refused_submissions.h
+++ b/include/lanemoor/jobs/intake/refused_submissions.h
@@ -41,7 +41,7 @@
     std::map<std::string, Refused> m_tracked; ///< By id.
     std::multimap<MonotonicInstant, std::string> m_expiries; ///< When to check each id for expiry; a later refusal postpones it.
     MonotonicInstant m_episodeStart; ///< Start of the current episode.
-    std::uint64_t m_refusedCount = 0; ///< Distinct submissions refused in it.
+    std::uint64_t m_refusedCount = 0; ///< Distinct submissions refused in the current episode.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/admission_grants.h
+++ b/include/lanemoor/jobs/model/admission_grants.h
@@ -42,8 +42,8 @@
 /// \returns The grants for each of `entries` instances: an equal part of every budget.
 [[nodiscard]] AdmissionGrants grantsPerEntry(const AdmissionGrants& grants, std::uint32_t entries);
 
-/// \returns Whether an entry instance that has `before` must be sent `now`: the term or the set of names differs, or a value differs
-/// by more than a tenth.
+/// \returns Whether an entry instance that has `before` must be sent `now`: the term, the queues or the organisations differ, or an
+/// amount or rate of work differs by more than a tenth.
 [[nodiscard]] bool differsSignificantly(const AdmissionGrants& before, const AdmissionGrants& now);
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/model/fleet_control.h
+++ b/include/lanemoor/jobs/model/fleet_control.h
@@ -88,7 +88,7 @@
 struct Advice {
     bool answered = false; ///< False: no answer; the call may be retried later.
     std::vector<AdvisedWorker> workers;
-    Millis validity { 0 }; ///< Of the tickets.
+    Millis validity { 0 }; ///< Validity of the tickets.
 };
 
 /// \brief Decides which workers may run a step, by policies that only the platform has.
--- a/include/lanemoor/jobs/model/job_record.h
+++ b/include/lanemoor/jobs/model/job_record.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Records that the store holds of jobs, their progress and their owner, with keys and codecs.
+/// Stored records of jobs, their progress and their owner, with their keys and codecs.
 
 #include "lanemoor/jobs/model/job_spec.h"
 
--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -35,15 +35,15 @@
     MonotonicInstant startedAt; ///< When the start was sent, or the attempt was found running at the worker.
     MonotonicInstant phaseSince;
     std::optional<MonotonicInstant> stopAnsweredAt;
-    bool adopted = false; ///< An earlier owner started it, and may have sent a stop for it.
+    bool adopted = false; ///< An earlier owner started the attempt, and may have sent a stop for it.
     std::uint32_t percent = 0; ///< Progress as last reported.
     MonotonicInstant percentSince; ///< When `percent` last changed.
     bool listed = false; ///< A status report of this worker incarnation listed it.
     std::int64_t confirmedAtWorkerClock = 0; ///< The worker's clock, ms, when it first confirmed the attempt; 0: not confirmed.
     /// The worker's clock, ms, when the start was sent; 0: unknown, as the worker had not answered shortly before.
     std::int64_t sentAtWorkerClock = 0;
-    bool crashAttributed = false; ///< A crash is attributed to it already; one start crashes at most one incarnation.
-    bool keepsProbation = false; ///< Its probation outlives it, since the worker was unresponsive until the lease expired.
+    bool crashAttributed = false; ///< A crash is attributed to the attempt already; one start crashes at most one incarnation.
+    bool keepsProbation = false; ///< The probation outlives the attempt, since the worker was unresponsive until the lease expired.
 
     /// \returns When the attempt last made reported progress or changed its phase.
     [[nodiscard]] MonotonicInstant lastProgressAt() const noexcept { return std::max(percentSince, phaseSince); }
@@ -95,10 +95,12 @@
 /// \brief State machine of a job. Pure: time is passed in. Invalid transitions, such as the end of an unknown attempt, are ignored.
 ///
 /// \code
-/// JobState job(id, record, progress, termBase);
+/// JobState job(id, record, progress, attemptBase);
 /// job.openOccurrences(timeOfDay);
-/// for (TaskId task : job.startable(now))
-///     job.begin(task, worker, now);
+/// for (const auto& [step, state] : job.steps()) {
+///     for (const TaskId& task : job.startable(step, now))
+///         job.begin(task, job.nextAttempt(task), worker, now);
+/// }
 /// \endcode
 class JobState {
 public:
--- a/include/lanemoor/jobs/model/key_value_store.h
+++ b/include/lanemoor/jobs/model/key_value_store.h
@@ -118,7 +118,7 @@
     virtual void read(const std::string& key, std::function<void(ReadResult)> done) = 0;
 
     /// \param afterKey The page starts after this key; empty: at the beginning.
-    /// \param timeout For the answer, which has up to a megabyte.
+    /// \param timeout Timeout for the answer, which has up to a megabyte.
     virtual void range(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done) = 0;
 
     /// \brief Waits up to `wait` for changes under `prefix` after revision `after`.
--- a/include/lanemoor/jobs/model/work_meter.h
+++ b/include/lanemoor/jobs/model/work_meter.h
@@ -66,7 +66,7 @@
         std::chrono::microseconds m_nested {}; ///< Total time of the nested pieces.
     };
 
-    /// \returns All work since the process started; `longest` is only recorded in `takeRecent`.
+    /// \returns All work since the process started; only `takeRecent` reports a longest piece.
     [[nodiscard]] const WorkReading& total() const noexcept { return m_total; }
 
     /// \returns Work since the last call.
--- a/include/lanemoor/jobs/model/worker_control.h
+++ b/include/lanemoor/jobs/model/worker_control.h
@@ -41,7 +41,7 @@
     Fenced, ///< The worker has received a command with a higher epoch.
     Superseded, ///< The worker already has an attempt of the task with the same or a higher number.
     LeaseExpired, ///< The lease in the command had expired.
-    NoRoom,
+    NoRoom, ///< The worker enforces its capacity, and the task exceeds what is free.
     BadTicket,
     OtherIncarnation, ///< Another incarnation answers at this address; the addressed one has ended.
     NotDone, ///< Certainly not carried out.
@@ -99,7 +99,7 @@
 struct RenewCommand {
     std::int64_t leaseUntil = 0; ///< On the worker's clock, ms; 0: don't change the lease.
     std::uint64_t epoch = 0;
-    std::uint64_t endsStoredUpTo = 0; ///< The worker discards ends with sequences up to this one.
+    std::uint64_t endsStoredUpTo = 0; ///< The worker discards ended attempts with sequences up to this one.
     Millis wait { 0 }; ///< How long the worker may delay its answer until an attempt ends.
 };
 
--- a/include/lanemoor/jobs/operator/operator_api.h
+++ b/include/lanemoor/jobs/operator/operator_api.h
@@ -18,6 +18,7 @@
 /// | `GET /v1/jobs/ID` | one job; the shard's owner adds its steps and why they wait |
 /// | `DELETE /v1/jobs/ID` | cancels the job |
 /// | `GET /v1/instances` | workers and their health; only at the shard's owner |
+/// | `GET /v1/organisations` | usage and quota of each organisation; only at the shard's owner |
 /// | `GET /v1/shards` | shards and their owners |
 /// | `GET /v1/evacuations` | data halls that are evacuated or lost; the owner adds the remaining tasks |
 /// | `GET /metrics` | metrics in the Prometheus text format |
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -102,7 +102,7 @@
         std::map<std::size_t, std::size_t> workersByHall; ///< Excludes workers of unknown data halls.
         std::uint32_t unanswered = 0; ///< Consecutive calls.
         std::uint32_t suspensions = 0; ///< Consecutive.
-        MonotonicInstant suspendedUntil; ///< The relay gets no workers before.
+        MonotonicInstant suspendedUntil; ///< The relay gets no workers before this time.
         bool inUse = false;
         bool isSelected = false; ///< Whether the plan in progress uses it.
         bool servesCutHallsOnly = false; ///< Used only for data halls that the other relays do not reach.
@@ -121,7 +121,7 @@
         std::string from; ///< Data hall where the path starts.
         PathRank rank = PathRank::MayReach;
         bool startsInOtherHall = false; ///< The path starts in another data hall than the workers'.
-        double utilisation = 0; ///< Workers by capacity.
+        double utilisation = 0; ///< Assigned workers divided by the path's capacity.
         std::uint32_t callsSinceRanking = 0;
     };
 
@@ -160,7 +160,7 @@
     bool m_awaitsProbe = false; ///< A relay on probation has no worker yet.
     std::set<std::size_t> m_hallsWithoutPath; ///< Data halls that no relay in use was found to reach since the plan was made.
     std::map<std::size_t, PathRanking> m_rankings; ///< By data hall.
-    double m_fairShare = 0; ///< Workers by capacity if the load were even over all relays in use.
+    double m_fairShare = 0; ///< Workers per unit of capacity if the load were even over all relays in use.
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/service/job_service_settings.h
+++ b/include/lanemoor/jobs/service/job_service_settings.h
@@ -27,7 +27,7 @@
     std::optional<HttpAddress> advisor; ///< Nothing: no queue uses the placement advisor.
     double machineCores = 0; ///< Processor cores that are available to this process; 0: unknown.
     /// Lease of the ownership. Pools stall this long after an owner fails, so the default is the shortest lease that the
-    /// platform's store grants; 1.5 s cost 0.03 of the score of days with owner failures.
+    /// platform's store grants; with 1.5 s, days with owner failures scored 0.03 lower.
     Millis ownershipTime { 1'000 };
     Millis workerLeaseTime { 5'000 }; ///< See WorkerSessionOptions.
     Millis handover { 3'000 }; ///< Min time between operations on instances by two owners; the platform's lease time.
@@ -36,7 +36,7 @@
     double fleetActsPerSecond = 0; ///< Rate limit of the platform for operations on instances by all entry instances; 0: no limit.
     Millis stopGrace { 6'000 }; ///< From the stop signal until the process is killed.
     Millis statusTime { 120'000 }; ///< Retention of the status of a finished job.
-    /// Max age of the configuration for callers that are admitted by their keys, if shorter than `configurationApplyTime`; 0: none.
+    /// Max age of the configuration for callers that are admitted by their keys, if shorter than `configurationApplyTime`; 0: no such limit.
     Millis configurationTrust { 0 };
     /// Time within which a new configuration must be in force. A configuration that may have been replaced longer ago is not used.
     Millis configurationApplyTime { 2'000 };
--- a/include/lanemoor/jobs/store/document_replica.h
+++ b/include/lanemoor/jobs/store/document_replica.h
@@ -40,7 +40,7 @@
     MonotonicInstant sentAt;
     MonotonicInstant endedAt;
     std::size_t bytes = 0; ///< Of the keys and values in the answer.
-    /// Upper bound of the store's revision when the call was sent; 0: the answer has none.
+    /// Upper bound of the store's revision when the call was sent; 0: the answer contains no such bound.
     std::uint64_t newRevision = 0;
 
     [[nodiscard]] bool operator==(const DocumentCallResult&) const = default;
--- a/include/lanemoor/jobs/store/store_mirror.h
+++ b/include/lanemoor/jobs/store/store_mirror.h
@@ -90,7 +90,7 @@
     /// \brief Calls `reached` once every change up to `revision` has been received.
     void whenRevisionReached(std::uint64_t revision, std::function<void()> reached);
 
-    /// \brief Applies what this process wrote or read, ahead of the watch.
+    /// \brief Applies an item that this process wrote or read, ahead of the watch.
     void noteWritten(const StoreItem& item);
 
     /// \brief Removes all keys without notifying the observer. Only for a mirror that is not watching.
--- a/src/aio/asio_event_loop_impl.h
+++ b/src/aio/asio_event_loop_impl.h
@@ -20,7 +20,7 @@
     }
 
     /// \returns A time of the loop's clock, converted to the clock of Asio's timers. That clock stops while the machine is suspended:
-    /// a timer that becomes due meanwhile fires late, by at most its remaining time, so time-dependent decisions call `now`.
+    /// a timer that becomes due meanwhile fires late, by at most its remaining time. Callbacks that depend on the time therefore call `now`.
     [[nodiscard]] std::chrono::steady_clock::time_point toTimerClock(jobs::MonotonicInstant when) const { return std::chrono::steady_clock::now() + (when - clock()); }
 
     LoopClock clock;
--- a/src/jobs/intake/job_intake.cpp
+++ b/src/jobs/intake/job_intake.cpp
@@ -101,13 +101,13 @@
             done(mayAccess(caller, *known->record) ? AcceptOutcome::Accepted : AcceptOutcome::Foreign);
             return;
         }
-        // Without a write the definite answer NotAccepted is correct; after Unknown a caller could only retry.
+        // Nothing is sent, so NotAccepted is certain unless an earlier write may still store the job; after Unknown a caller can only retry.
         if (isStoreUnavailable() && m_loop.now() < m_nextProbeAt) {
             done(mayBeStored(id) ? AcceptOutcome::Unknown : AcceptOutcome::NotAccepted);
             return;
         }
         const auto queued = std::find_if(m_queue.begin(), m_queue.end(), [&](const WaitingJob& job) { return job.id == id; });
-        // Undecided whose job is stored; the caller's next attempt gets a definite answer.
+        // It is undecided which caller's job will be stored; a retry gets a definite answer.
         if (queued != m_queue.end() && queued->caller != caller) {
             done(AcceptOutcome::Unknown);
             return;
--- a/src/jobs/intake/queue_counts_reader.cpp
+++ b/src/jobs/intake/queue_counts_reader.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis cacheDuration { 500 }; // Lifetime of cached counts.
+constexpr Millis cacheDuration { 500 };
 
 } // namespace
 
--- a/src/jobs/relay/command_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -328,7 +328,7 @@
     bool m_isDemandScheduled = false;
     MonotonicInstant m_demandSentAt;
     bool m_leaving = false;
-    MonotonicInstant m_storeUnavailableUntil; ///< No payload is read before, since a read failed.
+    MonotonicInstant m_storeUnavailableUntil; ///< No payload is read before this time, since a read failed.
     MonotonicInstant m_lastReceivedAt;
     std::optional<std::int64_t> m_minClockOffset; ///< Min difference between receive and send time on the link, in us.
 };
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -569,7 +569,7 @@
     std::size_t m_loggedRelays = 0;
     bool m_isSendScheduled = false; ///< Whether a batch of frames is scheduled.
     MonotonicInstant m_checkedAt;
-    MonotonicInstant m_evidenceValidFrom; ///< Calls that were due before are no evidence.
+    MonotonicInstant m_evidenceValidFrom; ///< Calls whose answers were due before this time are no evidence.
     std::map<std::uint64_t, Relay> m_relays; ///< By link number.
     std::map<std::string, std::uint64_t> m_byName; ///< Link numbers of the relays that accept calls.
     std::map<std::uint64_t, PendingCall> m_pendingCalls; ///< By call number.
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -167,7 +167,7 @@
     families.push_back(std::move(family));
 }
 
-/// Max organisations with their own label value; the planned size has 180. The others are summed under one value.
+/// Max organisations with their own label value; the largest planned deployment has 180. The others are summed under one value.
 constexpr std::size_t maxOrganisationLabels = 256;
 constexpr const char* otherOrganisations = "(others)";
 
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -47,8 +47,8 @@
 /// Drains are announced seconds ahead, and an earlier notice saves work. Each heartbeat is a change, so nearly every watch
 /// of the workers is answered at once. Only the owner watches them this often: 1,100 workers send 730 heartbeats a second.
 constexpr Millis workerWatchGap { 150 };
-/// Standby machines watch the workers less often. A new owner then has the age of each worker's incarnation, and a single list of the
-/// fleet shows which incarnations have ended.
+/// Standby machines watch the workers less often. A new owner then knows how long ago it first saw each worker's incarnation, so
+/// that a single list of the fleet shows which incarnations have ended.
 constexpr Millis standbyWatchGap { 1'000 };
 /// Time without answers of the store, longer than a watch and a call, after which this instance can't accept
 /// jobs and reports that it is not ready.
@@ -102,7 +102,7 @@
     return options;
 }
 
-/// \returns A time below `spread` that depends on the instance's name, so that it survives a restart.
+/// \returns A time below `spread` that depends only on the instance's name, so that it is the same after a restart.
 Millis offsetWithin(const std::string& name, Millis spread)
 {
     return spread.count() == 0 ? Millis(0) : Millis(static_cast<Millis::rep>(std::hash<std::string> {}(name) % static_cast<std::size_t>(spread.count())));
@@ -236,7 +236,7 @@
         return !m_stopping && takesRequests() && isConfigurationCurrent() && !m_intake.isStoreUnavailable() && m_parts.loop->now() - storeAnsweredAt() < storeUnavailableAfter;
     }
 
-    /// \returns Whether every configuration that must be in force by now is known here, so that decisions by it are valid.
+    /// \returns Whether this instance has every configuration that must be in force by now; only then are decisions based on it valid.
     [[nodiscard]] bool isConfigurationCurrent() const { return m_parts.loop->now() - m_configurations.provenAt() <= m_settings.configurationApplyTime; }
 
     [[nodiscard]] bool trustsKeys() const
@@ -266,7 +266,7 @@
             m_intake.refuse(caller, id, record, answer);
     }
 
-    /// \returns A predicate whether a request that is admitted now is still admitted when it takes effect: the configuration may be
+    /// \returns A predicate that tells whether a request that is admitted now is still admitted when it takes effect: the configuration may be
     /// replaced while the job waits to be written.
     [[nodiscard]] std::function<bool()> stillAdmitted() const
     {
@@ -693,7 +693,7 @@
             { { "configuration", static_cast<std::int64_t>(m_configuration->version) }, { "configuration_age_ms", configurationAge() }, { "bound_ms", static_cast<std::int64_t>(m_settings.configurationApplyTime.count()) } });
     }
 
-    /// Makes an owner resign whose replica lags behind the store, for lack of processor time or connectivity.
+    /// Resigns the ownership if the replica of the jobs lags behind the store, for lack of processor time or connectivity.
     void scheduleReplicaCheck()
     {
         m_parts.loop->callAt(m_parts.loop->now() + replicaCheckInterval, [this] {
@@ -741,7 +741,7 @@
         m_parts.loop->callAt(m_parts.loop->now() + pause, [this, answeredAt = m_access->answeredAt()] { sendWaitingCalls(answeredAt); });
     }
 
-    /// Sends in order of dependency: starts need the ownership and the replica, moves the record of actions.
+    /// Resends calls in the order of dependencies: starts need the ownership and the replica, moves need the record of actions.
     void sendWaitingCalls(MonotonicInstant answeredAt)
     {
         m_ownership.renewNow();
@@ -774,8 +774,8 @@
             m_jobs.resume({});
             m_waves.resume({});
         }
-        // Heartbeats grow with the number of workers: at a fixed pace the owner of a large fleet reads them late, and starts tasks on
-        // draining workers.
+        // The rate of heartbeats grows with the number of workers: if each watch waited for the gap, the owner of a large fleet would
+        // read them late and start tasks on draining workers.
         m_workers.setWatchOptions(workerWatchGap, watchTime, true);
         m_jobs.whenRevisionReached(ownership.epoch, [this, ownership] {
             if (m_claimed != ownership)
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -45,7 +45,7 @@
     return std::any_of(transaction.writes.begin(), transaction.writes.end(), [&](const StoreWrite& write) { return write.key == key; });
 }
 
-/// \returns Whether `item` has the value and lease of `write`, at another revision than before it.
+/// \returns Whether `item` has the value and lease of `write`, at another revision than the transaction's condition requires.
 bool isWrittenBy(const StoreItem& item, const StoreWrite& write, const Transaction& transaction)
 {
     const KeyRevision* before = conditionOn(transaction.expected, write.key);
--- a/src/jobs/store/observed_store.cpp
+++ b/src/jobs/store/observed_store.cpp
@@ -78,7 +78,7 @@
 
 void ObservedStore::fetch(DocumentQuery query, std::function<void(ItemsResult)> done)
 {
-    // The store evaluates a condition as a transaction.
+    // A conditional fetch is sent as a transaction, which counts as a write.
     const StoreCallKind kind = query.unlessRevision > 0 ? StoreCallKind::Write : StoreCallKind::Read;
     m_impl->store.fetch(std::move(query), m_impl->wrapCallback(kind, std::move(done)));
 }
--- a/src/jobs/store/progress_writer.cpp
+++ b/src/jobs/store/progress_writer.cpp
@@ -15,12 +15,13 @@
 
 /// Maximum jobs per transaction: each takes a condition and a write, the ownership takes one condition.
 constexpr std::size_t maxJobsPerWrite = (maxTransactionEntries - 1) / 2;
-/// Minimum time between two writes that are not full: each call has a cost. Only the acknowledgement of an end to the worker waits
-/// for it, not the work that follows. Without it full writes store each job at each end and exhaust the owner's processor (0.84
-/// of the work is served); at 40 ms workers wait for their next request (0.90); 15 ms serve 0.99.
+/// Minimum time between two writes that are not full: each call has a cost. Only the acknowledgement of an ended attempt to the
+/// worker waits for it, not the work that follows. Without a gap each job is written at each end of an attempt, which exhausts
+/// the owner's processor (0.84 of the work is served); at 40 ms workers wait for their next request (0.90); 15 ms serve 0.99.
 constexpr Millis minWriteGap { 15 };
-/// Maximum concurrent writes. A worker reports further ends only once the previous ones are stored: with one write
-/// of 15 jobs each 15 ms, some 500 jobs in progress wait half a second. Four carry 7,000 a second.
+/// Maximum concurrent writes. A worker reports further ended attempts only once the previous ones are stored:
+/// with one write of 15 jobs every 15 ms, some 500 jobs in progress wait half a second. Four concurrent writes store 7,000 jobs
+/// a second.
 constexpr std::size_t maxWrites = 4;
 /// After a failed call; all entry instances share the store's rate limits.
 constexpr Millis retryPause { 50 };
--- a/src/jobs/store/store_condition_tracker.cpp
+++ b/src/jobs/store/store_condition_tracker.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Simultaneous failures may have one cause, such as a closed connection.
+/// Calls of one kind fail if this many are unanswered over at least this time. Simultaneous failures may have one cause, such as a
+/// closed connection.
 constexpr std::uint32_t minFailures = 2;
 constexpr Millis minFailureDuration { 100 };
 
