--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -196,7 +196,7 @@
     bool beginProbation(const Attempt& attempt, std::int64_t workerStartedAt);
 
     /// \brief Notes that the worker of a live attempt on probation is unresponsive. \returns Whether the probation changed and must be stored.
-    bool noteSilence(const Attempt& attempt);
+    bool noteUnresponsive(const Attempt& attempt);
 
     /// \brief Keeps the probation of a live attempt beyond its end, since only the unresponsive worker's survival or crash settles it.
     void keepProbation(const Attempt& attempt);
--- a/include/lanemoor/jobs/relay/command_relay.h
+++ b/include/lanemoor/jobs/relay/command_relay.h
@@ -30,7 +30,7 @@
     KeyValueStore* store = nullptr; ///< Source of the payloads that a call only refers to.
     EventLog* log = nullptr;
     /// Called when the owner's process has ended: its link broke, and a new connection was refused at once. Optional.
-    std::function<void(const std::string& address)> ownerGone;
+    std::function<void(const std::string& address)> ownerEnded;
     /// Returns the submissions to this instance since the last call, to be reported to the owner. Null: nothing is reported.
     std::function<std::vector<EntryDemand>()> takeDemand;
     std::function<void(const AdmissionGrants& grants)> granted; ///< Called with the budgets that this instance may admit. Optional.
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -105,7 +105,7 @@
         MonotonicInstant suspendedUntil; ///< The relay gets no workers before this time.
         bool inUse = false;
         bool isSelected = false; ///< Whether the plan in progress uses it.
-        bool servesCutHallsOnly = false; ///< Used only for data halls that the other relays do not reach.
+        bool servesUnreachedHallsOnly = false; ///< Used only for data halls that the other relays do not reach.
 
         [[nodiscard]] double capacity() const noexcept { return onProbation ? 1.0 : fullCapacity; }
     };
@@ -134,7 +134,7 @@
     void replanIfNeeded();
     void replan();
     void selectByLoad(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
-    void selectForCutHalls(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
+    void selectForUnreachedHalls(const std::vector<std::pair<const std::string, Relay>*>& largestFirst);
     void applySelection();
     void reassign(Assignment& assignment);
     void moveTo(Assignment& assignment, const std::string& relay);
--- a/include/lanemoor/jobs/relay/relayed_workers.h
+++ b/include/lanemoor/jobs/relay/relayed_workers.h
@@ -29,7 +29,7 @@
     WorkerControl* direct = nullptr;
     EventLog* log = nullptr;
     WorkMeter* meter = nullptr; ///< Optional.
-    std::function<void(const EntryDemand&)> demanded; ///< Called with the demand at other entry instances. Optional.
+    std::function<void(const EntryDemand&)> demandReported; ///< Called with the demand at other entry instances. Optional.
 };
 
 /// Counters of this process since its start.
@@ -61,9 +61,9 @@
     /// \brief Disconnects all relays; calls in flight end with an unknown outcome.
     void deactivate();
 
-    void start(const WorkerIncarnation& worker, const StartCommand& order, std::function<void(CommandResult)> done) override;
+    void start(const WorkerIncarnation& worker, const StartCommand& command, std::function<void(CommandResult)> done) override;
     void stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done) override;
-    void renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done) override;
+    void renew(const WorkerIncarnation& worker, const RenewCommand& command, std::function<void(RenewResult)> done) override;
     void throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done) override;
     void noteOverdue(const WorkerIncarnation& worker) override;
     void forget(const WorkerIncarnation& worker) override;
--- a/include/lanemoor/jobs/service/job_metrics.h
+++ b/include/lanemoor/jobs/service/job_metrics.h
@@ -48,7 +48,7 @@
     std::uint64_t unreadableItems = 0;
     std::uint64_t logLinesDropped = 0;
     std::uint64_t decisionsOmitted = 0;
-    std::uint64_t carriedCalls = 0; ///< Calls that this process relayed for another owner.
+    std::uint64_t callsForOtherOwners = 0; ///< Calls that this process relayed for another owner.
     std::vector<OrganisationReport> organisations; ///< Empty unless this process is the owner.
     EvacuationsReport evacuations; ///< Without data halls unless this process is the owner.
     std::map<std::string, std::uint32_t> ejectedWorkers; ///< Ejected or probing workers by pool; empty unless this process is the owner.
--- a/src/aio/peer_sockets.cpp
+++ b/src/aio/peer_sockets.cpp
@@ -57,23 +57,23 @@
     {
         m_timer.expires_after(m_options.connectTimeout);
         m_timer.async_wait([self = shared_from_this()](const ErrorCode& error) {
-            if (!error && !self->m_open)
-                self->end();
+            if (!error && !self->m_connected)
+                self->closeAndNotify();
         });
         m_socket.async_connect(endpoint, [self = shared_from_this()](const ErrorCode& error) {
             self->m_refused = error == boost::asio::error::connection_refused;
             if (error)
-                self->end();
+                self->closeAndNotify();
             else
-                self->begin();
+                self->onConnected();
         });
     }
 
-    void begin()
+    void onConnected()
     {
         if (m_closed)
             return;
-        m_open = true;
+        m_connected = true;
         m_timer.cancel();
         ErrorCode ignored;
         m_socket.set_option(Tcp::no_delay(true), ignored);
@@ -82,7 +82,7 @@
     }
 
     /// Closes the link and notifies the observer later.
-    void end()
+    void closeAndNotify()
     {
         if (std::exchange(m_closed, true))
             return;
@@ -102,7 +102,7 @@
             return;
         m_queuedBytes += frame.size() + lengthBytes;
         if (m_queuedBytes > m_options.maxQueuedBytes) {
-            end();
+            closeAndNotify();
             return;
         }
         m_queued.push_back(addLengthPrefix(frame));
@@ -133,7 +133,7 @@
             if (self->m_closed)
                 return;
             if (error) {
-                self->end();
+                self->closeAndNotify();
                 return;
             }
             self->m_received.append(self->m_readBuffer.data(), count);
@@ -150,7 +150,7 @@
         while (!m_closed && m_received.size() - at >= lengthBytes) {
             const std::size_t length = readLengthPrefix(m_received, at);
             if (length > m_options.maxFrameBytes) {
-                end();
+                closeAndNotify();
                 return;
             }
             if (m_received.size() - at - lengthBytes < length)
@@ -166,7 +166,7 @@
     /// Writes all queued frames in one call.
     void write()
     {
-        if (!m_open || m_writing || m_queued.empty() || m_closed)
+        if (!m_connected || m_writing || m_queued.empty() || m_closed)
             return;
         m_writing = true;
         m_sending.clear();
@@ -178,7 +178,7 @@
             if (self->m_closed)
                 return;
             if (error) {
-                self->end();
+                self->closeAndNotify();
                 return;
             }
             self->m_queuedBytes -= count;
@@ -191,7 +191,7 @@
     boost::asio::steady_timer m_timer; ///< Limits the time to connect.
     PeerSocketsOptions m_options;
     jobs::PeerLinkObserver m_observer;
-    bool m_open = false;
+    bool m_connected = false;
     bool m_refused = false;
     bool m_closed = false;
     bool m_writing = false;
@@ -240,7 +240,7 @@
         ErrorCode error;
         const auto ip = boost::asio::ip::make_address_v4(peer ? peer->ip : std::string(), error);
         if (!peer || error)
-            link->end();
+            link->closeAndNotify();
         else
             link->connect({ ip, peer->port });
         return link;
@@ -260,7 +260,7 @@
         }
         m_links.push_back(link);
         onAccepted(link);
-        link->begin();
+        link->onConnected();
     }
 
     boost::asio::io_context& m_context;
--- a/src/jobs/intake/job_lookup.cpp
+++ b/src/jobs/intake/job_lookup.cpp
@@ -72,7 +72,7 @@
             }
             self->m_mirror.noteWritten(result.item);
             if (self->m_options.hasFullCopy)
-                done(LookupOutcome::Done, self->known(id));
+                done(LookupOutcome::Done, self->knownStatus(id));
             else
                 self->readProgress(id, done);
         });
@@ -106,10 +106,10 @@
         --inFlight;
         const LookupOutcome outcome = m_catalog.find(id) ? LookupOutcome::Done : LookupOutcome::Unavailable;
         for (const StatusCallback& caller : callers)
-            caller(outcome, known(id));
+            caller(outcome, knownStatus(id));
     }
 
-    [[nodiscard]] JobStatus known(const std::string& id) const
+    [[nodiscard]] JobStatus knownStatus(const std::string& id) const
     {
         const CatalogEntry* entry = m_catalog.find(id);
         return entry ? entry->status() : JobStatus::Queued;
--- a/src/jobs/model/job_state.cpp
+++ b/src/jobs/model/job_state.cpp
@@ -414,7 +414,7 @@
     return true;
 }
 
-bool JobState::noteSilence(const Attempt& attempt)
+bool JobState::noteUnresponsive(const Attempt& attempt)
 {
     TaskState* state = findLive(attempt);
     if (!state)
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -173,7 +173,7 @@
         OwnerJob& job = *m_state.job(lost.attempt.job);
         if (m_state.beginProbation(job, lost.attempt, worker))
             worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspicion());
-        if (job.state.noteSilence(lost.attempt))
+        if (job.state.noteUnresponsive(lost.attempt))
             m_state.store(lost.attempt.job);
     }
 }
@@ -181,7 +181,7 @@
 void CrashTracker::noteOverdue(WorkerRecord& worker)
 {
     for (const ProbationStart& start : probationStartsOf(worker)) {
-        if (start.job->state.noteSilence(start.attempt()))
+        if (start.job->state.noteUnresponsive(start.attempt()))
             m_state.store(start.job->state.id());
     }
 }
--- a/src/jobs/relay/command_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -130,7 +130,7 @@
         if (wasLinked)
             m_refusalWindowEnd = now + refusalWindow;
         else if (refused && now < m_refusalWindowEnd)
-            noteOwnerGone();
+            noteOwnerEnded();
         // The first attempt after a break shows whether the owner's process still runs.
         m_parts.loop->callAt(now + (wasLinked ? Millis(0) : nextReconnectPause()), [self = weak_from_this()] {
             if (const auto impl = self.lock())
@@ -145,11 +145,11 @@
         return Millis(std::uniform_int_distribution<Millis::rep>(maxPause.count() / 2, maxPause.count())(m_random));
     }
 
-    void noteOwnerGone()
+    void noteOwnerEnded()
     {
         m_refusalWindowEnd = {};
-        if (m_parts.ownerGone)
-            m_parts.ownerGone(m_address);
+        if (m_parts.ownerEnded)
+            m_parts.ownerEnded(m_address);
     }
 
     void scheduleIdleCheck()
@@ -233,9 +233,9 @@
 
     void start(const WorkerIncarnation& worker, const wire::RelayCall& call)
     {
-        StartCommand order = startOf(call);
+        StartCommand command = startOf(call);
         if (!call.start().payload_in_store()) {
-            m_parts.workers->start(worker, order, answerTo<CommandResult>(call.call()));
+            m_parts.workers->start(worker, command, answerTo<CommandResult>(call.call()));
             return;
         }
         // Either the payload or the timeout settles the start. A start that is not sent by the timeout is never sent.
@@ -251,9 +251,9 @@
             m_parts.loop->callAt(m_parts.loop->now(), refuse);
             return;
         }
-        const std::string job = order.attempt.job;
+        const std::string job = command.attempt.job;
         const MonotonicInstant deadline = m_parts.loop->now() + payloadReadTimeout;
-        m_payloads->read(job, [self = shared_from_this(), isSettled, refuse, worker, order = std::move(order), done, deadline](const std::optional<std::string>& payload) mutable {
+        m_payloads->read(job, [self = shared_from_this(), isSettled, refuse, worker, command = std::move(command), done, deadline](const std::optional<std::string>& payload) mutable {
             // After a pause of this process the payload may arrive before the expired timer runs.
             if (!payload || self->m_parts.loop->now() > deadline) {
                 refuse();
@@ -261,8 +261,8 @@
             }
             if (std::exchange(*isSettled, true))
                 return;
-            order.payload = *payload;
-            self->m_parts.workers->start(worker, order, done);
+            command.payload = *payload;
+            self->m_parts.workers->start(worker, command, done);
         });
         m_parts.loop->callAt(deadline, refuse);
     }
--- a/src/jobs/relay/relay_codec.cpp
+++ b/src/jobs/relay/relay_codec.cpp
@@ -37,23 +37,23 @@
 
 } // namespace
 
-bool isLongPayload(const StartCommand& order) noexcept
+bool isLongPayload(const StartCommand& command) noexcept
 {
-    return order.payload.size() > maxInlinePayload;
+    return command.payload.size() > maxInlinePayload;
 }
 
-void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const StartCommand& order, bool refersToStore)
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const StartCommand& command, bool refersToStore)
 {
-    writeWorker(message, worker, order.epoch);
+    writeWorker(message, worker, command.epoch);
     wire::RelayCall::Start& start = *message.mutable_start();
-    write(*start.mutable_attempt(), order.attempt);
+    write(*start.mutable_attempt(), command.attempt);
     if (refersToStore)
         start.set_payload_in_store(true);
     else
-        start.set_payload(order.payload);
-    start.set_lease_until(order.leaseUntil);
-    start.set_checkpoint(order.checkpoint);
-    start.set_ticket(order.ticket);
+        start.set_payload(command.payload);
+    start.set_lease_until(command.leaseUntil);
+    start.set_checkpoint(command.checkpoint);
+    start.set_ticket(command.ticket);
 }
 
 void fillStop(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch)
@@ -62,13 +62,13 @@
     write(*message.mutable_stop()->mutable_attempt(), attempt);
 }
 
-void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const RenewCommand& order)
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const RenewCommand& command)
 {
-    writeWorker(message, worker, order.epoch);
+    writeWorker(message, worker, command.epoch);
     wire::RelayCall::Renew& renew = *message.mutable_renew();
-    renew.set_lease_until(order.leaseUntil);
-    renew.set_ends_stored_up_to(order.endsStoredUpTo);
-    renew.set_wait_ms(static_cast<std::uint32_t>(order.wait.count()));
+    renew.set_lease_until(command.leaseUntil);
+    renew.set_ends_stored_up_to(command.endsStoredUpTo);
+    renew.set_wait_ms(static_cast<std::uint32_t>(command.wait.count()));
 }
 
 void fillThrottle(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch)
@@ -127,7 +127,7 @@
     return { .leaseUntil = renew.lease_until(), .epoch = message.epoch(), .endsStoredUpTo = renew.ends_stored_up_to(), .wait = Millis(renew.wait_ms()) };
 }
 
-CommandResult orderResultOf(const wire::RelayAnswer& message)
+CommandResult commandResultOf(const wire::RelayAnswer& message)
 {
     return { .outcome = outcomeOf(message.outcome()), .workerClock = message.worker_clock() };
 }
--- a/src/jobs/relay/relay_codec.h
+++ b/src/jobs/relay/relay_codec.h
@@ -10,15 +10,15 @@
 namespace lanemoor::jobs {
 
 /// \returns Whether the relay should read the payload from the store instead of receiving it with each call.
-[[nodiscard]] bool isLongPayload(const StartCommand& order) noexcept;
+[[nodiscard]] bool isLongPayload(const StartCommand& command) noexcept;
 
 /// \name Encoding
 /// Sets the worker and the kind of a call; the caller sets the number of the call.
 ///@{
 /// \param refersToStore Whether the relay reads the payload from the store.
-void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const StartCommand& order, bool refersToStore);
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const StartCommand& command, bool refersToStore);
 void fillStop(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch);
-void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const RenewCommand& order);
+void fill(wire::RelayCall& message, const WorkerIncarnation& worker, const RenewCommand& command);
 void fillThrottle(wire::RelayCall& message, const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch);
 void fill(wire::RelayAnswer& message, const CommandResult& result);
 void fill(wire::RelayAnswer& message, const RenewResult& result);
@@ -31,7 +31,7 @@
 [[nodiscard]] Attempt attemptOf(const wire::RelayAttempt& message);
 [[nodiscard]] StartCommand startOf(const wire::RelayCall& message);
 [[nodiscard]] RenewCommand renewalOf(const wire::RelayCall& message);
-[[nodiscard]] CommandResult orderResultOf(const wire::RelayAnswer& message);
+[[nodiscard]] CommandResult commandResultOf(const wire::RelayAnswer& message);
 [[nodiscard]] RenewResult renewResultOf(const wire::RelayAnswer& message);
 ///@}
 
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double unknownCores = 1.0;
+constexpr double assumedCores = 1.0;
 constexpr double minCapacity = 1.0; // Every relay can serve one worker.
 /// Max ratio of a relay's workers to its fair share; beyond it workers are reassigned. Relays join one after the other, and
 /// without this the first ones would keep all workers.
@@ -20,7 +20,7 @@
 /// Consecutive unanswered calls that suspend a relay. A failed rack has about 12 workers, but their calls are spread over relays
 /// and mixed with calls to other workers.
 constexpr std::uint32_t unansweredToSuspend = 8;
-constexpr Millis suspension { 5'000 };
+constexpr Millis initialSuspension { 5'000 };
 constexpr std::uint32_t maxSuspensionDoublings = 3; // Of consecutive suspensions, while no worker answers.
 /// The plan is recomputed when the number of workers has changed by one in this many. Each move of an instance removes a worker and
 /// adds one: a shift of load moves 600 of 1,100 instances in a second, and recomputing for each of them sorted 146 relays twice.
@@ -44,7 +44,7 @@
 
 double RelayPlan::capacityOf(double cores) const
 {
-    return std::max((cores > 0 ? cores : unknownCores) * m_options.workersPerCore, minCapacity);
+    return std::max((cores > 0 ? cores : assumedCores) * m_options.workersPerCore, minCapacity);
 }
 
 void RelayPlan::addRelay(const std::string& name, double cores, const std::string& dataHall)
@@ -103,7 +103,7 @@
     if (found->second.onProbation || ++found->second.unanswered >= unansweredToSuspend) {
         found->second.unanswered = 0;
         found->second.onProbation = true;
-        found->second.suspendedUntil = now + suspension * (1U << std::min(found->second.suspensions++, maxSuspensionDoublings));
+        found->second.suspendedUntil = now + initialSuspension * (1U << std::min(found->second.suspensions++, maxSuspensionDoublings));
         for (auto& [id, each] : m_assignments) {
             if (each.relay == relay)
                 each.relay.clear();
@@ -243,7 +243,7 @@
     }
     std::stable_sort(largestFirst.begin(), largestFirst.end(), [](const auto* a, const auto* b) { return a->second.fullCapacity > b->second.fullCapacity; });
     selectByLoad(largestFirst);
-    selectForCutHalls(largestFirst);
+    selectForUnreachedHalls(largestFirst);
     applySelection();
 }
 
@@ -253,16 +253,16 @@
     m_usesRelaysForLoad = m_options.workersPerCore > 0 && needed > (m_usesRelaysForLoad ? m_ownCapacity / m_options.shrinkAt : m_ownCapacity);
     double capacity = 0;
     for (auto* relay : largestFirst) {
-        const double enough = relay->second.inUse && !relay->second.servesCutHallsOnly ? needed * m_options.shrinkAt : needed;
+        const double enough = relay->second.inUse && !relay->second.servesUnreachedHallsOnly ? needed * m_options.shrinkAt : needed;
         relay->second.isSelected = m_usesRelaysForLoad && capacity < enough && relay->second.suspendedUntil <= m_now;
-        relay->second.servesCutHallsOnly = false;
+        relay->second.servesUnreachedHallsOnly = false;
         capacity += relay->second.isSelected ? relay->second.capacity() : 0;
     }
     m_usesRelaysForLoad = capacity > 0;
 }
 
 /// Selects further relays for data halls that the selected ones do not reach.
-void RelayPlan::selectForCutHalls(const std::vector<std::pair<const std::string, Relay>*>& largestFirst)
+void RelayPlan::selectForUnreachedHalls(const std::vector<std::pair<const std::string, Relay>*>& largestFirst)
 {
     for (const auto& [hall, workers] : m_workersByHall) {
         if (workers == 0 || !m_reachability.hasUnreachablePath(hall))
@@ -280,7 +280,7 @@
             if (reachableCapacity >= static_cast<double>(workers))
                 break;
             relay->second.isSelected = true;
-            relay->second.servesCutHallsOnly = true;
+            relay->second.servesUnreachedHallsOnly = true;
             reachableCapacity += relay->second.capacity();
         }
     }
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -90,7 +90,7 @@
     };
 
     /// \param wait Max time that the worker may wait before it answers.
-    RelayedCall relayed(const WorkerIncarnation& worker, Millis wait, Done& done)
+    RelayedCall prepareCall(const WorkerIncarnation& worker, Millis wait, Done& done)
     {
         const WorkMeter::Piece piece(m_parts.meter, WorkKind::RelayFrames);
         const std::string name = m_active ? pathTo(worker) : std::string();
@@ -102,10 +102,10 @@
                 done = trackDirectCall(worker, wait, std::move(done));
             return {};
         }
-        return relayedOver(relay->second, worker, wait, std::move(done));
+        return prepareCallVia(relay->second, worker, wait, std::move(done));
     }
 
-    RelayedCall relayedOver(std::uint64_t relay, const WorkerIncarnation& worker, Millis wait, Done done)
+    RelayedCall prepareCallVia(std::uint64_t relay, const WorkerIncarnation& worker, Millis wait, Done done)
     {
         const MonotonicInstant now = m_parts.loop->now();
         ++m_counts.relayed;
@@ -124,17 +124,17 @@
     }
 
     /// Renews through a relay or directly, and retries an unreachable path to the worker's data hall if one is due.
-    void renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done)
+    void renew(const WorkerIncarnation& worker, const RenewCommand& command, std::function<void(RenewResult)> done)
     {
         Done wrapped(std::move(done));
-        if (wire::RelayCall* message = relayed(worker, order.wait, wrapped).message)
-            fill(*message, worker, order);
+        if (wire::RelayCall* message = prepareCall(worker, command.wait, wrapped).message)
+            fill(*message, worker, command);
         else
-            direct().renew(worker, order, std::move(std::get<std::function<void(RenewResult)>>(wrapped)));
+            direct().renew(worker, command, std::move(std::get<std::function<void(RenewResult)>>(wrapped)));
         if (!m_active || !m_reachability.enabled)
             return;
         if (const std::optional<std::string> path = m_plan.takeRetry(worker.dataHall, m_parts.loop->now()))
-            probePath(*path, worker, order.epoch);
+            probePath(*path, worker, command.epoch);
     }
 
     /// Notes overdue calls as evidence that their paths do not reach the worker's data hall.
@@ -160,31 +160,31 @@
 
     /// Starts an attempt through a relay or directly. If the relay could not read the payload, the start is sent again with the
     /// payload included.
-    void start(const WorkerIncarnation& worker, const StartCommand& order, const std::function<void(CommandResult)>& done, bool mayReferToStore)
+    void start(const WorkerIncarnation& worker, const StartCommand& command, const std::function<void(CommandResult)>& done, bool mayReferToStore)
     {
         const auto relay = std::make_shared<std::uint64_t>(0);
-        const bool isLong = mayReferToStore && isLongPayload(order);
+        const bool isLong = mayReferToStore && isLongPayload(command);
         std::function<void(CommandResult)> onResult = done;
         if (isLong) {
-            onResult = [self = shared_from_this(), relay, worker, order, done](const CommandResult& result) {
+            onResult = [self = shared_from_this(), relay, worker, command, done](const CommandResult& result) {
                 if (result.outcome != CommandOutcome::NotDone || *relay == 0) {
                     done(result);
                     return;
                 }
                 self->noteUnreadPayload(*relay);
-                self->start(worker, order, done, false);
+                self->start(worker, command, done, false);
             };
         }
         Done wrapped(std::move(onResult));
-        const RelayedCall call = relayed(worker, Millis(0), wrapped);
+        const RelayedCall call = prepareCall(worker, Millis(0), wrapped);
         if (!call.message) {
-            direct().start(worker, order, std::move(std::get<std::function<void(CommandResult)>>(wrapped)));
+            direct().start(worker, command, std::move(std::get<std::function<void(CommandResult)>>(wrapped)));
             return;
         }
         const bool refersToStore = isLong && call.canReadStore;
         *relay = refersToStore ? call.relay : 0;
         m_pendingCalls.at(call.call).isPayloadInStore = refersToStore;
-        fill(*call.message, worker, order, refersToStore);
+        fill(*call.message, worker, command, refersToStore);
     }
 
     void forget(const WorkerIncarnation& worker)
@@ -239,8 +239,8 @@
     {
         const std::uint64_t call = ++m_lastCall;
         m_outstandingCalls.add(call, { .path = {}, .worker = worker.id, .dataHall = worker.dataHall, .expectedAt = m_parts.loop->now() + wait });
-        if (auto* order = std::get_if<std::function<void(CommandResult)>>(&done))
-            return trackOutcome<CommandResult>(call, std::move(*order));
+        if (auto* onResult = std::get_if<std::function<void(CommandResult)>>(&done))
+            return trackOutcome<CommandResult>(call, std::move(*onResult));
         return trackOutcome<RenewResult>(call, std::move(std::get<std::function<void(RenewResult)>>(done)));
     }
 
@@ -289,13 +289,13 @@
     /// Probes an unreachable path by a renewal that leaves the lease unchanged. The worker's other calls keep their path.
     void probePath(const std::string& path, const WorkerIncarnation& worker, std::uint64_t epoch)
     {
-        const RenewCommand order { .epoch = epoch };
+        const RenewCommand command { .epoch = epoch };
         std::function<void(RenewResult)> ignored = [](const RenewResult&) {};
         const auto relay = m_byName.find(path);
         if (relay != m_byName.end())
-            fill(*relayedOver(relay->second, worker, Millis(0), std::move(ignored)).message, worker, order);
+            fill(*prepareCallVia(relay->second, worker, Millis(0), std::move(ignored)).message, worker, command);
         else if (path.empty())
-            direct().renew(worker, order, std::get<std::function<void(RenewResult)>>(trackDirectCall(worker, Millis(0), std::move(ignored))));
+            direct().renew(worker, command, std::get<std::function<void(RenewResult)>>(trackDirectCall(worker, Millis(0), std::move(ignored))));
     }
 
     struct Relay;
@@ -369,8 +369,8 @@
         for (const wire::RelayAnswer& answer : frame.answers())
             answered(answer);
         for (const EntryDemand& demand : demandOf(frame)) {
-            if (m_parts.demanded)
-                m_parts.demanded(demand);
+            if (m_parts.demandReported)
+                m_parts.demandReported(demand);
         }
         if (frame.leaving())
             onLeaving(number);
@@ -404,8 +404,8 @@
         noteAnswer(answer.call(), found->second, answer);
         const Done done = std::move(found->second.done);
         m_pendingCalls.erase(found);
-        if (const auto* order = std::get_if<std::function<void(CommandResult)>>(&done))
-            (*order)(orderResultOf(answer));
+        if (const auto* onResult = std::get_if<std::function<void(CommandResult)>>(&done))
+            (*onResult)(commandResultOf(answer));
         else
             std::get<std::function<void(RenewResult)>>(done)(renewResultOf(answer));
     }
@@ -418,7 +418,7 @@
             m_outstandingCalls.take(call);
             return;
         }
-        const auto outcome = orderResultOf(answer).outcome;
+        const auto outcome = commandResultOf(answer).outcome;
         noteOutcome(call, isAnswer(outcome), outcome == CommandOutcome::NotDone && pending.isPayloadInStore);
         if (!isAnswer(outcome))
             m_plan.noteUnanswered(relay->second.name, pending.worker, m_parts.loop->now());
@@ -592,23 +592,23 @@
     m_impl->deactivate();
 }
 
-void RelayedWorkers::start(const WorkerIncarnation& worker, const StartCommand& order, std::function<void(CommandResult)> done)
+void RelayedWorkers::start(const WorkerIncarnation& worker, const StartCommand& command, std::function<void(CommandResult)> done)
 {
-    m_impl->start(worker, order, done, true);
+    m_impl->start(worker, command, done, true);
 }
 
 void RelayedWorkers::stop(const WorkerIncarnation& worker, const Attempt& attempt, std::uint64_t epoch, std::function<void(CommandResult)> done)
 {
     Impl::Done relayed(std::move(done));
-    if (wire::RelayCall* message = m_impl->relayed(worker, Millis(0), relayed).message)
+    if (wire::RelayCall* message = m_impl->prepareCall(worker, Millis(0), relayed).message)
         fillStop(*message, worker, attempt, epoch);
     else
         m_impl->direct().stop(worker, attempt, epoch, std::move(std::get<std::function<void(CommandResult)>>(relayed)));
 }
 
-void RelayedWorkers::renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done)
+void RelayedWorkers::renew(const WorkerIncarnation& worker, const RenewCommand& command, std::function<void(RenewResult)> done)
 {
-    m_impl->renew(worker, order, std::move(done));
+    m_impl->renew(worker, command, std::move(done));
 }
 
 void RelayedWorkers::noteOverdue(const WorkerIncarnation& worker)
@@ -624,7 +624,7 @@
 void RelayedWorkers::throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done)
 {
     Impl::Done relayed(std::move(done));
-    if (wire::RelayCall* message = m_impl->relayed(worker, Millis(0), relayed).message)
+    if (wire::RelayCall* message = m_impl->prepareCall(worker, Millis(0), relayed).message)
         fillThrottle(*message, worker, attempt, percent, epoch);
     else
         m_impl->direct().throttle(worker, attempt, percent, epoch, std::move(std::get<std::function<void(CommandResult)>>(relayed)));
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -138,14 +138,14 @@
     families.push_back(gauge("lanemoor_unsaved_oldest_seconds", "Since the first of them changed", reading.unsavedOldestSeconds));
 }
 
-void addRelay(std::vector<prometheus::MetricFamily>& families, const RelayCounts& counts, std::uint64_t carried)
+void addRelay(std::vector<prometheus::MetricFamily>& families, const RelayCounts& counts, std::uint64_t callsForOtherOwners)
 {
     families.push_back(gauge("lanemoor_relays_in_use", "Instances that carry this owner's calls to workers", static_cast<double>(counts.relays)));
     families.push_back(counter("lanemoor_relay_calls_total", "The owner's calls to workers that a relay was given", counts.relayed));
     families.push_back(counter("lanemoor_relay_calls_unanswered_total", "Of them, those without an answer in time", counts.unanswered));
     families.push_back(counter("lanemoor_direct_calls_total", "The owner's calls to workers that it made itself", counts.direct));
     families.push_back(counter("lanemoor_path_changes_total", "Paths that became unreachable for a data hall, or reachable again", counts.pathChanges));
-    families.push_back(counter("lanemoor_carried_calls_total", "Calls to workers that this process carried for an owner elsewhere", carried));
+    families.push_back(counter("lanemoor_carried_calls_total", "Calls to workers that this process carried for an owner elsewhere", callsForOtherOwners));
 }
 
 /// Counts paths by data hall and state, so that the cardinality does not depend on the number of relays.
@@ -315,7 +315,7 @@
     addStore(families, reading);
     addScheduler(families, scheduler);
     addFleet(families, fleet);
-    addRelay(families, relay, reading.carriedCalls);
+    addRelay(families, relay, reading.callsForOtherOwners);
     addReachability(families, reading.reachability);
     addWork(families, reading.work);
     addEjected(families, reading.ejectedWorkers);
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -152,8 +152,8 @@
         , m_waves(*parts.loop, *parts.store, { .prefix = parts.documents->wavePrefix(), .watchTime = waveWatchTime }, [this](const StoreItem& item) { onWave(item); })
         , m_ownership(*parts.loop, *parts.store, m_owners, { .shard = shardName, .holder = m_holder, .peer = parts.peerAddress, .leaseTime = settings.ownershipTime, .renewEvery = settings.ownershipTime / renewalsPerLease, .claimDelay = claimDelayOf(settings) },
               { .gained = [this](const Ownership& ownership) { gained(ownership); }, .lost = [this] { lost(); }, .suspended = [this] { m_parts.log->change("ownership-suspended", { { "copy_age_ms", replicaAge() } }); }, .resumed = [this] { m_parts.log->change("ownership-resumed", { { "copy_age_ms", replicaAge() } }); }, .claimFailed = [this](StoreOutcome outcome) { m_parts.log->decision("ownership-claim-failed", { { "outcome", std::string(nameOf(outcome)) } }); }, .revokingLease = [this](const std::string& holder) { m_parts.log->change("lost-owner-lease-ended", { { "holder", holder } }); } })
-        , m_relayedWorkers({ .loop = parts.loop, .peers = parts.peers, .direct = parts.workers, .log = parts.log, .meter = &m_meter, .demanded = [this](const EntryDemand& demand) { m_scheduler.noteDemand(demand); } }, settings.policies.relay, settings.machineCores, settings.policies.reachability, settings.dataHall)
-        , m_relay({ .loop = parts.loop, .peers = parts.peers, .workers = parts.workers, .store = parts.store, .log = parts.log, .ownerGone = [this](const std::string& address) { m_ownership.revokeCrashedOwner(address); }, .takeDemand = [this] { return m_demand.take(); }, .granted = [this](const AdmissionGrants& grants) { m_gate.apply(grants, m_parts.loop->now()); } }, settings.name, settings.machineCores, settings.dataHall)
+        , m_relayedWorkers({ .loop = parts.loop, .peers = parts.peers, .direct = parts.workers, .log = parts.log, .meter = &m_meter, .demandReported = [this](const EntryDemand& demand) { m_scheduler.noteDemand(demand); } }, settings.policies.relay, settings.machineCores, settings.policies.reachability, settings.dataHall)
+        , m_relay({ .loop = parts.loop, .peers = parts.peers, .workers = parts.workers, .store = parts.store, .log = parts.log, .ownerEnded = [this](const std::string& address) { m_ownership.revokeCrashedOwner(address); }, .takeDemand = [this] { return m_demand.take(); }, .granted = [this](const AdmissionGrants& grants) { m_gate.apply(grants, m_parts.loop->now()); } }, settings.name, settings.machineCores, settings.dataHall)
         , m_evacuations({ .loop = parts.loop, .store = parts.store, .log = parts.log, .prefix = parts.documents->evacuationPrefix(), .bound = settings.evacuationTime })
         , m_gate(settings.name)
         , m_scheduler(schedulerOptions())
@@ -469,7 +469,7 @@
             .unreadableItems = m_catalog.unreadable(),
             .logLinesDropped = m_parts.log->dropped(),
             .decisionsOmitted = m_parts.log->omitted(),
-            .carriedCalls = m_relay.calls(),
+            .callsForOtherOwners = m_relay.calls(),
             .organisations = m_scheduler.organisations(),
             .evacuations = evacuations(),
             .ejectedWorkers = m_scheduler.ejectedByPool(),
--- a/src/jobs/store/document_replica.cpp
+++ b/src/jobs/store/document_replica.cpp
@@ -14,7 +14,7 @@
 /// Smaller documents are read, not compared: a comparison counts against the store's rate limit of writes, and a read transfers
 /// little more than its some hundred bytes.
 constexpr std::size_t minComparedBytes = 64 * 1024;
-constexpr std::size_t maxOpenChecks = 2;
+constexpr std::size_t maxPendingChecks = 2;
 
 } // namespace
 
@@ -61,22 +61,22 @@
 
 private:
     /// A call in progress.
-    struct OpenCall {
+    struct PendingCall {
         DocumentCallResult callResult;
         std::uint64_t replicaRevision = 0; ///< Of the replica when the call was sent.
         bool hasBegun = false; ///< Its answer is arriving.
         bool hasEnded = false;
     };
 
-    using OpenCallPointer = std::shared_ptr<OpenCall>;
+    using PendingCallPointer = std::shared_ptr<PendingCall>;
 
-    OpenCallPointer send(DocumentCall call, MonotonicInstant dueAt)
+    PendingCallPointer send(DocumentCall call, MonotonicInstant dueAt)
     {
-        auto open = std::make_shared<OpenCall>(OpenCall { .callResult = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .replicaRevision = m_revision });
-        m_lastSentAt = open->callResult.sentAt;
-        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .begun = [self = weak_from_this(), open] {
+        auto pending = std::make_shared<PendingCall>(PendingCall { .callResult = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .replicaRevision = m_revision });
+        m_lastSentAt = pending->callResult.sentAt;
+        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .begun = [self = weak_from_this(), pending] {
                                  const auto impl = self.lock();
-                                 return impl && impl->beginTransfer(*open);
+                                 return impl && impl->beginTransfer(*pending);
                              } };
         if (call == DocumentCall::Watch) {
             query.after = m_watchRevision;
@@ -84,20 +84,20 @@
         } else if (call == DocumentCall::Compare) {
             query.unlessRevision = m_revision;
         }
-        m_store.fetch(std::move(query), [self = weak_from_this(), open](const ItemsResult& result) {
+        m_store.fetch(std::move(query), [self = weak_from_this(), pending](const ItemsResult& result) {
             if (const auto impl = self.lock(); impl && !impl->m_stopped)
-                impl->ended(*open, result);
+                impl->ended(*pending, result);
         });
-        return open;
+        return pending;
     }
 
     /// Records that an answer begins to arrive. \returns Whether to read the rest: there is one transfer at a time, and an answer
     /// requested before the replica changed may bring nothing new.
-    bool beginTransfer(OpenCall& open)
+    bool beginTransfer(PendingCall& pending)
     {
-        if (m_transfers > 0 || open.replicaRevision != m_revision)
+        if (m_transfers > 0 || pending.replicaRevision != m_revision)
             return false;
-        open.hasBegun = true;
+        pending.hasBegun = true;
         ++m_transfers;
         return true;
     }
@@ -115,19 +115,19 @@
     {
         const bool compares = m_bytes >= minComparedBytes && m_isHistoryAvailable;
         ++(compares ? counts.comparisons : counts.reads);
-        ++m_openChecks;
-        const OpenCallPointer open = send(compares ? DocumentCall::Compare : DocumentCall::Read, dueAt);
-        after(m_options.overdueAfter, [this, open] {
-            if (!open->hasBegun && !open->hasEnded && m_openChecks < maxOpenChecks && m_transfers == 0)
+        ++m_pendingChecks;
+        const PendingCallPointer pending = send(compares ? DocumentCall::Compare : DocumentCall::Read, dueAt);
+        after(m_options.overdueAfter, [this, pending] {
+            if (!pending->hasBegun && !pending->hasEnded && m_pendingChecks < maxPendingChecks && m_transfers == 0)
                 check(m_loop.now());
         });
     }
 
-    void ended(OpenCall& open, const ItemsResult& result)
+    void ended(PendingCall& pending, const ItemsResult& result)
     {
-        DocumentCallResult& callResult = open.callResult;
-        open.hasEnded = true;
-        m_transfers -= open.hasBegun ? 1 : 0;
+        DocumentCallResult& callResult = pending.callResult;
+        pending.hasEnded = true;
+        m_transfers -= pending.hasBegun ? 1 : 0;
         callResult.outcome = result.outcome;
         callResult.endedAt = m_loop.now();
         callResult.bytes = bytesOf(result.items);
@@ -135,7 +135,7 @@
         if (callResult.call == DocumentCall::Watch)
             m_isWatching = false;
         else
-            --m_openChecks;
+            --m_pendingChecks;
         if (result.outcome == StoreOutcome::Done)
             applyAnswer(callResult, result);
         else if (result.outcome == StoreOutcome::Abandoned)
@@ -174,7 +174,7 @@
             return;
         if (!m_isLagging)
             watch();
-        else if (m_openChecks == 0)
+        else if (m_pendingChecks == 0)
             check(m_loop.now());
     }
 
@@ -193,7 +193,7 @@
                 return;
             if (isWatch && !m_isLagging)
                 watch();
-            else if (m_openChecks == 0)
+            else if (m_pendingChecks == 0)
                 check(dueAt);
         });
     }
@@ -219,7 +219,7 @@
     {
         const MonotonicInstant dueAt = m_loop.now() + m_options.checkEvery;
         after(m_options.checkEvery, [this, dueAt] {
-            if (m_transfers == 0 && m_openChecks == 0)
+            if (m_transfers == 0 && m_pendingChecks == 0)
                 check(dueAt);
             checkLater();
         });
@@ -243,7 +243,7 @@
     std::size_t m_bytes = 0; ///< Of the document.
     MonotonicInstant m_lastSentAt; ///< Of the latest call of any kind.
     std::size_t m_transfers = 0; ///< Answers that are arriving.
-    std::size_t m_openChecks = 0;
+    std::size_t m_pendingChecks = 0;
     bool m_isWatching = false; ///< A watch is in progress.
     bool m_isLagging = false; ///< Newer versions may exist: no watch is sent until a check has found none.
     /// Whether the store's history is expected to reach back to `m_watchRevision`. If not, a read comes first, since comparisons return no
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -93,7 +93,7 @@
     MonotonicInstant startedAt;
     MonotonicInstant sentAt; ///< Of the last try.
     unsigned tries = 0;
-    unsigned open = 0; ///< Tries, and reads of the written keys, without an answer or timeout.
+    unsigned outstanding = 0; ///< Tries, and reads of the written keys, without an answer or timeout.
     unsigned hedges = 0; ///< Repeats within the budget.
     unsigned tokens = 0; ///< Taken by these repeats.
     bool denied = false;
@@ -205,7 +205,7 @@
     void noteSent(WaitingCall& call)
     {
         ++call.tries;
-        ++call.open;
+        ++call.outstanding;
         call.sentAt = m_loop.now();
     }
 
@@ -266,7 +266,7 @@
 
     void ended(CallId id, const std::shared_ptr<ReadCall>& call, unsigned tryNumber, const ReadResult& result)
     {
-        --call->open;
+        --call->outstanding;
         if (isAnswer(result.outcome))
             settle(id, call, result, tryNumber);
         else
@@ -275,7 +275,7 @@
 
     void ended(CallId id, const std::shared_ptr<CommitCall>& call, unsigned tryNumber, const CommitResult& result)
     {
-        --call->open;
+        --call->outstanding;
         if (isAnswer(result.outcome))
             settle(id, call, call->tries > 1 ? interpretAnswer(*call, result) : result, tryNumber);
         else
@@ -289,7 +289,7 @@
             return result;
         const CommitResult unknown { .outcome = StoreOutcome::Unknown, .revision = 0, .current = {} };
         if (result.outcome != StoreOutcome::Conflict)
-            return call.mayBeApplied || call.open > 0 ? unknown : result;
+            return call.mayBeApplied || call.outstanding > 0 ? unknown : result;
         const std::uint64_t revision = findAppliedRevision(call.transaction, result.current);
         if (revision == 0)
             return result;
@@ -301,7 +301,7 @@
     {
         call->mayBeApplied = call->mayBeApplied || outcome == StoreOutcome::Unknown;
         // The connection was lost: no answer is pending.
-        if (call->open == 0 && call->mayBeApplied && call->timer != 0 && !isTimedOut(*call)) {
+        if (call->outstanding == 0 && call->mayBeApplied && call->timer != 0 && !isTimedOut(*call)) {
             m_loop.cancel(std::exchange(call->timer, 0));
             hedge(id, call);
             return;
@@ -311,11 +311,11 @@
 
     [[nodiscard]] bool isTimedOut(const WaitingCall& call) const { return m_loop.now() - call.startedAt >= callTimeout; }
 
-    /// Ends a call that has no open try left, or has timed out.
+    /// Ends a call that has no outstanding try left, or has timed out.
     template <typename Call>
     void endIfExhausted(CallId id, const std::shared_ptr<Call>& call)
     {
-        if (call->open > 0 && !(call->mayBeApplied && isTimedOut(*call)))
+        if (call->outstanding > 0 && !(call->mayBeApplied && isTimedOut(*call)))
             return;
         const StoreOutcome outcome = call->mayBeApplied ? StoreOutcome::Unknown : StoreOutcome::NotDone;
         if (call->hedges > 0)
@@ -354,7 +354,7 @@
     /// Results so far of the reads of a transaction's keys.
     struct ReadBack {
         std::vector<StoreItem> items;
-        std::size_t open = 0;
+        std::size_t outstanding = 0;
         bool isComplete = true; ///< No read failed.
     };
 
@@ -362,12 +362,12 @@
     void confirm(CallId id, const std::shared_ptr<CommitCall>& call)
     {
         const auto readBack = std::make_shared<ReadBack>();
-        readBack->open = call->transaction.writes.size();
+        readBack->outstanding = call->transaction.writes.size();
         for (const StoreWrite& write : call->transaction.writes) {
             readFor(id, call, write.key, [this, id, call, readBack, key = write.key](const ReadResult& result) {
                 readBack->isComplete = readBack->isComplete && (result.outcome == StoreOutcome::Done || result.outcome == StoreOutcome::NotFound);
                 readBack->items.push_back(result.outcome == StoreOutcome::Done ? result.item : StoreItem { .key = key, .value = {} });
-                if (--readBack->open == 0)
+                if (--readBack->outstanding == 0)
                     evaluateReadBack(id, call, *readBack);
             });
         }
@@ -409,9 +409,9 @@
     /// Reads a key for a waiting call.
     void readFor(CallId id, const std::shared_ptr<CommitCall>& call, const std::string& key, std::function<void(const ReadResult&)> then)
     {
-        ++call->open;
+        ++call->outstanding;
         m_store.read(key, [self = weak_from_this(), id, call, then = std::move(then)](const ReadResult& result) {
-            --call->open;
+            --call->outstanding;
             const auto impl = self.lock();
             if (impl && impl->m_commits.contains(id))
                 then(result);
--- a/src/jobs/store/store_mirror.cpp
+++ b/src/jobs/store/store_mirror.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /// A page of 1 MB takes 1.1 s over a link of 10 Mbit/s; on most links an answer that takes longer than the minimum is lost.
-constexpr Millis minPagePatience { 1'000 };
-constexpr Millis maxPagePatience { 4'000 };
+constexpr Millis minPageTimeout { 1'000 };
+constexpr Millis maxPageTimeout { 4'000 };
 
 /// After an outage, an idle watch should soon confirm that the mirror is fresh: the owner starts no task before that.
 constexpr Millis maxWatchTimeAfterOutage { 20 };
@@ -76,7 +76,7 @@
         m_listRevision = 0;
         m_listStart = m_loop.now();
         m_listedUpTo.clear();
-        m_pagePatience = minPagePatience;
+        m_pageTimeout = minPageTimeout;
         listPage();
     }
 
@@ -112,7 +112,7 @@
     std::map<std::string, std::uint64_t> revisions;
     std::multimap<std::uint64_t, std::function<void()>> revisionWaiters;
 
-    void note(const StoreItem& item)
+    void applyItem(const StoreItem& item)
     {
         const auto known = revisions.find(item.key);
         if (known != revisions.end() && known->second >= item.revision)
@@ -155,7 +155,7 @@
     {
         m_call = Call::List;
         m_callSentAt = m_loop.now();
-        m_store.range(m_options.prefix, m_listedUpTo, m_pagePatience, [self = weak_from_this(), generation = m_generation](const ItemsResult& result) {
+        m_store.range(m_options.prefix, m_listedUpTo, m_pageTimeout, [self = weak_from_this(), generation = m_generation](const ItemsResult& result) {
             if (const auto impl = self.lock(); impl && impl->m_generation == generation)
                 impl->listed(result);
         });
@@ -165,11 +165,11 @@
     {
         // Only the failed page is read again: over a slow link, a listing that restarts after each failure may never complete.
         if (result.outcome != StoreOutcome::Done) {
-            m_pagePatience = std::min(2 * m_pagePatience, maxPagePatience);
+            m_pageTimeout = std::min(2 * m_pageTimeout, maxPageTimeout);
             retryLater(&Impl::listPage);
             return;
         }
-        m_pagePatience = std::max(m_pagePatience / 2, minPagePatience);
+        m_pageTimeout = std::max(m_pageTimeout / 2, minPageTimeout);
         // Pages are no snapshot: the watch starts at the revision of the first page.
         if (m_listRevision == 0)
             m_listRevision = result.storeRevision;
@@ -206,9 +206,9 @@
                 gone.push_back(key);
         }
         for (const std::string& key : gone)
-            note({ .key = key, .value = {}, .revision = m_listRevision + 1, .removed = true });
+            applyItem({ .key = key, .value = {}, .revision = m_listRevision + 1, .removed = true });
         for (const StoreItem& item : m_listed)
-            note(item);
+            applyItem(item);
         m_listed.clear();
     }
 
@@ -252,7 +252,7 @@
             return;
         }
         for (const StoreItem& item : result.items)
-            note(item);
+            applyItem(item);
         answeredAt = sentAt;
         if (result.storeRevision > m_watchRevision)
             m_watchRevision = result.storeRevision;
@@ -287,7 +287,7 @@
     StoreMirrorOptions m_options;
     ItemObserver m_observer;
     std::vector<StoreItem> m_listed;
-    Millis m_pagePatience = minPagePatience; ///< Doubled after each failed page, halved after each received one.
+    Millis m_pageTimeout = minPageTimeout; ///< Doubled after each failed page, halved after each received one.
     std::string m_listedUpTo; ///< Last key of the pages listed so far.
     std::uint64_t m_listRevision = 0;
     MonotonicInstant m_listStart;
@@ -379,7 +379,7 @@
 
 void StoreMirror::noteWritten(const StoreItem& item)
 {
-    m_impl->note(item);
+    m_impl->applyItem(item);
 }
 
 void StoreMirror::clear()
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -104,7 +104,7 @@
     WorkerClient entryWorkers(workers, entryProcess);
     DemandReport report;
     std::vector<EntryDemand> reports;
-    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demanded = [&](const EntryDemand& demand) { reports.push_back(demand); } }, { .workersPerCore = 10 }, 1);
+    RelayedWorkers owner({ .loop = &ownerProcess, .peers = &ownerPort, .direct = &ownerWorkers, .log = &log, .demandReported = [&](const EntryDemand& demand) { reports.push_back(demand); } }, { .workersPerCore = 10 }, 1);
     CommandRelay entry({ .loop = &entryProcess, .peers = &entryPort, .workers = &entryWorkers, .log = &log, .takeDemand = [&] { return report.take(); } }, "entry", 1);
     owner.activate();
     entry.setOwner("owner");
