--- a/include/lanemoor/decisions/admission.h
+++ b/include/lanemoor/decisions/admission.h
@@ -55,8 +55,9 @@
 /// Checks and orders start before batch requests, but while a batch request waits, at
 /// least one of every five starts is a batch request, so that batch does not starve.
 /// Within a class, the team with the smallest share of its quota in flight goes first;
-/// within a team, the earliest deadline. Expected run times are a moving average of
-/// observed ones; a request that they show to miss its deadline is refused on arrival.
+/// within a team, the earliest deadline. Callers declare no run times; the expected run time
+/// of a class is a moving average of observed ones. A request that would miss its deadline by
+/// these averages is refused on arrival.
 ///
 /// \code
 /// AdmissionQueue queue({ .slots = 8 });
--- a/include/lanemoor/decisions/configuration.h
+++ b/include/lanemoor/decisions/configuration.h
@@ -38,7 +38,7 @@
     std::string name;
     Selector selector;
     std::int32_t priority = 0; ///< Where selectors overlap, pools of higher priority get instances first.
-    std::uint32_t wanted = 0; ///< Minimum size in instances, if the budget requires fewer.
+    std::uint32_t wanted = 0; ///< Minimum size in instances; applies if the budget requires fewer.
     AvailabilityBudget budget;
     std::vector<MaintenanceWindow> windows; ///< Empty: at any time.
 
@@ -48,7 +48,7 @@
 /// A team of callers with a quota.
 struct Team {
     std::string name;
-    std::uint32_t quota = 0; ///< Requests in flight at once, over all entries.
+    std::uint32_t quota = 0; ///< Requests in flight at once, over all entry instances.
 
     [[nodiscard]] bool operator==(const Team&) const = default;
 };
--- a/include/lanemoor/decisions/disruption_guard.h
+++ b/include/lanemoor/decisions/disruption_guard.h
@@ -14,7 +14,7 @@
 
 /// Why an instance may not be taken out of service.
 enum class DisruptionRefusal {
-    UnknownInstance, ///< Neither in the ledger nor listed.
+    UnknownInstance, ///< Missing from the ledger or from the instance list.
     AlreadyGranted, ///< Already out of service under a grant.
     BudgetExhausted, ///< The pool would not survive the failure of its largest failure domain.
 };
@@ -39,14 +39,14 @@
 
 /// \brief Decides whether an instance may be taken out of service.
 ///
-/// Counts the instances in service by the latest observation, without those that
-/// failed, are under a grant or fail their requests. `markOutOfService` subtracts the
-/// instances that were granted in the same step.
+/// Counts the instances that the latest observation shows in service: not failed, under no
+/// grant and not failing their requests. `markOutOfService` subtracts the instances that were
+/// granted in the same step.
 ///
 /// \code
 /// DisruptionGuard guard(view, index);
 /// if (!guard.refusalFor("m-17"))
-///     guard.take("m-17");
+///     guard.markOutOfService("m-17");
 /// \endcode
 /// \see Grant
 class DisruptionGuard {
--- a/include/lanemoor/decisions/ejection.h
+++ b/include/lanemoor/decisions/ejection.h
@@ -15,9 +15,9 @@
 
 /// \brief Tracks the results of requests per endpoint. Pure: the caller passes the time.
 ///
-/// An endpoint is ejected after three consecutive failures. It gets a probe after a pause
-/// that doubles with each ejection. At most half of a pool's endpoints are ejected at once,
-/// even if more of them fail.
+/// An endpoint is ejected after three consecutive failures. After a pause it gets requests
+/// again, and a single failure ejects it again. The pause doubles with each ejection. At most
+/// half of a pool's endpoints are ejected at once, even if more of them fail.
 class EjectionTracker {
 public:
     /// \brief Records that a request to `endpoint` succeeded.
@@ -31,7 +31,7 @@
     [[nodiscard]] std::vector<std::string> ejected(const std::vector<std::string>& members, Instant now) const;
 
     /// \returns Every endpoint with enough consecutive failures to be ejected, including
-    /// those that are being probed.
+    /// those whose pause has ended.
     [[nodiscard]] std::vector<std::string> failing() const;
 
 private:
--- a/include/lanemoor/decisions/ejection_backoff.h
+++ b/include/lanemoor/decisions/ejection_backoff.h
@@ -14,7 +14,7 @@
 /// \code
 /// EjectionBackoff<Instant> backoff;
 /// backoff.begin(now, std::chrono::seconds(2), 5);
-/// const bool isLeftOut = now < backoff.until();
+/// const bool isEjected = now < backoff.until();
 /// \endcode
 template <typename TimePoint>
 class EjectionBackoff {
--- a/include/lanemoor/decisions/fleet_index.h
+++ b/include/lanemoor/decisions/fleet_index.h
@@ -68,7 +68,8 @@
 };
 
 /// \brief Visits the ledger's entries together with the listed instances, both ordered by id.
-/// \param visit Called with the entry, the instance (null if not listed) and its number.
+/// \param visit Called with the entry, the instance (null if not listed) and its position in
+/// `instances`, which is valid only if the instance is listed.
 template <typename Visit>
 void forEachEntry(const Ledger& ledger, const Instances& instances, Visit&& visit)
 {
--- a/include/lanemoor/decisions/retry_budget.h
+++ b/include/lanemoor/decisions/retry_budget.h
@@ -12,7 +12,7 @@
 /// Every first attempt earns a tenth of a retry, up to a maximum of 100 saved retries.
 /// \code
 /// budget.onFirstAttempt();
-/// if (failed && budget.take())
+/// if (failed && budget.tryAcquire())
 ///     retry();
 /// \endcode
 class RetryBudget {
@@ -27,7 +27,7 @@
     static constexpr std::int64_t retryCost = 10; ///< First attempts that earn one retry.
     static constexpr std::int64_t maxCredit = 100 * retryCost;
 
-    std::atomic<std::int64_t> m_credit { 10 * retryCost };
+    std::atomic<std::int64_t> m_credit { 10 * retryCost }; ///< In first attempts; starts with 10 saved retries.
 };
 
 } // namespace lanemoor
--- a/include/lanemoor/decisions/selector.h
+++ b/include/lanemoor/decisions/selector.h
@@ -53,8 +53,8 @@
 
 /// \brief An immutable conjunction of requirements on labels.
 ///
-/// The syntax is that of other fleet managers: equality, set and existence requirements
-/// separated by commas. The empty selector matches everything.
+/// Uses the selector syntax that operators know from other fleet managers: equality, set and
+/// existence requirements separated by commas. The empty selector matches everything.
 ///
 /// \code
 /// SelectorParser parser;
--- a/include/lanemoor/decisions/wave.h
+++ b/include/lanemoor/decisions/wave.h
@@ -13,7 +13,8 @@
 namespace lanemoor {
 
 /// \returns Whether `entry`'s instance is due for maintenance: a wave was requested since
-/// its last maintenance, or less than a seventh of its period is left.
+/// its last maintenance, or at most a seventh of its period is left.
+/// An instance under a grant is not due.
 [[nodiscard]] bool isDue(const LedgerEntry& entry, const Maintenance& maintenance, Instant now) noexcept;
 
 /// Progress of a wave.
@@ -39,12 +40,13 @@
 public:
     /// \brief Lists the pools that need extra members so that their wave can proceed.
     ///
-    /// Each pool with work gets one of the free instances. The others go to the pools where
-    /// they save the most rounds, if the operators' weights justify another move.
-    /// \returns Pools that already have a loan first, then those with the most work.
+    /// Each pool with eligible members gets one of the free instances. The others go to the
+    /// pools where they save the most maintenance rounds, if the operators' weights justify
+    /// another move.
+    /// \returns Pools that already have a loan first, then those with the most instances left to maintain.
     [[nodiscard]] std::vector<PoolBoost> boosts(const FleetView& view, const FleetIndex& index) const;
 
-    /// \returns Instances to take now, each permitted and counted by `guard`.
+    /// \returns Instances to maintain now. `guard` permits each and counts it as out of service.
     [[nodiscard]] std::vector<std::string> next(const FleetView& view, const FleetIndex& index, DisruptionGuard& guard) const;
 };
 
--- a/include/lanemoor/net/http_server.h
+++ b/include/lanemoor/net/http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// An HTTP server based on cxxtools that also rejects malformed framing the library accepts.
+/// An HTTP server based on cxxtools. It rejects malformed framing that the library would accept.
 
 #include "lanemoor/net/http_message.h"
 
--- a/include/lanemoor/serve/process/order_claims.h
+++ b/include/lanemoor/serve/process/order_claims.h
@@ -62,8 +62,8 @@
 /// \brief Claims orders for all threads of a process and ends the claims in the background.
 ///
 /// Claims do not expire: an entry instance that is paused between its claim and its send is
-/// still the only one that may send the order. A claim takes one store write and its end
-/// another one; the rate of claims bounds both.
+/// still the only one that may send the order. Making a claim takes one store write and ending
+/// it another one; the rate limit of claims bounds both.
 class OrderClaims {
 public:
     OrderClaims(const StoreFactory& factory, std::string claimantPrefix, std::uint32_t claimsPerSecond, Metrics& metrics);
@@ -78,6 +78,7 @@
     void end(HeldClaim claim, RequestOutcome outcome, unsigned status);
 
 private:
+    /// A claim to be ended in the background, and the value to store for it.
     struct Ending {
         HeldClaim claim;
         OrderClaim result;
--- a/include/lanemoor/serve/process/peer_keys.h
+++ b/include/lanemoor/serve/process/peer_keys.h
@@ -31,7 +31,7 @@
 /// \brief Authenticates peers: only holders of the key pair may connect (ZAP, ZeroMQ RFC 27).
 ///
 /// Runs in its own thread from construction to destruction. Must be constructed before the
-/// guarded sockets of `context` are bound.
+/// sockets of `context` that it protects are bound.
 class PeerAuthenticator {
 public:
     PeerAuthenticator(zmq::context_t& context, const std::string& publicKey);
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -27,7 +27,7 @@
 /// The caller disconnected while its request waited.
 struct CallerDisconnected { };
 
-/// \brief The admission queue of a pool. Requests wait in it with blocked threads.
+/// \brief The admission queue of a pool. A waiting request blocks its thread.
 ///
 /// A waiting request that can no longer meet its deadline is refused at once.
 class PoolGate {
@@ -44,7 +44,7 @@
     [[nodiscard]] const Route* acquireEndpoint(const PoolRoutes& routes, const EndpointRegistry& registry, const TriedEndpoints& tried);
 
     /// \brief Ends an admitted request.
-    /// \param ran Whether the request ran, so that its duration counts in the service time estimate.
+    /// \param ran Whether the request ran, so that its duration counts in the expected run time.
     void leave(std::uint64_t ticket, bool ran);
 
 private:
--- a/include/lanemoor/serve/process/readiness.h
+++ b/include/lanemoor/serve/process/readiness.h
@@ -33,7 +33,7 @@
 /// \returns A short English text for `readiness`.
 [[nodiscard]] const char* describe(Readiness readiness) noexcept;
 
-/// \brief Evaluates `facts` at `now`.
+/// \brief Evaluates `inputs` at `now`.
 ///
 /// While the store is unavailable, an entry instance that reaches a majority of the entry
 /// instances continues with the last accepted configuration, since no newer one can be accepted.
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -29,10 +29,10 @@
     std::uint32_t slots = 0; ///< Sum over `routes`.
 };
 
-/// The shard of this entry instance. The shards divide slots and quotas equally among the entries.
+/// The shard of this entry instance. Shards divide slots and quotas equally among entry instances.
 struct EntryShard {
     std::uint32_t number = 0;
-    std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
+    std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry instance holds none and sends no requests.
 
     [[nodiscard]] bool operator==(const EntryShard&) const = default;
 };
--- a/include/lanemoor/state/snapshot.h
+++ b/include/lanemoor/state/snapshot.h
@@ -28,7 +28,7 @@
 ///
 /// Readers get the current snapshot with one atomic load and keep it as long as they need
 /// it. Writers copy, change and publish it under a lock. Versions of configuration and
-/// ledger never decrease: an older version is refused.
+/// ledger never decrease: a version that is not newer is refused.
 class SnapshotHolder {
 public:
     /// \returns The current snapshot; never null.
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -18,6 +18,7 @@
     const char* help;
 };
 
+/// Indexed by `EventCounter`.
 constexpr std::array<NamedMetric, 15> counterNames { {
     { "lanemoor_retries_total", "Requests sent to another endpoint after a failure." },
     { "lanemoor_store_calls_total", "Calls to the platform's store, a waiting watch as one." },
@@ -36,6 +37,7 @@
     { "lanemoor_claims_refused_total", "Orders refused because their key was used before." },
 } };
 
+/// Indexed by `StateGauge`.
 constexpr std::array<NamedMetric, 8> gaugeNames { {
     { "lanemoor_ready", "1 while callers may be sent here." },
     { "lanemoor_configuration_revision", "Revision of the configuration in force." },
--- a/src/decisions/controller.cpp
+++ b/src/decisions/controller.cpp
@@ -107,7 +107,7 @@
 
 /// Inputs and output of the functions that issue grants.
 struct GrantStep {
-    const FleetView& view; ///< Its ledger includes the changes made so far in this step.
+    const FleetView& view; ///< Its ledger includes the moves of this step, but not its new grants.
     const FleetIndex& index;
     DisruptionGuard& guard;
     GrantWriter& writer;
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int spare = -1;
-/// Cost of one move; larger than all tie-breaks of a chain together.
+/// Cost of one move; larger than the sum of all tie-breaking costs of a chain.
 constexpr std::int64_t moveCost = 1'000'000;
 /// Additional cost per long session of the moved instance.
 constexpr std::int64_t sessionCost = 100;
@@ -25,8 +25,8 @@
 constexpr std::int64_t infiniteCost = std::numeric_limits<std::int64_t>::max();
 /// How long a failed member may take to return before it is replaced.
 constexpr Millis replacementDelay = std::chrono::seconds(60);
-/// Max number of plans, each without the pools whose budgets refused moves of the previous
-/// ones, before instances are taken from the spare set only.
+/// Planning attempts before instances are taken from the spare set only. Each attempt takes no
+/// instances from the pools whose budgets refused moves of earlier attempts.
 constexpr int maxPlanAttempts = 8;
 
 /// State of a pool during planning.
--- a/src/decisions/pool_sizing.cpp
+++ b/src/decisions/pool_sizing.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// \returns The number of instances that fit with at most `perDomain` in one domain.
 std::uint64_t placeable(const std::vector<std::uint32_t>& domains, std::uint32_t perDomain)
 {
     std::uint64_t total = 0;
--- a/src/decisions/wave.cpp
+++ b/src/decisions/wave.cpp
@@ -12,7 +12,7 @@
 
 using Days = std::chrono::duration<std::int64_t, std::ratio<86400>>;
 
-/// An instance becomes due when this fraction (1/7) of its period is left.
+/// An instance becomes due when 1 / `leadDivisor` of its period is left.
 constexpr std::int64_t leadDivisor = 7;
 
 /// One in this many spare instances stays available for replacements and loans.
@@ -78,7 +78,8 @@
     return work;
 }
 
-/// Takes members until the guard refuses, those of the largest domain in service first.
+/// Selects eligible members until the guard refuses one. Members of the failure domain with
+/// the most instances in service come first.
 void takeFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& taken)
 {
     while (!work.eligible.empty()) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Distributes free instances as loans to the pools that have work.
+/// Distributes free instances as loans to the pools that have eligible members.
 class LoanPlan {
 public:
     LoanPlan(const FleetView& view, const FleetIndex& index, const FleetWork& work)
@@ -117,7 +118,7 @@
     {
         for (Loan& loan : m_loans)
             addInstance(loan);
-        // Members beyond a pool's target are used up before more are lent.
+        // Members that a pool already has beyond its target are assigned before more are lent.
         while (Loan* loan = findBestLoan(true))
             addInstance(*loan);
         while (Loan* loan = findBestLoan(false))
@@ -165,7 +166,7 @@
     std::vector<Loan> m_loans;
 };
 
-/// Limits the spare instances that are taken in this step.
+/// Limits the eligible spare instances of this step so that the reserve stays in service.
 void limitSpares(PoolWork& spares)
 {
     const std::uint32_t reserved = (spares.serving + spares.underWay) / spareReserveDivisor;
--- a/src/serve/process/background.cpp
+++ b/src/serve/process/background.cpp
@@ -127,7 +127,7 @@
         return;
     }
     // The store is unreachable. Another instance can have acquired the shard only if a peer
-    // has reached the store since the lease expired.
+    // has reached the store since the lease expired. Otherwise the shard is kept.
     m_state.metrics().count(EventCounter::StoreFaults);
     if (currentInstant() >= m_lease.expiresAt && m_state.storeReachedByAnyAt() > m_lease.expiresAt)
         dropShard("cut off from the store");
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -35,7 +35,7 @@
     return options;
 }
 
-/// Blocks the signals that request a planned stop in all threads. \returns Them, for `sigwait`.
+/// Blocks the signals that request a planned stop in all threads. \returns The signals, for `sigwait`.
 sigset_t blockStopSignals()
 {
     std::signal(SIGPIPE, SIG_IGN);
--- a/src/serve/process/operator_handler.cpp
+++ b/src/serve/process/operator_handler.cpp
@@ -96,7 +96,7 @@
     const std::string wanted = "Bearer " + token;
     if (!given || given->size() != wanted.size())
         return false;
-    // Compares in constant time.
+    // Compares in constant time, so that the duration reveals no byte of the token.
     unsigned difference = 0;
     for (std::size_t i = 0; i < wanted.size(); ++i)
         difference |= static_cast<unsigned char>(wanted[i]) ^ static_cast<unsigned char>((*given)[i]);
--- a/src/serve/process/order_claims.cpp
+++ b/src/serve/process/order_claims.cpp
@@ -13,7 +13,7 @@
 constexpr std::array<std::string_view, 3> stateNames { "claimed", "ran", "not-run" };
 /// Attempts to read back a write whose answer was lost.
 constexpr int readBackAttempts = 3;
-/// Max queued endings. Above it the oldest is dropped, which leaves its outcome unknown.
+/// Max queued claim endings. When the queue is full the oldest is dropped, and its outcome stays unknown.
 constexpr std::size_t maxEndings = 10'000;
 constexpr Millis endingRetryDelay { 1'000 };
 constexpr int endingAttempts = 5;
--- a/src/serve/process/peer_link.cpp
+++ b/src/serve/process/peer_link.cpp
@@ -17,6 +17,7 @@
 namespace {
 
 constexpr Millis sendInterval { 500 };
+/// A peer counts as reporting for this long after its last message.
 constexpr Millis reportValidity { 3'000 };
 /// A peer without messages for this long is removed, unless the settings name it.
 constexpr Millis peerRemovalTimeout { 60'000 };
--- a/src/state/json_document.cpp
+++ b/src/state/json_document.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Max nesting depth of documents.
+/// Documents with deeper nesting are refused.
 constexpr std::size_t maxNestingDepth = 32;
 
 /// Iterator that counts the bytes read, so that a SAX handler can derive positions.
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -45,7 +45,7 @@
 {
     SmallCluster cluster(2, 2, 1);
     cluster.setFaults(R"({"answersToLose":1})");
-    // The lost answer may belong to a lease or ledger call instead; the change is accepted either way.
+    // The lost answer may be that of a lease or ledger call; the change is accepted either way.
     const Answer answer = change(cluster, "a", 0, "\"1\"");
     CHECK(answer.response.status == 200);
     CHECK(answer.response.headers.find("ETag") == "\"2\"");
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -78,7 +78,7 @@
     /// \returns Whether every entry is ready and reports `members` instances of `pool` in service.
     [[nodiscard]] bool poolHas(const std::string& pool, unsigned members);
 
-    /// \brief Sets the platform's faults; `{}` clears them.
+    /// \brief Sets the faults that the stand-in of the platform injects; `{}` clears them.
     void setFaults(const std::string& json);
 
     [[nodiscard]] Entry& entry(const std::string& name) { return m_entries.at(name); }
--- a/tests/support/control_loop.h
+++ b/tests/support/control_loop.h
@@ -20,8 +20,8 @@
     /// \returns The stored ledger, or nothing while the store is unavailable.
     [[nodiscard]] std::optional<Ledger> read() const;
 
-    /// \returns Whether the write was acknowledged. If the response is lost, false although
-    /// the write took effect.
+    /// \returns Whether the write was acknowledged; false also if it took effect and its
+    /// response is lost.
     bool write(const Ledger& next);
 
     void setUnavailable(bool unavailable) noexcept { m_unavailable = unavailable; }
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Adds a second holder, kills the holder, or freezes it with a plan that it writes later.
+    /// Adds a holder, or kills the oldest one, or freezes it with a plan that it writes later.
     void replaceHolder()
     {
         if (randomBelow(3) == 0 && m_holders.size() < 3) {
