--- a/include/lanemoor/decisions/fleet_index.h
+++ b/include/lanemoor/decisions/fleet_index.h
@@ -21,12 +21,12 @@
     DomainIndex(const Instances& instances, FailureDomain kind);
 
     /// \returns The domain number of instance number `instance`.
-    [[nodiscard]] std::size_t of(std::size_t instance) const { return m_of[instance]; }
+    [[nodiscard]] std::size_t of(std::size_t instance) const { return m_domainNumbers[instance]; }
 
     [[nodiscard]] std::size_t count() const noexcept { return m_count; }
 
 private:
-    std::vector<std::size_t> m_of;
+    std::vector<std::size_t> m_domainNumbers;
     std::size_t m_count = 0;
 };
 
--- a/include/lanemoor/decisions/membership.h
+++ b/include/lanemoor/decisions/membership.h
@@ -22,7 +22,7 @@
 
 /// A condition of a pool that is reported to operators.
 enum class PoolConditionCode {
-    BudgetNeverHolds, ///< No placement of the matching instances meets the budget.
+    BudgetInfeasible, ///< No placement of the matching instances meets the budget.
     TooFewInstances, ///< The instances that the pool needs are in other pools.
     AwaitingReplacement, ///< Members that no longer match stay until the budget permits their removal.
     WaveStalled, ///< Instances are due for maintenance and no spare can be lent.
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -62,7 +62,7 @@
     AdmissionQueue m_queue;
     std::map<std::uint64_t, Waiter*> m_waiters;
     std::uint64_t m_nextTicket = 1;
-    std::uint64_t m_turn = 0;
+    std::uint64_t m_nextRotation = 0;
 };
 
 } // namespace lanemoor
--- a/src/client/command_line.cpp
+++ b/src/client/command_line.cpp
@@ -66,8 +66,8 @@
 /// Prints an answer as text or JSON. \returns Refused for an error status.
 ExitCode printResponse(const Invocation& invocation, const HttpResponse& response, const std::function<std::string(const std::string&)>& asText)
 {
-    constexpr unsigned firstFailure = 300;
-    if (response.status >= firstFailure) {
+    constexpr unsigned firstErrorStatus = 300;
+    if (response.status >= firstErrorStatus) {
         if (invocation.asJson)
             std::cout << response.body << '\n';
         return printError(problemText(response.body));
@@ -335,7 +335,7 @@
     return invocation;
 }
 
-ExitCode runNamed(int count, char** arguments)
+ExitCode runNamedCommand(int count, char** arguments)
 {
     const std::string_view name = count > 1 ? arguments[1] : "";
     if (name == "--version") {
@@ -361,7 +361,7 @@
 
 int runCommandLine(int count, char** arguments)
 {
-    return static_cast<int>(runNamed(count, arguments));
+    return static_cast<int>(runNamedCommand(count, arguments));
 }
 
 } // namespace lanemoor
--- a/src/decisions/controller.cpp
+++ b/src/decisions/controller.cpp
@@ -135,8 +135,8 @@
     auto quarantined = static_cast<std::size_t>(std::count_if(view.ledger.entries.begin(), view.ledger.entries.end(), inQuarantine));
     const std::size_t maxQuarantined = std::max<std::size_t>(1, view.instances.size() / quarantineDivisor);
     for (const Instance& instance : view.instances) {
-        const bool isLasting = instance.unhealthySince && view.now >= *instance.unhealthySince + quarantineAfter;
-        if (!instance.failing || instance.state != InstanceState::Live || !isLasting || quarantined >= maxQuarantined)
+        const bool failsLongEnough = instance.unhealthySince && view.now >= *instance.unhealthySince + quarantineAfter;
+        if (!instance.failing || instance.state != InstanceState::Live || !failsLongEnough || quarantined >= maxQuarantined)
             continue;
         if (step.guard.refusalFor(instance.id))
             continue;
@@ -162,8 +162,8 @@
         return ActionKind::Drain;
     if (grant.phase == GrantPhase::Rebooting && instance.bootId == grant.bootIdBefore)
         return ActionKind::Reboot;
-    const bool isLifted = grant.phase == GrantPhase::Held && instance.drained && !isDrainRequested(view.configuration, entry.instance);
-    return isLifted ? std::optional(ActionKind::Undrain) : std::nullopt;
+    const bool isDrainWithdrawn = grant.phase == GrantPhase::Held && instance.drained && !isDrainRequested(view.configuration, entry.instance);
+    return isDrainWithdrawn ? std::optional(ActionKind::Undrain) : std::nullopt;
 }
 
 } // namespace
--- a/src/decisions/disruption_guard.cpp
+++ b/src/decisions/disruption_guard.cpp
@@ -71,7 +71,7 @@
         : m_instances(view.instances)
         , m_ledger(view.ledger)
         , m_index(index)
-        , m_taken(view.instances.size())
+        , m_markedOutOfService(view.instances.size())
     {
         for (std::size_t pool = 0; pool < view.configuration.pools.size(); ++pool)
             m_pools.emplace_back(view.configuration.pools[pool].budget, index.domains(pool));
@@ -89,7 +89,7 @@
         if (!entry || !instance)
             return DisruptionRefusal::UnknownInstance;
         const std::size_t number = numberOf(*instance);
-        if (entry->grant || m_taken[number])
+        if (entry->grant || m_markedOutOfService[number])
             return DisruptionRefusal::AlreadyGranted;
         const std::optional<std::size_t> pool = m_index.poolNumber(entry->pool);
         if (!pool || !isInService(*entry, instance))
@@ -105,9 +105,9 @@
     {
         const LedgerEntry* entry = m_ledger.find(id);
         const Instance* instance = findInstance(m_instances, id);
-        if (!entry || !instance || m_taken[numberOf(*instance)])
+        if (!entry || !instance || m_markedOutOfService[numberOf(*instance)])
             return;
-        m_taken[numberOf(*instance)] = true;
+        m_markedOutOfService[numberOf(*instance)] = true;
         const std::optional<std::size_t> pool = m_index.poolNumber(entry->pool);
         if (pool && isInService(*entry, instance))
             m_pools[*pool].remove(numberOf(*instance));
@@ -129,7 +129,7 @@
     const Ledger& m_ledger;
     const FleetIndex& m_index;
     std::vector<ServingMembers> m_pools;
-    std::vector<bool> m_taken; ///< By instance.
+    std::vector<bool> m_markedOutOfService; ///< By instance.
 };
 
 DisruptionGuard::DisruptionGuard(const FleetView& view, const FleetIndex& index)
--- a/src/decisions/fleet_index.cpp
+++ b/src/decisions/fleet_index.cpp
@@ -30,9 +30,9 @@
 DomainIndex::DomainIndex(const Instances& instances, FailureDomain kind)
 {
     std::unordered_map<std::string_view, std::size_t> numbers;
-    m_of.reserve(instances.size());
+    m_domainNumbers.reserve(instances.size());
     for (const Instance& instance : instances)
-        m_of.push_back(numbers.emplace(domainOf(instance, kind), numbers.size()).first->second);
+        m_domainNumbers.push_back(numbers.emplace(domainOf(instance, kind), numbers.size()).first->second);
     m_count = numbers.size();
 }
 
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -271,8 +271,8 @@
         const int donor = m_instances[i].currentPool;
         if (donor == pool || !canGiveInstances(donor) || !hasRoom(pool, i, label))
             continue;
-        const std::int64_t spread = recipient.members[recipient.domains->of(i)];
-        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, donor) + spread;
+        const std::int64_t spreadCost = recipient.members[recipient.domains->of(i)];
+        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, donor) + spreadCost;
         std::int64_t endCost = cost;
         if (endsChain(i, start, endCost)) {
             if (endCost < best.cost)
@@ -373,7 +373,7 @@
         const PoolState& state = m_pools[static_cast<std::size_t>(pool)];
         if (state.effective >= state.size.target)
             continue;
-        const auto code = state.size.feasible ? PoolConditionCode::TooFewInstances : PoolConditionCode::BudgetNeverHolds;
+        const auto code = state.size.feasible ? PoolConditionCode::TooFewInstances : PoolConditionCode::BudgetInfeasible;
         m_conditions.push_back({ .pool = pools[static_cast<std::size_t>(pool)].name, .code = code, .instances = state.size.target - state.effective });
     }
 }
@@ -451,7 +451,7 @@
 std::string_view describe(PoolConditionCode code) noexcept
 {
     switch (code) {
-    case PoolConditionCode::BudgetNeverHolds:
+    case PoolConditionCode::BudgetInfeasible:
         return "the matching instances can never hold the availability budget";
     case PoolConditionCode::TooFewInstances:
         return "too few free instances match the selector";
--- a/src/decisions/pool_sizing.cpp
+++ b/src/decisions/pool_sizing.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// \returns The number of instances that fit with at most `perDomain` in one domain.
-std::uint64_t placeable(const std::vector<std::uint32_t>& domains, std::uint32_t perDomain)
+std::uint64_t countPlaceable(const std::vector<std::uint32_t>& domains, std::uint32_t perDomain)
 {
     std::uint64_t total = 0;
     for (const std::uint32_t size : domains)
@@ -24,9 +24,9 @@
     const bool mustSurvive = pool.budget.survives != FailureDomain::None && minimum > 0;
 
     std::uint32_t loss = mustSurvive ? 1 : 0;
-    bool feasible = !mustSurvive && placeable(domains, largest) >= minimum;
+    bool feasible = !mustSurvive && countPlaceable(domains, largest) >= minimum;
     while (mustSurvive && !feasible && loss <= largest) {
-        feasible = placeable(domains, loss) >= std::uint64_t { minimum } + loss;
+        feasible = countPlaceable(domains, loss) >= std::uint64_t { minimum } + loss;
         if (!feasible)
             ++loss;
     }
--- a/src/decisions/wave.cpp
+++ b/src/decisions/wave.cpp
@@ -80,7 +80,7 @@
 
 /// Selects eligible members until the guard refuses one. Members of the failure domain with
 /// the most instances in service come first.
-void takeFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& taken)
+void selectFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& selected)
 {
     while (!work.eligible.empty()) {
         const auto fewer = [&](const DueMember& a, const DueMember& b) { return work.inService.at(a.domain) < work.inService.at(b.domain); };
@@ -88,7 +88,7 @@
         if (guard.refusalFor(best->id))
             return;
         guard.markOutOfService(best->id);
-        taken.emplace_back(best->id);
+        selected.emplace_back(best->id);
         --work.inService.at(best->domain);
         work.eligible.erase(best);
     }
@@ -150,11 +150,11 @@
         ++loan.instances;
     }
 
-    [[nodiscard]] Loan* findBestLoan(bool isAlreadyHeld) noexcept
+    [[nodiscard]] Loan* findBestLoan(bool fromSurplus) noexcept
     {
         Loan* best = nullptr;
         for (Loan& loan : m_loans) {
-            const bool isWorthwhile = isAlreadyHeld ? loan.instances < loan.surplus && loan.roundsSaved() > 0 : loan.roundsSaved() >= m_minRoundsSaved;
+            const bool isWorthwhile = fromSurplus ? loan.instances < loan.surplus && loan.roundsSaved() > 0 : loan.roundsSaved() >= m_minRoundsSaved;
             if (m_free > 0 && isWorthwhile && (!best || loan.roundsSaved() > best->roundsSaved()))
                 best = &loan;
         }
@@ -170,9 +170,9 @@
 void limitSpares(PoolWork& spares)
 {
     const std::uint32_t reserved = (spares.serving + spares.underWay) / spareReserveDivisor;
-    const std::uint32_t maxTaken = spares.serving > reserved ? spares.serving - reserved : 0;
-    if (spares.eligible.size() > maxTaken)
-        spares.eligible.resize(maxTaken);
+    const std::uint32_t maxSelected = spares.serving > reserved ? spares.serving - reserved : 0;
+    if (spares.eligible.size() > maxSelected)
+        spares.eligible.resize(maxSelected);
 }
 
 } // namespace
@@ -215,12 +215,12 @@
 std::vector<std::string> WavePlanner::next(const FleetView& view, const FleetIndex& index, DisruptionGuard& guard) const
 {
     FleetWork work = collectWork(view, index);
-    std::vector<std::string> taken;
+    std::vector<std::string> selected;
     limitSpares(work.spares);
-    takeFromPool(work.spares, guard, taken);
+    selectFromPool(work.spares, guard, selected);
     for (PoolWork& pool : work.pools)
-        takeFromPool(pool, guard, taken);
-    return taken;
+        selectFromPool(pool, guard, selected);
+    return selected;
 }
 
 } // namespace lanemoor
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -195,7 +195,7 @@
             if (bytes < 0)
                 return reader.headSeen() ? ExchangeFault::AnswerCut : ExchangeFault::ClosedBeforeAnswer;
             if (bytes == 0)
-                return atClose(reader);
+                return faultAtClose(reader);
             const ReadState state = reader.consume(std::string_view(buffer.data(), static_cast<std::size_t>(bytes)));
             if (state == ReadState::Complete)
                 return ExchangeFault::None;
@@ -206,7 +206,7 @@
         }
     }
 
-    [[nodiscard]] static ExchangeFault atClose(ResponseReader& reader)
+    [[nodiscard]] static ExchangeFault faultAtClose(ResponseReader& reader)
     {
         if (reader.finishAtClose() == ReadState::Complete)
             return ExchangeFault::None;
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -76,7 +76,7 @@
     std::vector<std::thread> m_threads;
 };
 
-void waitForEnd(SharedState& state, const FrontHandler& front)
+void shutDownGracefully(SharedState& state, const FrontHandler& front)
 {
     state.stop();
     state.log().change("stopping");
@@ -118,7 +118,7 @@
         log.change("listening", { { "front", std::int64_t { frontServer.port() } }, { "operators", std::int64_t { operatorServer.port() } }, { "peer", peers.address() } });
         int signal = 0;
         sigwait(&signals, &signal);
-        waitForEnd(state, front);
+        shutDownGracefully(state, front);
     } catch (const std::exception& error) {
         log.change("cannot-start", { { "reason", std::string(error.what()) } });
         return 1;
--- a/src/serve/process/operator_handler.cpp
+++ b/src/serve/process/operator_handler.cpp
@@ -93,13 +93,13 @@
     if (token.empty())
         return true;
     const std::optional<std::string_view> given = request.headers.find("Authorization");
-    const std::string wanted = "Bearer " + token;
-    if (!given || given->size() != wanted.size())
+    const std::string expected = "Bearer " + token;
+    if (!given || given->size() != expected.size())
         return false;
     // Compares in constant time, so that the duration reveals no byte of the token.
     unsigned difference = 0;
-    for (std::size_t i = 0; i < wanted.size(); ++i)
-        difference |= static_cast<unsigned char>(wanted[i]) ^ static_cast<unsigned char>((*given)[i]);
+    for (std::size_t i = 0; i < expected.size(); ++i)
+        difference |= static_cast<unsigned char>(expected[i]) ^ static_cast<unsigned char>((*given)[i]);
     return difference == 0;
 }
 
@@ -172,11 +172,11 @@
         return editConfiguration([](Configuration& configuration) { configuration.maintenance.waveRequestedAt = currentInstant(); });
     constexpr std::string_view drainSuffix = "/drain";
     constexpr std::string_view undrainSuffix = "/undrain";
-    const std::string_view rest = path.substr(0, instancesPrefix.size()) == instancesPrefix ? path.substr(instancesPrefix.size()) : std::string_view();
-    if (request.method == "POST" && rest.ends_with(undrainSuffix))
-        return changeDrain(rest.substr(0, rest.size() - undrainSuffix.size()), false);
-    if (request.method == "POST" && rest.ends_with(drainSuffix))
-        return changeDrain(rest.substr(0, rest.size() - drainSuffix.size()), true);
+    const std::string_view afterPrefix = path.substr(0, instancesPrefix.size()) == instancesPrefix ? path.substr(instancesPrefix.size()) : std::string_view();
+    if (request.method == "POST" && afterPrefix.ends_with(undrainSuffix))
+        return changeDrain(afterPrefix.substr(0, afterPrefix.size() - undrainSuffix.size()), false);
+    if (request.method == "POST" && afterPrefix.ends_with(drainSuffix))
+        return changeDrain(afterPrefix.substr(0, afterPrefix.size() - drainSuffix.size()), true);
     return problemAnswer(404, "unknown-path", "no such path");
 }
 
--- a/src/serve/process/peer_link.cpp
+++ b/src/serve/process/peer_link.cpp
@@ -159,11 +159,11 @@
         const bool readable = state.ParseFromArray(message.data(), static_cast<int>(message.size())) && isPeerAddress(state.peer_address()) && !state.entry().empty();
         m_state.metrics().count(readable ? EventCounter::PeerMessagesReceived : EventCounter::PeerMessagesBad);
         if (readable)
-            accept(state);
+            acceptReport(state);
         return true;
     }
 
-    void accept(const wire::PeerState& state)
+    void acceptReport(const wire::PeerState& state)
     {
         addPeer(state.peer_address(), false);
         const auto known = m_peers.find(state.peer_address());
--- a/src/serve/process/pool_gate.cpp
+++ b/src/serve/process/pool_gate.cpp
@@ -81,12 +81,12 @@
             .tried = tried.endpoints.contains(route.endpoint->id()),
         });
     }
-    std::uint64_t turn = 0;
+    std::uint64_t rotation = 0;
     {
         const std::lock_guard lock(m_mutex);
-        turn = m_turn++;
+        rotation = m_nextRotation++;
     }
-    while (const std::optional<std::size_t> chosen = chooseEndpoint(candidates, turn)) {
+    while (const std::optional<std::size_t> chosen = chooseEndpoint(candidates, rotation)) {
         const Route& route = routes.routes[*chosen];
         if (route.endpoint->acquireSlot(route.slots))
             return &route;
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -267,8 +267,8 @@
         const std::vector<std::string> ejected = m_state.endpoints().ejected(routes.members);
         const Route* best = nullptr;
         for (const Route& route : routes.routes) {
-            const bool out = std::find(ejected.begin(), ejected.end(), route.endpoint->id()) != ejected.end();
-            if (!out && (!best || route.endpoint->listeners() < best->endpoint->listeners()))
+            const bool isEjected = std::find(ejected.begin(), ejected.end(), route.endpoint->id()) != ejected.end();
+            if (!isEjected && (!best || route.endpoint->listeners() < best->endpoint->listeners()))
                 best = &route;
         }
         return best && best->endpoint->acquireListener(best->listeners) ? best : nullptr;
--- a/src/state/json_document.cpp
+++ b/src/state/json_document.cpp
@@ -83,17 +83,17 @@
     {
     }
 
-    bool null() override { return scalar(); }
-    bool boolean(bool) override { return scalar(); }
-    bool number_integer(number_integer_t) override { return scalar(); }
-    bool number_unsigned(number_unsigned_t) override { return scalar(); }
-    bool number_float(number_float_t, const string_t&) override { return scalar(); }
-    bool string(string_t&) override { return scalar(); }
-    bool binary(binary_t&) override { return scalar(); }
-    bool start_object(std::size_t) override { return open(false); }
-    bool start_array(std::size_t) override { return open(true); }
-    bool end_object() override { return close(); }
-    bool end_array() override { return close(); }
+    bool null() override { return recordScalar(); }
+    bool boolean(bool) override { return recordScalar(); }
+    bool number_integer(number_integer_t) override { return recordScalar(); }
+    bool number_unsigned(number_unsigned_t) override { return recordScalar(); }
+    bool number_float(number_float_t, const string_t&) override { return recordScalar(); }
+    bool string(string_t&) override { return recordScalar(); }
+    bool binary(binary_t&) override { return recordScalar(); }
+    bool start_object(std::size_t) override { return openContainer(false); }
+    bool start_array(std::size_t) override { return openContainer(true); }
+    bool end_object() override { return closeContainer(); }
+    bool end_array() override { return closeContainer(); }
 
     bool key(string_t& name) override
     {
@@ -136,15 +136,15 @@
         return pointer;
     }
 
-    bool scalar()
+    bool recordScalar()
     {
         m_offsets.emplace(currentPointer(), tokenStart());
         m_tokenEnd = m_offset;
-        next();
+        advanceIndex();
         return true;
     }
 
-    bool open(bool isArray)
+    bool openContainer(bool isArray)
     {
         m_offsets.emplace(currentPointer(), tokenStart());
         m_tokenEnd = m_offset;
@@ -156,15 +156,15 @@
         return true;
     }
 
-    bool close()
+    bool closeContainer()
     {
         m_tokenEnd = m_offset;
         m_levels.pop_back();
-        next();
+        advanceIndex();
         return true;
     }
 
-    void next()
+    void advanceIndex()
     {
         if (!m_levels.empty())
             ++m_levels.back().index;
@@ -298,8 +298,8 @@
         fault(DocumentFaultCode::WrongType, name, "a whole number is expected");
         return std::nullopt;
     }
-    const bool beyondSigned = value->is_number_unsigned() && value->get<std::uint64_t>() > static_cast<std::uint64_t>(maxValue);
-    if (beyondSigned || value->get<std::int64_t>() < minValue || value->get<std::int64_t>() > maxValue) {
+    const bool exceedsMaximum = value->is_number_unsigned() && value->get<std::uint64_t>() > static_cast<std::uint64_t>(maxValue);
+    if (exceedsMaximum || value->get<std::int64_t>() < minValue || value->get<std::int64_t>() > maxValue) {
         fault(DocumentFaultCode::OutOfRange, name, std::to_string(minValue) + " to " + std::to_string(maxValue));
         return std::nullopt;
     }
--- a/src/state/settings.cpp
+++ b/src/state/settings.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t maxCount = 100'000;
 constexpr std::int64_t maxMilliseconds = 24LL * 60 * 60 * 1'000;
 
-bool isIpNumber(const std::string& text)
+bool isIpv4Address(const std::string& text)
 {
     in_addr number {};
     return inet_pton(AF_INET, text.c_str(), &number) == 1;
@@ -26,7 +26,7 @@
     const std::optional<std::string> text = reader.string("ip", required);
     if (!text)
         return;
-    if (!isIpNumber(*text))
+    if (!isIpv4Address(*text))
         reader.fault(DocumentFaultCode::BadValue, "ip", "an IP number such as 10.0.0.1");
     ip = *text;
 }
--- a/src/state/time_text.cpp
+++ b/src/state/time_text.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t minutesPerHour = 60;
 constexpr std::uint32_t minutesPerDay = 24 * minutesPerHour;
 
-std::optional<int> takeNumber(std::string_view& text, std::size_t digits, int minValue, int maxValue)
+std::optional<int> consumeNumber(std::string_view& text, std::size_t digits, int minValue, int maxValue)
 {
     if (text.size() < digits)
         return std::nullopt;
@@ -28,7 +28,7 @@
     return number;
 }
 
-bool takeByte(std::string_view& text, char byte)
+bool consumeByte(std::string_view& text, char byte)
 {
     if (text.empty() || text.front() != byte)
         return false;
@@ -37,9 +37,9 @@
 }
 
 /// Parses an optional fraction such as `.123` as milliseconds and ignores further digits.
-std::optional<int> takeFraction(std::string_view& text)
+std::optional<int> consumeFraction(std::string_view& text)
 {
-    if (!takeByte(text, '.'))
+    if (!consumeByte(text, '.'))
         return 0;
     int milliseconds = 0;
     int weight = 100;
@@ -73,21 +73,21 @@
 
 std::optional<Instant> parseInstant(std::string_view text)
 {
-    const std::optional<int> year = takeNumber(text, 4, 1970, 9999);
-    const bool dash1 = takeByte(text, '-');
-    const std::optional<int> month = takeNumber(text, 2, 1, 12);
-    const bool dash2 = takeByte(text, '-');
-    const std::optional<int> day = takeNumber(text, 2, 1, 31);
-    const bool separator = takeByte(text, 'T') || takeByte(text, 't');
-    const std::optional<int> hour = takeNumber(text, 2, 0, 23);
-    const bool colon1 = takeByte(text, ':');
-    const std::optional<int> minute = takeNumber(text, 2, 0, 59);
-    const bool colon2 = takeByte(text, ':');
-    const std::optional<int> second = takeNumber(text, 2, 0, 59);
+    const std::optional<int> year = consumeNumber(text, 4, 1970, 9999);
+    const bool dash1 = consumeByte(text, '-');
+    const std::optional<int> month = consumeNumber(text, 2, 1, 12);
+    const bool dash2 = consumeByte(text, '-');
+    const std::optional<int> day = consumeNumber(text, 2, 1, 31);
+    const bool separator = consumeByte(text, 'T') || consumeByte(text, 't');
+    const std::optional<int> hour = consumeNumber(text, 2, 0, 23);
+    const bool colon1 = consumeByte(text, ':');
+    const std::optional<int> minute = consumeNumber(text, 2, 0, 59);
+    const bool colon2 = consumeByte(text, ':');
+    const std::optional<int> second = consumeNumber(text, 2, 0, 59);
     if (!year || !dash1 || !month || !dash2 || !day || !separator || !hour || !colon1 || !minute || !colon2 || !second)
         return std::nullopt;
-    const std::optional<int> fraction = takeFraction(text);
-    const bool zone = takeByte(text, 'Z') || takeByte(text, 'z');
+    const std::optional<int> fraction = consumeFraction(text);
+    const bool zone = consumeByte(text, 'Z') || consumeByte(text, 'z');
     if (!fraction || !zone || !text.empty())
         return std::nullopt;
     const std::chrono::year_month_day date { std::chrono::year(*year), std::chrono::month(static_cast<unsigned>(*month)), std::chrono::day(static_cast<unsigned>(*day)) };
@@ -103,11 +103,11 @@
         if (text.substr(0, dayNames[day].size()) != dayNames[day])
             continue;
         text.remove_prefix(dayNames[day].size());
-        if (!takeByte(text, ' '))
+        if (!consumeByte(text, ' '))
             return std::nullopt;
-        const std::optional<int> hour = takeNumber(text, 2, 0, 23);
-        const bool colon = takeByte(text, ':');
-        const std::optional<int> minute = takeNumber(text, 2, 0, 59);
+        const std::optional<int> hour = consumeNumber(text, 2, 0, 23);
+        const bool colon = consumeByte(text, ':');
+        const std::optional<int> minute = consumeNumber(text, 2, 0, 59);
         if (!hour || !colon || !minute || !text.empty())
             return std::nullopt;
         return static_cast<std::uint32_t>(day) * minutesPerDay + static_cast<std::uint32_t>(*hour) * minutesPerHour + static_cast<std::uint32_t>(*minute);
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -61,14 +61,14 @@
 
 void ChildProcess::readOutput()
 {
-    std::string rest;
+    std::string partialLine;
     std::array<char, 4096> buffer {};
     ssize_t bytes = 0;
     while ((bytes = ::read(m_output, buffer.data(), buffer.size())) > 0) {
-        rest.append(buffer.data(), static_cast<std::size_t>(bytes));
-        for (std::size_t end = 0; (end = rest.find('\n')) != std::string::npos; rest.erase(0, end + 1)) {
+        partialLine.append(buffer.data(), static_cast<std::size_t>(bytes));
+        for (std::size_t end = 0; (end = partialLine.find('\n')) != std::string::npos; partialLine.erase(0, end + 1)) {
             const std::lock_guard lock(m_mutex);
-            m_lines.push_back(rest.substr(0, end));
+            m_lines.push_back(partialLine.substr(0, end));
             m_changed.notify_all();
         }
     }
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -121,7 +121,7 @@
         old->decide(m_store, m_configuration, m_fleet);
         m_result.moves += old->acceptedMoves();
         if (randomBelow(2) == 0)
-            m_excludedDonors.emplace_back(m_step + 1 + static_cast<std::uint32_t>(randomBelow(maxFreezeSteps)), std::move(old));
+            m_frozenHolders.emplace_back(m_step + 1 + static_cast<std::uint32_t>(randomBelow(maxFreezeSteps)), std::move(old));
         if (m_holders.empty())
             startHolder();
     }
@@ -158,7 +158,7 @@
                 m_fleet.recover(pending.failedName);
             return true;
         });
-        std::erase_if(m_excludedDonors, [&](auto& frozen) {
+        std::erase_if(m_frozenHolders, [&](auto& frozen) {
             if (m_step < frozen.first)
                 return false;
             writeAndPerform(*frozen.second);
@@ -219,7 +219,7 @@
     FakeLedgerStore m_store;
     std::mt19937_64 m_random;
     std::vector<std::unique_ptr<FakeHolder>> m_holders;
-    std::vector<std::pair<std::uint32_t, std::unique_ptr<FakeHolder>>> m_excludedDonors;
+    std::vector<std::pair<std::uint32_t, std::unique_ptr<FakeHolder>>> m_frozenHolders;
     std::vector<TemporaryFailure> m_pending;
     BudgetInvariant m_invariant;
     RandomRunResult m_result;
--- a/tests/unit/decision_test.cpp
+++ b/tests/unit/decision_test.cpp
@@ -66,7 +66,7 @@
 {
     SmallFleet fleet(4);
     fleet.addPool("big", "role=worker", 9);
-    CHECK(fleet.plan().conditions == std::vector<PoolCondition> { { .pool = "big", .code = PoolConditionCode::BudgetNeverHolds, .instances = 6 } });
+    CHECK(fleet.plan().conditions == std::vector<PoolCondition> { { .pool = "big", .code = PoolConditionCode::BudgetInfeasible, .instances = 6 } });
     SmallFleet two(6);
     two.addPool("a", "role=worker", 4);
     two.addPool("b", "role=worker", 4);
