--- a/include/lanemoor/decisions/fleet_index.h
+++ b/include/lanemoor/decisions/fleet_index.h
@@ -21,12 +21,12 @@
     DomainIndex(const Instances& instances, FailureDomain kind);
 
     /// \returns The domain number of instance number `instance`.
-    [[nodiscard]] std::size_t of(std::size_t instance) const { return m_of[instance]; }
+    [[nodiscard]] std::size_t of(std::size_t instance) const { return m_domainNumbers[instance]; }
 
     [[nodiscard]] std::size_t count() const noexcept { return m_count; }
 
 private:
-    std::vector<std::size_t> m_of;
+    std::vector<std::size_t> m_domainNumbers;
     std::size_t m_count = 0;
 };
 
@@ -68,7 +68,8 @@
 };
 
 /// \brief Visits the ledger's entries together with the listed instances, both ordered by id.
-/// \param visit Called with the entry, the instance (null if not listed) and its number.
+/// \param visit Called with the entry, the instance (null if not listed) and its position in
+/// `instances`, which is valid only if the instance is listed.
 template <typename Visit>
 void forEachEntry(const Ledger& ledger, const Instances& instances, Visit&& visit)
 {
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int spare = -1;
-/// Cost of one move; larger than all tie-breaks of a chain together.
+/// Cost of one move; larger than the sum of all tie-breaking costs of a chain.
 constexpr std::int64_t moveCost = 1'000'000;
 /// Additional cost per long session of the moved instance.
 constexpr std::int64_t sessionCost = 100;
@@ -25,8 +25,8 @@
 constexpr std::int64_t infiniteCost = std::numeric_limits<std::int64_t>::max();
 /// How long a failed member may take to return before it is replaced.
 constexpr Millis replacementDelay = std::chrono::seconds(60);
-/// Max number of plans, each without the pools whose budgets refused moves of the previous
-/// ones, before instances are taken from the spare set only.
+/// Planning attempts before instances are taken from the spare set only. Each attempt takes no
+/// instances from the pools whose budgets refused moves of earlier attempts.
 constexpr int maxPlanAttempts = 8;
 
 /// State of a pool during planning.
@@ -271,8 +271,8 @@
         const int donor = m_instances[i].currentPool;
         if (donor == pool || !canGiveInstances(donor) || !hasRoom(pool, i, label))
             continue;
-        const std::int64_t spread = recipient.members[recipient.domains->of(i)];
-        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, donor) + spread;
+        const std::int64_t spreadCost = recipient.members[recipient.domains->of(i)];
+        std::int64_t cost = label.cost + costAt(i, pool) - costAt(i, donor) + spreadCost;
         std::int64_t endCost = cost;
         if (endsChain(i, start, endCost)) {
             if (endCost < best.cost)
@@ -373,7 +373,7 @@
         const PoolState& state = m_pools[static_cast<std::size_t>(pool)];
         if (state.effective >= state.size.target)
             continue;
-        const auto code = state.size.feasible ? PoolConditionCode::TooFewInstances : PoolConditionCode::BudgetNeverHolds;
+        const auto code = state.size.feasible ? PoolConditionCode::TooFewInstances : PoolConditionCode::BudgetInfeasible;
         m_conditions.push_back({ .pool = pools[static_cast<std::size_t>(pool)].name, .code = code, .instances = state.size.target - state.effective });
     }
 }
@@ -451,7 +451,7 @@
 std::string_view describe(PoolConditionCode code) noexcept
 {
     switch (code) {
-    case PoolConditionCode::BudgetNeverHolds:
+    case PoolConditionCode::BudgetInfeasible:
         return "the matching instances can never hold the availability budget";
     case PoolConditionCode::TooFewInstances:
         return "too few free instances match the selector";
--- a/src/decisions/wave.cpp
+++ b/src/decisions/wave.cpp
@@ -12,7 +12,7 @@
 
 using Days = std::chrono::duration<std::int64_t, std::ratio<86400>>;
 
-/// An instance becomes due when this fraction (1/7) of its period is left.
+/// An instance becomes due when 1 / `leadDivisor` of its period is left.
 constexpr std::int64_t leadDivisor = 7;
 
 /// One in this many spare instances stays available for replacements and loans.
@@ -78,8 +78,9 @@
     return work;
 }
 
-/// Takes members until the guard refuses, those of the largest domain in service first.
-void takeFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& taken)
+/// Selects eligible members until the guard refuses one. Members of the failure domain with
+/// the most instances in service come first.
+void selectFromPool(PoolWork& work, DisruptionGuard& guard, std::vector<std::string>& selected)
 {
     while (!work.eligible.empty()) {
         const auto fewer = [&](const DueMember& a, const DueMember& b) { return work.inService.at(a.domain) < work.inService.at(b.domain); };
@@ -87,13 +88,13 @@
         if (guard.refusalFor(best->id))
             return;
         guard.markOutOfService(best->id);
-        taken.emplace_back(best->id);
+        selected.emplace_back(best->id);
         --work.inService.at(best->domain);
         work.eligible.erase(best);
     }
 }
 
-/// Distributes free instances as loans to the pools that have work.
+/// Distributes free instances as loans to the pools that have eligible members.
 class LoanPlan {
 public:
     LoanPlan(const FleetView& view, const FleetIndex& index, const FleetWork& work)
@@ -117,7 +118,7 @@
     {
         for (Loan& loan : m_loans)
             addInstance(loan);
-        // Members beyond a pool's target are used up before more are lent.
+        // Members that a pool already has beyond its target are assigned before more are lent.
         while (Loan* loan = findBestLoan(true))
             addInstance(*loan);
         while (Loan* loan = findBestLoan(false))
@@ -149,11 +150,11 @@
         ++loan.instances;
     }
 
-    [[nodiscard]] Loan* findBestLoan(bool isAlreadyHeld) noexcept
+    [[nodiscard]] Loan* findBestLoan(bool fromSurplus) noexcept
     {
         Loan* best = nullptr;
         for (Loan& loan : m_loans) {
-            const bool isWorthwhile = isAlreadyHeld ? loan.instances < loan.surplus && loan.roundsSaved() > 0 : loan.roundsSaved() >= m_minRoundsSaved;
+            const bool isWorthwhile = fromSurplus ? loan.instances < loan.surplus && loan.roundsSaved() > 0 : loan.roundsSaved() >= m_minRoundsSaved;
             if (m_free > 0 && isWorthwhile && (!best || loan.roundsSaved() > best->roundsSaved()))
                 best = &loan;
         }
@@ -165,13 +166,13 @@
     std::vector<Loan> m_loans;
 };
 
-/// Limits the spare instances that are taken in this step.
+/// Limits the eligible spare instances of this step so that the reserve stays in service.
 void limitSpares(PoolWork& spares)
 {
     const std::uint32_t reserved = (spares.serving + spares.underWay) / spareReserveDivisor;
-    const std::uint32_t maxTaken = spares.serving > reserved ? spares.serving - reserved : 0;
-    if (spares.eligible.size() > maxTaken)
-        spares.eligible.resize(maxTaken);
+    const std::uint32_t maxSelected = spares.serving > reserved ? spares.serving - reserved : 0;
+    if (spares.eligible.size() > maxSelected)
+        spares.eligible.resize(maxSelected);
 }
 
 } // namespace
@@ -214,12 +215,12 @@
 std::vector<std::string> WavePlanner::next(const FleetView& view, const FleetIndex& index, DisruptionGuard& guard) const
 {
     FleetWork work = collectWork(view, index);
-    std::vector<std::string> taken;
+    std::vector<std::string> selected;
     limitSpares(work.spares);
-    takeFromPool(work.spares, guard, taken);
+    selectFromPool(work.spares, guard, selected);
     for (PoolWork& pool : work.pools)
-        takeFromPool(pool, guard, taken);
-    return taken;
+        selectFromPool(pool, guard, selected);
+    return selected;
 }
 
 } // namespace lanemoor
