--- a/bench/baselines.h
+++ b/bench/baselines.h
@@ -18,8 +18,8 @@
     Millis rollOut { 0 };
 };
 
-/// \brief Each pool keeps a spare for a whole failure domain, since all its members may be in
-/// one, and one more for maintenance; pools are maintained in parallel.
+/// \brief Each pool keeps spares for the loss of a whole failure domain, since all its members may
+/// be in one, and one more for maintenance; pools are maintained in parallel.
 [[nodiscard]] FixedSpare fixedSpareBaseline(const Configuration& configuration, const Instances& instances, Millis timePerInstance);
 
 } // namespace lanemoor::bench
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bytes and processor time of the state at a quarter of, to twice, the planned size, for
+/// Bytes and processor time of the state at 0.25 to 2 times the planned size, for
 /// docs/CAPACITY.md. Bytes don't depend on the machine. Exits non-zero if a bound is missed.
 
 #include "report.h"
@@ -27,7 +27,7 @@
 constexpr double changesPerDay = 1'100;
 /// Instances per day that fail, are restarted or replaced, and are maintained, at the planned size.
 constexpr double instanceEventsPerDay = 5 + 84 + 710.0 / 49;
-/// Ledger writes and list changes per instance event: granted, drained, rebooting, back.
+/// Ledger writes and list changes per instance event: grant, drain, reboot, return.
 constexpr double changesPerEvent = 4;
 constexpr double instanceBytesInList = 230; ///< Size of an instance in the stand-in's list.
 
--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -190,7 +190,7 @@
     }
 }
 
-/// Measures the processor time of one step amid a wave, and its growth with the fleet.
+/// Measures the processor time of one step during a wave, and its growth with the fleet.
 void measureCost(Report& report)
 {
     double previous = 0;
--- a/bench/evacuations.cpp
+++ b/bench/evacuations.cpp
@@ -1,4 +1,4 @@
-/// Time from an evacuation request to the last start in the data hall and until the hall is empty, on simulated store and workers.
+/// Time from an evacuation request to the last start in the data hall, and until the hall is empty, on a simulated store and workers.
 /// Usage: bench_evacuations [RUNS [FIRST-SEED [SCENARIO]]]
 
 #include "../tests/jobs/support.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t instances = 18; // Spread over three data halls round-robin.
+constexpr std::size_t instances = 18; // Assigned to three data halls round-robin.
 constexpr std::size_t reserve = 6; // Instances of the reserve pool.
 constexpr Millis tick { 5 };
 constexpr Millis jobInterval { 50 };
--- a/bench/job_owner.cpp
+++ b/bench/job_owner.cpp
@@ -1,5 +1,5 @@
-/// Processor time of a shard's owner on simulated store and workers, by the size of the fleet.
-/// The figures include the simulation, so that only the slope and its change are meaningful.
+/// Processor time of a shard's owner on a simulated store and workers, by the size of the fleet.
+/// The figures include the simulation, so that only their slope and its changes are meaningful.
 
 #include "../tests/jobs/support.h"
 
--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -1,4 +1,4 @@
-/// Cost of poison tasks to all other tasks, by the handling of worker crashes, on simulated store and workers.
+/// Cost of poison tasks to all other tasks, by the policy for worker crashes, on a simulated store and workers.
 /// Usage: bench_lost_workers [RUNS [FIRST-SEED [SCENARIO]]]
 
 #include "../tests/jobs/support.h"
@@ -43,8 +43,8 @@
     double workersCrashed = 0; ///< Workers crashed per poison task.
     double innocentFailed = 0; ///< Jobs without a poison task that failed.
     double latency = 0; ///< Mean of the short jobs, ms; jobs that don't end count with the rest of the run.
-    double latencyWorst = 0; ///< Mean of the worst twentieth, ms.
-    double longTaskDowntime = 0; ///< Seconds of long-running tasks without a worker.
+    double latencyWorst = 0; ///< Mean of the slowest twentieth of the short jobs, ms.
+    double longTaskDowntime = 0; ///< Seconds without a worker, summed over the long-running tasks.
     double breaches = 0;
 };
 
--- a/bench/restarted_workers.cpp
+++ b/bench/restarted_workers.cpp
@@ -1,4 +1,4 @@
-/// Time until tasks run again after a worker failure, for a worker that restarts under its id against one under a new id, on
+/// Time until tasks run again after a worker failure, for a worker that restarts under its id and for one under a new id, on a
 /// simulated store and workers. Usage: bench_restarted_workers [RUNS [FIRST-SEED]]
 
 #include "../tests/jobs/support.h"
--- a/bench/traffic.cpp
+++ b/bench/traffic.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Benchmark of one entry instance with real processes: added latency and throughput relative
-/// to direct calls of the endpoint, the cost of an open listener, and the cost of control on
-/// an idle entry. Usage: bench_traffic BUILD-FOLDER
+/// to direct calls of the endpoint, the cost of an open listener, and the cost of the control
+/// role on an idle entry. Usage: bench_traffic BUILD-FOLDER
 
 #include "support/cluster.h"
 
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -6,7 +6,7 @@
 /// /check?ms=N        responds after N ms with the request's id and body
 /// /listen?events=N&gapMs=M   streams N events
 /// /order             counts a run of the Idempotency-Key
-/// /cut, /close, /fail   abort amid the response, close before the response, respond with 500
+/// /cut, /close, /fail   abort during the response, close before the response, respond with 500
 /// /runs              returns the run count of each key
 /// /platform/...      state and control calls of the platform
 
--- a/standins/fleet_standin.h
+++ b/standins/fleet_standin.h
@@ -18,7 +18,7 @@
 
 /// \brief Registered workers, listed with a delay.
 ///
-/// A thread polls the state of each worker; the list shows the states of `lag` ago. A worker
+/// A thread polls the state of each worker; the list shows the states as of `lag` ago. A worker
 /// that can't be reached is missing from the list.
 class FleetStandin {
 public:
@@ -58,7 +58,7 @@
     mutable std::mutex m_mutex;
     std::map<std::string, Worker> m_workers;
     std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance; late acts of an older holder are refused.
-    std::set<std::pair<std::string, std::uint64_t>> m_rebooted; ///< Instance and grant.
+    std::set<std::pair<std::string, std::uint64_t>> m_rebooted; ///< Reboots that were requested, by instance and grant.
     std::deque<Listing> m_listings;
     bool m_listUnavailable = false;
     bool m_stopping = false;
--- a/standins/job_platform/control_service.h
+++ b/standins/job_platform/control_service.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The interface over which a test injects faults and makes the writes of the platform's operators.
+/// The interface through which a test injects faults and writes to the store as an operator.
 
 #include "fleet.h"
 #include "lanemoor/aio/http_listener.h"
--- a/standins/job_platform/fleet.cpp
+++ b/standins/job_platform/fleet.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis moveTime { 1'500 };
 constexpr Millis maintenanceTime { 2'000 };
-constexpr Millis entryRetention { 4'500 }; // The entry of a crashed worker stays this long.
+constexpr Millis entryRetention { 4'500 }; // Time for which the entry of a crashed worker stays in the store.
 constexpr std::size_t pageSize = 100;
 const HttpAddress anyPort { "127.0.0.1", 0 };
 
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr Millis leaseCheck { 20 };
-constexpr int minLateWriteDelay = 1'000; // Min delay of a late write, ms.
+constexpr int minLateWriteDelay = 1'000; // In ms, as the maximum.
 constexpr int maxLateWriteDelay = 6'000;
 constexpr std::string_view keepPath = "/api/kv-keep/";
 constexpr std::string_view endPath = "/api/kv-lease-end/";
--- a/standins/job_platform/store_service.h
+++ b/standins/job_platform/store_service.h
@@ -29,7 +29,7 @@
 /// \brief Serves the calls of the store on an ephemeral port.
 class StoreService {
 public:
-    /// \param seed Seed of the random choice of calls that a fault affects.
+    /// \param seed Seed for the random choice of the writes that a fault affects.
     StoreService(aio::AsioEventLoop& loop, std::uint64_t seed);
 
     [[nodiscard]] std::uint16_t port() const { return m_listener.port(); }
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -15,10 +15,10 @@
 constexpr Millis cancelBound { 3'000 }; // From a job's cancel to the last start of its tasks.
 constexpr Millis evacuationBound { 5'000 }; // From an evacuation request to the last start in the data hall.
 constexpr Millis readyDelay { 500 }; // From the start of a long-running task until the task is ready.
-constexpr Millis absenceThreshold { 4'500 }; // A task without a worker for this long counts against the disruption budget, regardless of the cause.
-constexpr Millis minHolderInterval { 3'000 }; // Min time between acts of two holders on one instance.
-constexpr Millis previousQuotaTime { 3'000 }; // After a change, the previous quota still applies for this long.
-constexpr double quotaSlack = 0.1; // Permitted excess as a share of a quota, beside one task: a new owner may not have all attempts of previous owners yet.
+constexpr Millis absenceThreshold { 4'500 }; // Time without a worker after which a task counts against the disruption budget, whatever the cause.
+constexpr Millis minHolderInterval { 3'000 }; // Between acts of two holders on one instance.
+constexpr Millis previousQuotaTime { 3'000 }; // Time for which the previous quota still applies after a change.
+constexpr double quotaSlack = 0.1; // Permitted excess as a share of a quota, beside one task: a new owner may not know all attempts of previous owners yet.
 constexpr std::uint32_t minCrashesToFail = 2; // Worker crashes under a task from which the task may fail permanently.
 constexpr std::uint32_t crashesToCountStarts = 3; // Worker crashes caused by a task, after which its further starts are counted.
 constexpr std::uint32_t excessStartLimit = 3; // Counted starts from which the guarantee is violated.
@@ -224,7 +224,7 @@
 {
     const auto taken = m_takenDownUntil.find({ attempt.job, attempt.task });
     if (!departure.byCommand) {
-        // The task has become ready since the command, so that the command no longer explains its absence.
+        // The task has been ready again since the command, so that the command does not account for this end.
         if (taken != m_takenDownUntil.end() && taken->second <= m_clock.now())
             m_takenDownUntil.erase(taken);
         return;
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Entry instances of the job service on simulated store, workers and instances.
+/// Entry instances of the job service on a simulated store and simulated workers and instances.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/platform_documents.h"
@@ -17,7 +17,7 @@
 
 namespace lanemoor::model {
 
-/// \brief Documents for simulations: the text is a key to the object, so that nothing is parsed.
+/// \brief Documents for simulations: each text is a key to a ready-made object, so that nothing is parsed.
 class ModelDocuments final : public jobs::PlatformDocuments {
 public:
     std::map<std::string, jobs::ServiceConfiguration> configurations;
@@ -49,7 +49,7 @@
     {
     }
 
-    std::function<void(const Breach&)> onBreach; ///< Called at each breach; may be null.
+    std::function<void(const Breach&)> onBreach; ///< Called for each breach; may be null.
     std::function<std::vector<std::string>(const std::string& worker)> labelsOf; ///< Null: labels are not checked.
     std::function<std::string(const std::string& worker)> hallOf; ///< Null: evacuations are not checked.
 
@@ -84,7 +84,7 @@
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
 
     /// \returns Whether a job may be reported as failed: one of its tasks or gangs has used all attempts, or two workers have
-    /// crashed under one of its tasks. The platform's owners permit a task to fail permanently after two crashes.
+    /// crashed under one of its tasks. The platform permits a task to fail permanently after two crashes.
     [[nodiscard]] bool mayHaveFailed(const std::string& id) const;
 
     /// \returns The number of workers that a task has crashed.
@@ -201,7 +201,7 @@
 
     /// \name Operators and callers
     ///@{
-    /// \param bytes Min size of the document.
+    /// \param bytes Minimum size of the document.
     void configure(const jobs::ServiceConfiguration& configuration, std::size_t bytes = 0);
     void requestWave(const jobs::WaveRequest& wave);
     void evacuate(const std::string& dataHall, bool on = true);
--- a/standins/model/peers_model.h
+++ b/standins/model/peers_model.h
@@ -83,7 +83,7 @@
     std::string m_address;
     std::function<void(std::shared_ptr<jobs::PeerLink>)> m_accepted;
     bool m_isClosed = false; ///< The process has ended.
-    bool m_isPoweredOff = false; ///< The process has ended and its machine does not respond to connection attempts.
+    bool m_isPoweredOff = false; ///< The process has ended, and its machine does not respond to connection attempts.
 };
 
 } // namespace lanemoor::model
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -23,7 +23,7 @@
     Millis answerTime { 4 };
     double lostPages = 0; ///< Share of range pages without a response.
     std::string refusedRanges; ///< Range reads of keys with this prefix are refused; empty for none.
-    std::size_t maxEvents = 0; ///< Max events per watch response; 0 for unlimited.
+    std::size_t maxEvents = 0; ///< Events per watch response; 0 for unlimited.
 };
 
 /// \brief A linearizable store with revisions, leases, watches and a history that can be compacted.
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -11,7 +11,7 @@
 constexpr Millis callTimeout { 800 }; // Client timeout of commands.
 constexpr Millis oneWayLatency { 1 };
 constexpr Millis stopTime { 100 };
-constexpr Millis shrinkPropagationTime { 4'500 }; // By the platform's bounds: 3 s until an entry is connected, and a heartbeat of 1.5 s.
+constexpr Millis shrinkPropagationTime { 4'500 }; // The platform's bounds: 3 s until an entry is connected, and a heartbeat of 1.5 s.
 constexpr Millis restartDelay { 1'000 }; // From a planned end to the start of the instance's next worker.
 constexpr Millis readyDelay { 500 }; // From the start of a long-running task until the task is ready.
 constexpr Millis maxLease { 10'000 };
@@ -106,7 +106,6 @@
 {
     if (until == 0)
         return;
-    // Leases are capped at a max length.
     const MonotonicInstant end = std::min(instantOf(worker, until), m_clock.now() + maxLease);
     if (end <= worker.leaseUntil)
         return;
@@ -270,7 +269,7 @@
     if (!model.entry.capacity.covers(used)) {
         if (enforcesCapacity)
             return refuse(CommandOutcome::NoRoom);
-        // A delayed command is exempt from the check.
+        // A command that arrived late is exempt from the check.
         if (checker && !late && !model.recentMaxCapacity.covers(used))
             checker->onOverload(worker, command.attempt);
     }
@@ -305,7 +304,7 @@
     model.epoch = epoch;
     std::uint64_t& settled = model.settled[{ attempt.job, attempt.task }];
     settled = std::max(settled, attempt.number);
-    // A delayed command is exempt from the budget check.
+    // A command that arrived late is exempt from the budget check.
     m_clock.after(stopTime, [this, worker, attempt, late, incarnation = model.incarnation] {
         if (isCurrentIncarnation(worker, incarnation))
             endRun(m_workers[worker], attempt, AttemptEnd::Stopped, !late);
@@ -348,7 +347,7 @@
     }
     if (share(m_workers.m_random) < model->faults.lateCommands) {
         std::uniform_int_distribution<int> pause(2'000, 12'000);
-        // The command is bound to a connection to this incarnation and is dropped with it.
+        // The command travels on a connection to this incarnation and is dropped with it.
         clock.after(Millis(pause(m_workers.m_random)), [this, worker, act, incarnation = model->incarnation] {
             if (m_workers.isCurrentIncarnation(worker, incarnation) && m_workers.find(worker)->alive)
                 static_cast<void>(act(true));
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -23,14 +23,14 @@
 /// Faults of a worker.
 struct WorkerFaults {
     bool crashed = false; ///< Unreachable because of a crash; no command arrives.
-    bool partitioned = false; ///< Partitioned: unreachable, but its tasks continue.
+    bool partitioned = false; ///< Unreachable, but its tasks continue.
     double lostAnswers = 0; ///< Share of commands that take effect without a response.
     double lostCommands = 0; ///< Share of commands without effect and response.
     double lateCommands = 0; ///< Share of commands that take effect seconds later, without a response.
     double lostRenewals = 0; ///< Share of renewals without effect and response.
     double failing = 0; ///< Share of tasks that fail.
     int slowdown = 1; ///< Factor on the run time of tasks.
-    bool stalled = false; ///< Tasks are stalled.
+    bool stalled = false; ///< Tasks make no progress: those started meanwhile never end by themselves, and none is ready.
 };
 
 /// Faults of the fleet interface.
@@ -55,7 +55,7 @@
     /// \param late The command arrived long after it was sent.
     virtual void onStart(const std::string& worker, const jobs::StartCommand& command, bool late) = 0;
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
-    /// \brief An attempt has ended with its worker.
+    /// \brief An attempt has ended because its worker has, planned or not.
     virtual void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
     virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
     virtual void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) = 0;
@@ -81,8 +81,8 @@
 
     jobs::WorkerEntry entry;
     std::uint64_t incarnation = 0; ///< Unique over all incarnations, also those with the same id.
-    Millis clockBehind { 0 }; ///< The worker's clock is behind the simulated one by this much.
-    jobs::Resources recentMaxCapacity; ///< Capacity, or the previous one while entries may not have received a reduction yet.
+    Millis clockBehind { 0 }; ///< Lag of the worker's clock behind the simulated one.
+    jobs::Resources recentMaxCapacity; ///< Maximum of the current and the previous capacity while entries may not know of a reduction yet.
     std::string instance;
     WorkerFaults faults;
     bool alive = true;
@@ -110,7 +110,7 @@
     std::function<jobs::StepSpec(const jobs::Attempt&)> stepOf;
     /// \returns Whether an attempt crashes its worker; null if no attempt does.
     std::function<bool(const jobs::Attempt&)> crashesWorker;
-    Millis crashesWorkerAfter { 10 }; ///< Time from the start to the crash; 0 for a crash before the response.
+    Millis crashesWorkerAfter { 10 }; ///< Time from the start to the crash; 0 for a crash before the response to the start.
     Millis returnAfterCrash { 2'500 }; ///< Time from a crash by a poison task until the instance is up again.
     WorkerObserver* checker = nullptr;
     std::function<void(const WorkerModel&)> onEntry; ///< Writes a worker's entry to the store.
--- a/tests/jobs/admission_test.cpp
+++ b/tests/jobs/admission_test.cpp
@@ -58,7 +58,7 @@
     CHECK(budgets[0].workMillis < 0);
     CHECK(budgets[0].expectedEnd > budgets[0].limit);
     CHECK(budgets[0].milliCpu == 0);
-    // The other organisation needs 6.7 of 54.4 cores to meet its objective; these are subtracted.
+    // The other organisation needs 6.7 of 54.4 cores to meet its objective; the rest is the share.
     CHECK(budgets[0].sharePermille == Approx(877).margin(2));
 }
 
--- a/tests/jobs/codec_test.cpp
+++ b/tests/jobs/codec_test.cpp
@@ -74,7 +74,7 @@
     REQUIRE(settings);
     CHECK(settings->front.port == 1);
     CHECK(settings->moveTime == Millis(1'500));
-    CHECK(settings->ownershipTime == Millis(2'500)); // The store's minimum lease duration.
+    CHECK(settings->ownershipTime == Millis(2'500)); // The store grants no shorter lease.
     CHECK(settings->configurationTrust == Millis(5'000));
     CHECK(settings->configurationApplyTime == Millis(3'000));
     CHECK(settings->fleetActsPerSecond == Approx(64.5));
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -1,5 +1,5 @@
-/// An instance serves a configuration only for a limited time after it was confirmed to be the latest version; then it rejects requests.
-/// Large documents must not prevent the confirmation.
+/// An instance answers requests by a configuration only for a limited time after that was confirmed to be the latest version; then it
+/// rejects them. Large documents must not prevent the confirmation.
 
 #include "lanemoor/jobs/intake/job_catalog.h"
 #include "lanemoor/jobs/store/store_mirror.h"
@@ -58,7 +58,7 @@
     }
 
 private:
-    std::map<std::uint64_t, MonotonicInstant> m_putAt; ///< When the write of each version was acknowledged.
+    std::map<std::uint64_t, MonotonicInstant> m_putAt; ///< Time at which each version was written.
 };
 
 } // namespace
@@ -167,7 +167,7 @@
 TEST_CASE("An unchanged large configuration leaves the link free for other calls")
 {
     constexpr std::size_t bytesPerMs = 1'250;
-    constexpr std::size_t documentBytes = 3'000'000; // Takes longer than a call may.
+    constexpr std::size_t documentBytes = 3'000'000; // Takes 2.4 s on the link, longer than the timeout of a call.
     constexpr Millis answerTime { 100 };
     ConfiguredCluster cluster;
     cluster.setStoreLink(slowLinkEntry, bytesPerMs);
--- a/tests/jobs/crash_accounting_review_test.cpp
+++ b/tests/jobs/crash_accounting_review_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t maxCrashesAllowed = 5; // The platform's rule, independent of the product's own limits.
 constexpr Millis beforeAnswer { 0 };
 constexpr Millis afterAnswer { 10 };
-constexpr Millis soonAfterStart { 4 }; // After the answer has arrived.
+constexpr Millis soonAfterStart { 4 }; // The answer has arrived by then.
 
 struct PoisonCluster : SmallCluster {
     explicit PoisonCluster(StepSpec poisonStep = step(1), std::size_t instances = 8, std::uint64_t seed = 1)
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -15,9 +15,9 @@
 constexpr std::uint32_t maxCrashesAllowed = 5; // The platform's rule, independent of the product's own limits.
 constexpr Millis beforeAnswer { 0 };
 constexpr Millis afterAnswer { 10 };
-constexpr Millis soonAfterStart { 4 }; // After the answer has arrived.
+constexpr Millis soonAfterStart { 4 }; // The answer has arrived by then.
 constexpr std::size_t fewInstances = 3;
-constexpr Millis quickJobInterval { 100 }; // With `quickTasks` each: enough for a recent start at each of a few workers.
+constexpr Millis quickJobInterval { 100 }; // Jobs of `quickTasks` at this interval keep a recent start on each of a few workers.
 constexpr std::uint32_t quickTasks = 4;
 constexpr Millis busyTime { 2'000 };
 
@@ -414,7 +414,7 @@
         CAPTURE(proof.count());
         PoisonCluster cluster(1, 10);
         cluster.onStarted = [&cluster, proof] {
-            // Unresponsive at once; the platform shows the instance as up until the proof.
+            // The worker is unresponsive at once; the platform shows the instance as up until the proof.
             cluster.clock.after(afterAnswer, [&cluster, proof, worker = cluster.worker, attempt = cluster.current] {
                 cluster.checker.onWorkerCrashed(worker, attempt);
                 cluster.workers.find(worker)->faults.crashed = true;
@@ -443,7 +443,7 @@
 TEST_CASE("Crashes count on workers that crash before a list of instances shows them")
 {
     PoisonCluster cluster(1, 1);
-    // Lists show an incarnation with the max lag.
+    // Lists show an incarnation with the maximum lag.
     const auto onEntry = cluster.workers.onEntry;
     cluster.workers.onEntry = [&cluster, onEntry](const model::WorkerModel& worker) {
         cluster.workers.unlisted.insert(worker.entry.id);
--- a/tests/jobs/document_replica_test.cpp
+++ b/tests/jobs/document_replica_test.cpp
@@ -118,7 +118,7 @@
     }
 }
 
-// Guards against a watch whose connection was lost without an error, and is taken for one of an unchanged document.
+// Guards against a watch whose connection was lost without an error, and whose silence is taken for an unchanged document.
 TEST_CASE("A change is read by the next check while watches report nothing")
 {
     for (const std::size_t bytes : { 100, 1'000'000 }) {
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -1,5 +1,5 @@
-/// Guards against workers with unreported faults that attract tasks: an unresponsive worker appeared empty, and starts sent to it waited
-/// for the expiry of their lease, 5 s and more.
+/// Guards against workers with unreported faults that attract tasks: an unresponsive worker appears empty, and starts sent to it wait
+/// until their leases expire, 5 s and more.
 
 #include "standins/model/job_cluster.h"
 #include "support.h"
@@ -34,7 +34,7 @@
         m_times.clear();
     }
 
-    /// Sets the faults of every `each`th worker, and clears those of the others.
+    /// Sets the faults of one in `each` workers, and clears those of the others.
     void faults(const model::WorkerFaults& faults, int each = 5)
     {
         int number = 0;
@@ -69,7 +69,7 @@
     /// \returns The quantile `share` of the jobs' durations.
     [[nodiscard]] Millis time(double share) const { return m_times.at(static_cast<std::size_t>(share * static_cast<double>(m_times.size() - 1))); }
 
-    /// \returns The number of jobs that took longer.
+    /// \returns The number of jobs that took longer than `time`.
     [[nodiscard]] std::size_t count(Millis time) const
     {
         return static_cast<std::size_t>(std::count_if(m_times.begin(), m_times.end(), [&](Millis each) { return each > time; }));
@@ -210,7 +210,8 @@
     CHECK(pool.checker.breaches().empty());
 }
 
-/// Guards against ejecting the workers that a poison task crashes, and against clearing the task because its workers were ejected.
+/// Guards against ejecting the workers that a poison task crashes, and against no longer counting the task's crashes because its
+/// workers were ejected.
 TEST_CASE("A poison task ejects no worker, and fails after as many crashes with failing workers in the pool")
 {
     for (const bool isTroubled : { false, true }) {
--- a/tests/jobs/hall_evacuation_test.cpp
+++ b/tests/jobs/hall_evacuation_test.cpp
@@ -1,4 +1,4 @@
-/// Evacuation of data halls. Guards against ignored requests: tasks kept starting in data halls that were to
+/// Evacuation of data halls. Guards against ignored requests, with tasks that keep starting in data halls to
 /// be emptied.
 
 #include "support.h"
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -1,7 +1,7 @@
 /// Loss and return of data halls.
 ///
-/// Guards against slow handling of a data hall without power, which cost a third of the day's result at 5 s without power: its
-/// workers were noticed one by one, pools requested replacements one by one, and the empty data hall got all tasks on its return.
+/// Guards against slow handling of a power loss: 5 s without power in one data hall cost a third of a day's result. The loss of its
+/// workers was noticed one by one, pools requested replacements one by one, and on its return the empty data hall got all tasks.
 
 #include "lanemoor/jobs/policy/failure_domains.h"
 #include "support.h"
@@ -186,7 +186,7 @@
 
 namespace {
 
-/// Three data halls of eight instances each, of which two are off, with a long-running job and quick ones.
+/// Three data halls of eight instances each, two of the eight in the reserve, with a long-running job and short jobs.
 struct ThreeHalls : model::JobCluster {
     explicit ThreeHalls(std::uint64_t seed, bool spreads = false)
         : model::JobCluster(seed, 3)
--- a/tests/jobs/hedged_store_test.cpp
+++ b/tests/jobs/hedged_store_test.cpp
@@ -1,5 +1,5 @@
-/// Lost answers cost a third of a day: a write without an answer waited for its timeout of 1 s, and work that depended on it was
-/// dropped as too late. These tests guard the repeats that settle such writes, and the outcomes that a repeat must not report.
+/// Guards against writes that wait for their timeout of 1 s if the answer is lost: work that depended on them was dropped as too
+/// late, which cost a third of a day's result. Covers the repeats that settle such writes, and the outcomes that they must not report.
 
 #include "lanemoor/jobs/store/hedge_budget.h"
 #include "lanemoor/jobs/store/hedged_store.h"
@@ -45,7 +45,7 @@
 constexpr Millis overdue { 101 }; // An answer is never overdue before 100 ms.
 constexpr Millis timeout { 1'000 };
 
-/// A hedged store that has seen answers in 4 ms, and one transaction that writes `a` and `b` under an owner's condition.
+/// A hedged store that has got its answers in 4 ms so far, and a transaction that writes `a` and `b` if the owner is unchanged.
 struct Hedged {
     explicit Hedged(StoreOutageOptions options = {})
         : store(process, scripted, options)
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -1,5 +1,5 @@
-/// Cost of first starts under a new owner. Each start was recorded in the store before it was sent, since the previous owner might have
-/// failed before it recorded a crash. With a store that answers in some hundred milliseconds, free capacity stayed idle meanwhile.
+/// Cost of first starts under a new owner. Guards against recording each of them in the store before it is sent, in case the previous
+/// owner failed before it recorded a crash: if the store takes some hundred milliseconds, free capacity stays idle meanwhile.
 
 #include "support.h"
 
@@ -37,7 +37,7 @@
     std::uint64_t storeCalls = 0;
 };
 
-/// Each job runs one task, and its other task waits for room that another job occupies. An entry is killed, then the room becomes free.
+/// Each job runs one task, and its second one waits for room that another job occupies. An entry is killed before the room becomes free.
 struct WaitingCluster : SmallCluster {
     explicit WaitingCluster(KilledRole killed)
         : SmallCluster(1, 3, instances, 0, 1)
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -1,13 +1,12 @@
-/// Cost of decisions on a large fleet. On a fleet of 1,100 instances fewer than half of the quick jobs ended in time, while
-/// hundreds of instances had room and tasks waited.
+/// Cost of decisions on a large fleet. Guards against decisions that take so long that tasks wait although there is room: on 1,100
+/// instances fewer than half of the short jobs ended in time, while hundreds of instances had room.
 ///
 /// A shift of load makes pools short by hundreds of instances at once. The owner's single thread spent up to several seconds on
 /// one capacity plan, in which it started no task and read no reports; the passes over the queue that had grown meanwhile were
 /// slow as well.
 ///
-/// The cost of one decision grew with the square or the cube of the fleet, or with all waiting work, instead of with the changes.
-/// The tests count inspections, which do not depend on the machine; profiles of the owner by kind of work, second by second on
-/// slower machines, showed the same.
+/// Cause: the cost of one decision grew with the square or the cube of the fleet, or with all waiting work, instead of with the
+/// changes. The tests count inspections, which do not depend on the machine.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "support.h"
@@ -52,7 +51,7 @@
 
 constexpr std::size_t largeFleet = 1'100;
 
-/// One pool asks for more than the whole fleet, the others for a twentieth of an even share.
+/// Plans for one pool that asks for more than the whole fleet, while each other one asks for a twentieth of an even share.
 TurnPlan planTurn(std::size_t asking, std::size_t off, Use others)
 {
     const std::size_t third = (largeFleet - asking - off) / 3;
@@ -66,7 +65,7 @@
     return turn;
 }
 
-/// A plan inspects each instance a few times for each pool that could get it; 100,000 inspections fit into a tenth of a second.
+/// A plan inspects each instance a few times for each pool that could get it. 100,000 inspections take a tenth of a second.
 constexpr std::uint64_t maxInspectionsPerInstance = 20;
 
 } // namespace
@@ -104,11 +103,10 @@
     CHECK((after.sitesInspected - before.sitesInspected) / (after.passes - before.passes) <= 2 * instances);
 }
 
-/// Guards against a watch cache that lags permanently. At a planned stop of the owner of 1,100 workers no task started for 2.9 s.
-/// Its successor claimed ownership within 30 ms and reported a cache age of 125 ms; the cache was 2.8 s behind. One watch
-/// response carries about 500 changes: with half a second between two requests, the cache of every instance that is not the owner
-/// falls behind at more than 1,000 changes per second. The responses had 500 to 510 changes, and the last change of each was at
-/// the revision where the next watch was to resume.
+/// Guards against a watch cache that lags permanently. One watch response carries about 500 changes (500 to 510 were seen): with
+/// half a second between two requests, the cache of every instance that is not the owner falls behind at more than 1,000 changes
+/// per second. After a planned stop of the owner of 1,100 workers its successor claimed the ownership within 30 ms and reported a
+/// cache age of 125 ms, but the cache was 2.8 s behind, and no task started for 2.9 s.
 TEST_CASE("A watch cache keeps up with changes that come faster than one watch response carries them")
 {
     SmallCluster cluster(1, 3, 40, 0);
--- a/tests/jobs/load_after_outage_test.cpp
+++ b/tests/jobs/load_after_outage_test.cpp
@@ -138,7 +138,7 @@
             ++counts.at(static_cast<std::size_t>(adviseRetry(situation, random) / Millis(1'000)));
         return counts;
     };
-    // The outage has just begun: the store may be available again at once.
+    // The outage has just begun: the store may soon be available again.
     CHECK(countsOf({ .refused = 5, .waiting = 5, .lasted = Millis(200), .useful = Millis(20'000) })[1] == 900);
     const std::array<int, 4> spread = countsOf({ .refused = 400, .waiting = 400, .lasted = Millis(4'000), .useful = Millis(20'000) });
     CHECK(spread[0] == 0);
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -1,8 +1,8 @@
 /// One organisation submits many times its usual rate.
 ///
-/// Guards against unlimited admission: accepted work was not compared with the capacity, and a full pool placed the earliest objective
-/// first regardless of the organisation. Thousands of accepted jobs were not served, and other organisations' jobs in the pool were late.
-/// The tests compare runs with and without admission control.
+/// Guards against unlimited admission: accepted work was not compared with the capacity, and a full pool started the job with the
+/// earliest objective first, regardless of its organisation. Thousands of accepted jobs were not served, and other organisations' jobs
+/// in the pool were late. The tests compare runs with and without admission control.
 
 #include "support.h"
 
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr Millis taskTime { 500 };
-constexpr Millis objective { 1'500 }; // The small configuration allows twice the chain of one step, plus 500 ms.
+constexpr Millis objective { 1'500 }; // smallConfiguration allows twice the duration of the one step, plus 500 ms.
 constexpr std::uint32_t tasksOfJob = 4;
-constexpr double weight = 200; ///< Jobs a second. No burst exceeds its organisation's rate, as in the recorded incidents.
+constexpr double weight = 200; ///< Jobs per second. No burst exceeds its organisation's rate, as in the recorded incidents.
 
 std::string organisationName(std::size_t number)
 {
@@ -66,7 +66,7 @@
         configure(configuration);
     }
 
-    /// Submits one job as a caller does, and repeats it up to four times after the retry time of each refusal.
+    /// Submits one job as a caller does, and retries up to four times after the Retry-After time of each refusal.
     void call(std::size_t organisation)
     {
         const std::string id = jobId(++m_lastJob);
--- a/tests/jobs/poison_task_test.cpp
+++ b/tests/jobs/poison_task_test.cpp
@@ -1,8 +1,8 @@
 /// A poison task crashes each worker that starts it.
 ///
 /// Guards against endless starts: on a fleet of 48 instances one task crashed about 70 workers in two minutes, one every 1.6 s, each
-/// 10 ms after the start. A long-running job on the first worker never recovered: the proof of each crash released its tasks together
-/// with the poison task, and the same pass placed them beside it on the next worker. Five owners in turn did the same.
+/// 10 ms after the start. A long-running job on the first worker never recovered: once the crash was proved, its tasks were released
+/// together with the poison task, and the same pass placed them beside it on the next worker. Five owners in turn did the same.
 ///
 /// Cause: attempts that failed with their worker were dropped without a record, so no crash was counted against any task, and the task
 /// that had started just before a crash was not distinguished from tasks that had been running on the worker for seconds.
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -1,5 +1,5 @@
 /// Random faults on the models of the platform. A violation prints its seed; each seed that ever
-/// failed is kept in the lists below with its cause.
+/// failed is kept in the lists below, with its cause.
 
 #include "support.h"
 
@@ -107,7 +107,7 @@
         m_cluster.clock.runFor(Millis(500));
     }
 
-    /// \returns Whether other faults are less frequent, to leave time for those specific to this kind of run.
+    /// \returns Whether the common faults are less frequent, to leave time for those specific to this kind of run.
     [[nodiscard]] bool hasFewFaults() const { return m_faults == Faults::PoisonTasks || m_faults == Faults::Halls; }
 
     /// Adds two data halls to the one of the other instances.
@@ -525,7 +525,7 @@
 TEST_CASE("Random runs that failed once keep the guarantees")
 {
     constexpr std::array<std::uint64_t, 10> seeds {
-        42, // The members of a gang with one member on a hanging worker waited without end.
+        42, // The members of a gang with one member on an unresponsive worker waited without end.
         785, // A stuck task was stopped without regard to the disruption budget of its step.
         1'094, // A late success was dropped, and a third attempt began after the success had been stored.
         7'315, // The same with the newer start in transit; the lease had expired.
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -174,8 +174,8 @@
 
 TEST_CASE("A wave does not take the last instance that tasks need until another one has joined")
 {
-    // A wave evacuated the only instance of its kind in a pool. One task was stopped and found no other
-    // place, the budget kept the others running, and no task could start on the instance.
+    // Guards against a wave that evacuates the only instance of its kind in a pool: one task was stopped and
+    // found no other place, the budget kept the others running, and no task could start on the instance.
     MixedCluster cluster("main", 1);
     StepSpec lasting = labelled(longStep(4), "b");
     lasting.maxPerInstance = 0;
@@ -191,8 +191,8 @@
 
 TEST_CASE("Long-running tasks make room for one that needs their instance's label, one at a time")
 {
-    // In random runs, tasks without requirements permanently occupied every instance of a kind. Later two
-    // tasks of one step were moved at once, beyond the step's disruption budget.
+    // Guards against tasks without requirements that occupy every instance of a kind permanently (seen in random
+    // runs), and against moving two tasks of one step at once, beyond the step's disruption budget.
     MixedCluster cluster("main", 1, 0, 2);
     StepSpec lasting = longStep(4);
     lasting.maxPerInstance = 0;
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -284,7 +284,7 @@
 
 TEST_CASE("Maintenance without an answer counts as begun until the instance must be back")
 {
-    // At most one instance of the wave may be down at a time. The answers are lost, the actions are executed.
+    // At most one instance of the wave may be down at a time. The actions are executed, but their answers are lost.
     SmallCluster cluster(1, 3, 4, 4);
     cluster.workers.fleetFaults.lostAnswers = 1;
     WaveRequest wave { .number = 1, .instances = {}, .duration = Millis(60'000), .maxConcurrent = 1 };
@@ -491,7 +491,7 @@
 
 TEST_CASE("A worker that answers is not treated as ended although its instance has left the list")
 {
-    // The rule that ends incarnations that no list names was applied to all workers of the term.
+    // Guards against applying the rule that ends incarnations which no list names to all workers of the term.
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.kill(cluster.owner().value());
@@ -514,7 +514,7 @@
 
 TEST_CASE("An instance without store updates still shows a job's end")
 {
-    // A job's measured time ends when its caller sees the end: a replica half a second old added a quarter
+    // Callers measure a job until they see its end: a replica that is up to half a second old added a quarter
     // of a second per job on average, and more while the store was slow.
     SmallCluster cluster;
     const std::size_t partitioned = cluster.owner() == 0U ? 1 : 0;
--- a/tests/jobs/store_condition_test.cpp
+++ b/tests/jobs/store_condition_test.cpp
@@ -1,5 +1,5 @@
-/// Each part of a process used to detect an outage of the store separately, and waited for its own timers after it. These tests
-/// guard the state that all parts share: single failures don't change it, and late results of calls sent in an outage don't extend it.
+/// State of the store that all parts of a process share, instead of each detecting an outage by itself and waiting for its own timers
+/// afterwards. Single failures don't change the state, and late results of calls sent in an outage don't extend the outage.
 
 #include "lanemoor/jobs/store/store_condition_tracker.h"
 #include "lanemoor/jobs/store/store_retries.h"
--- a/tests/jobs/store_mirror_test.cpp
+++ b/tests/jobs/store_mirror_test.cpp
@@ -1,10 +1,9 @@
-/// A mirror of the store reported itself as fresh while it lagged by seconds: its age was the time since a watch was last answered,
-/// whatever the answer contained. One answer holds about 500 changes, so with half a second between two watches a mirror that is
-/// not the owner's lagged more and more beyond 1,000 changes a second, and still reported an age of at most half a second.
+/// Guards against a mirror of the store that reports itself as fresh while it lags by seconds: its age was the time since a watch was
+/// last answered, whatever the answer contained. One answer holds about 500 changes, so with half a second between two watches a
+/// mirror that is not the owner's lagged more and more beyond 1,000 changes a second, and still reported an age of half a second at most.
 ///
-/// Cause: one time stood for both "the store answers" and "the mirror holds all that the store holds". It showed in answers of 500
-/// to 510 changes that ended at the revision where the watch continued, and in a claim of ownership that took 2.8 s to reach its
-/// own revision at a reported age of 125 ms.
+/// Cause: one time stood for both "the store answers" and "the mirror holds all that the store holds". A successor that claimed the
+/// ownership at a reported age of 125 ms needed 2.8 s to reach the revision of its own claim.
 
 #include "lanemoor/jobs/store/store_mirror.h"
 #include "support.h"
@@ -139,7 +138,7 @@
     SmallCluster cluster(1, 2, 0, 0);
     cluster.store.faults.maxEvents = 100;
     cluster.store.faults.answerTime = Millis(600);
-    std::deque<std::size_t> accepted; // At the end of each 100 ms.
+    std::deque<std::size_t> accepted; // Number of accepted jobs at the end of each 100 ms.
     std::uint64_t number = 0;
     std::size_t counts = 0;
     for (int tenth = 0; tenth < 120; ++tenth) {
--- a/tests/jobs/support.h
+++ b/tests/jobs/support.h
@@ -26,7 +26,7 @@
     return { .count = count, .needs = { .milliCpu = 1'000, .memoryMb = 100 }, .estimate = Millis(500), .dependsOn = std::move(dependsOn) };
 }
 
-/// \returns A step of long-running tasks, max one per instance, with a disruption budget of one.
+/// \returns A step of long-running tasks, at most one per instance, with a disruption budget of one.
 [[nodiscard]] inline StepSpec longStep(std::uint32_t count)
 {
     StepSpec spec = step(count);
--- a/tests/jobs/suspended_machine_test.cpp
+++ b/tests/jobs/suspended_machine_test.cpp
@@ -1,6 +1,6 @@
-/// A machine is suspended for seconds, and the steady clock does not count that time. An owner that used it would assume after the
+/// The steady clock does not count the time for which a machine is suspended. An owner that used that clock would assume after the
 /// resume that it still holds a lease which has expired and which another instance has taken; where fencing tokens are not checked,
-/// it could then act on instances without the right to.
+/// it could then act on instances without holding the ownership.
 
 #include "lanemoor/aio/http_client.h"
 #include "support.h"
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -1,5 +1,5 @@
-/// Alternating load: a queue asks for five times its mean for some seconds, more than its pool has, and for a twentieth in
-/// between. The decisions for that load, tested mostly without a network.
+/// Decisions for alternating load, tested mostly without a network: a queue asks for five times its mean for some seconds, which is
+/// more than its pool has, and for a twentieth of the mean in between.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "lanemoor/jobs/policy/load_forecast.h"
--- a/tests/jobs/unanswered_command_test.cpp
+++ b/tests/jobs/unanswered_command_test.cpp
@@ -2,9 +2,9 @@
 /// more than 40 s after their workers failed, although there was room.
 ///
 /// Two tasks of one step were started again while workers left commands unanswered. Neither start was confirmed and neither task was
-/// reported, so each was stopped to prevent a later begin. Both stops stayed unanswered and were never repeated: a stop was repeated
-/// only within the step's disruption budget, and each unconfirmed task counted as unavailable for the other. Stopping an unconfirmed
-/// start disrupts nothing, so it needs no budget.
+/// reported, so each was stopped in case its start arrived late. Both stops stayed unanswered and were never repeated: a stop was
+/// repeated only within the step's disruption budget, and each unconfirmed task counted as unavailable for the other. Stopping an
+/// unconfirmed start disrupts nothing, so it needs no budget.
 
 #include "support.h"
 
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -121,7 +121,7 @@
     CHECK(peer.fault(start) == HealthFault::None);
 }
 
-/// Guards against scoring a worker that has become slow by its many ends of the seconds before.
+/// Guards against a score in which the many timely ends of the seconds before hide that a worker has become slow.
 TEST_CASE("A worker that has become slow is ejected after several late ends in a row")
 {
     WorkerHealth health;
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -11,7 +11,7 @@
 constexpr Millis calmFrom { 18'000 }; // From this offset to the end of each cycle, only workers fail and operators act.
 constexpr Millis evacuationFrom { 15'000 };
 constexpr Millis evacuationDuration { 14'000 };
-constexpr unsigned ownerOneIn = 2; // One in this many process faults targets the owner.
+constexpr unsigned ownerOneIn = 2; // One in so many faults of processes targets the owner.
 
 /// A sequence of non-overlapping faults with random pauses between them.
 struct Series {
--- a/tests/soak/guarantee_monitor.h
+++ b/tests/soak/guarantee_monitor.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The guarantees of the job service, checked from outside by the observations of workers, callers and operators.
+/// The guarantees of the job service, checked from outside by what workers, callers and operators observe.
 
 #include <cstdint>
 #include <map>
--- a/tests/soak/soak_cluster.h
+++ b/tests/soak/soak_cluster.h
@@ -27,7 +27,7 @@
     unsigned instances = 12;
     unsigned reserve = 4;
     unsigned halls = 3;
-    bool relays = false; ///< Owners relay calls to workers through other processes.
+    bool relays = false; ///< Owners have calls to workers relayed by other processes.
 };
 
 /// Host name of the queues, and the store keys that operators write.
--- a/tests/soak/soak_session.h
+++ b/tests/soak/soak_session.h
@@ -34,7 +34,7 @@
     /// \returns The index of the process that took the ownership last, according to the logs.
     [[nodiscard]] unsigned owner() const noexcept { return m_owner; }
 
-    /// \returns The max delay of a timer on the loop. The proxies delay calls by up to this much.
+    /// \returns The longest delay of a timer on the loop. The proxies delay calls by up to this much.
     [[nodiscard]] Millis maxLateness() const noexcept { return m_maxLateness; }
 
     /// \brief Starts all processes and waits until they serve.
--- a/tests/soak/tcp_proxy.h
+++ b/tests/soak/tcp_proxy.h
@@ -24,7 +24,7 @@
     [[nodiscard]] bool operator==(const PathFaults&) const = default;
 };
 
-/// \brief The connections from one process, or one group, to another.
+/// \brief The connections from one process to another, or to the workers of one data hall.
 class Path {
 public:
     PathFaults faults;
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Demonstration of the request service: runs its main functions on a cluster of real processes
+/// Demonstration of the request service: exercises its main functions on a cluster of real processes
 /// on loopback and prints a table of results. Exits non-zero on any violation.
 
 #include "support/cluster.h"
