--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -73,13 +73,13 @@
         m_cluster.clock.runFor(Millis(2'000));
     }
 
-    Outcome play()
+    Outcome simulate()
     {
         const MonotonicInstant begin = m_cluster.clock.now();
         while (m_cluster.clock.now() < begin + loadTime + drainTime) {
             const auto passed = std::chrono::duration_cast<Millis>(m_cluster.clock.now() - begin);
             if (passed < loadTime)
-                act(passed);
+                injectDueEvents(passed);
             observe(passed);
             m_cluster.clock.runFor(tick);
         }
@@ -91,11 +91,11 @@
 
     std::size_t anyEntry() { return std::uniform_int_distribution<std::size_t>(0, m_cluster.entries() - 1)(m_cluster.random); }
 
-    void act(Millis passed)
+    void injectDueEvents(Millis passed)
     {
         if (isDue(passed, jobInterval)) {
-            m_open.emplace_back(++m_quick, passed);
-            m_cluster.submit(anyEntry(), "work", jobId(m_quick), job({ step(4), step(4, { 0 }) }));
+            m_unfinished.emplace_back(++m_shortJobs, passed);
+            m_cluster.submit(anyEntry(), "work", jobId(m_shortJobs), job({ step(4), step(4, { 0 }) }));
         }
         if (isDue(passed, m_scenario.poisonInterval))
             m_cluster.submit(anyEntry(), "work", jobId(firstPoisonJob + m_poisonJobs++), job({ step(3) }));
@@ -122,7 +122,7 @@
 
     void observe(Millis passed)
     {
-        std::erase_if(m_open, [&](const auto& job) {
+        std::erase_if(m_unfinished, [&](const auto& job) {
             if (!m_cluster.accepted().contains(jobId(job.first)) || !m_cluster.checker.hasSucceeded(jobId(job.first)))
                 return false;
             m_latencies.push_back(static_cast<double>((passed - job.second).count()));
@@ -141,7 +141,7 @@
             result.workersCrashed += m_cluster.checker.workersCrashedBy(jobId(firstPoisonJob + i), { 0, 0, 0 }) / static_cast<double>(m_poisonJobs);
         for (const std::string& id : m_cluster.accepted())
             result.innocentFailed += id < jobId(firstPoisonJob) && m_cluster.status(0, id) == JobStatus::Failed ? 1 : 0;
-        for (const auto& [number, at] : m_open)
+        for (const auto& [number, at] : m_unfinished)
             m_latencies.push_back(static_cast<double>((length - at).count()));
         std::sort(m_latencies.begin(), m_latencies.end());
         const std::size_t worst = m_latencies.size() - m_latencies.size() / 20;
@@ -157,9 +157,9 @@
 
     const Scenario& m_scenario;
     SmallCluster m_cluster;
-    std::vector<std::pair<std::uint64_t, Millis>> m_open; ///< Short jobs that have not ended, with their submission times.
+    std::vector<std::pair<std::uint64_t, Millis>> m_unfinished; ///< Short jobs that have not ended, with their submission times.
     std::vector<double> m_latencies;
-    std::uint64_t m_quick = 0;
+    std::uint64_t m_shortJobs = 0;
     std::uint64_t m_poisonJobs = 0;
     Millis m_downtime { 0 };
 };
@@ -169,7 +169,7 @@
     Outcome sum;
     const auto share = [runs](double figure) { return figure / static_cast<double>(runs); };
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const Outcome one = Run(scenario, policy, seed).play();
+        const Outcome one = Run(scenario, policy, seed).simulate();
         sum.workersCrashed += share(one.workersCrashed);
         sum.innocentFailed += one.innocentFailed;
         sum.latency += share(one.latency);
--- a/bench/lower_bounds.cpp
+++ b/bench/lower_bounds.cpp
@@ -114,8 +114,8 @@
     forEachEntry(view.ledger, view.instances, [&](const LedgerEntry& entry, const Instance* instance, std::size_t i) {
         if (!instance)
             return;
-        const std::optional<std::size_t> home = index.poolNumber(entry.pool);
-        const bool isStray = !entry.pool.empty() && !(home && index.matches(*home, i));
+        const std::optional<std::size_t> currentPool = index.poolNumber(entry.pool);
+        const bool isStray = !entry.pool.empty() && !(currentPool && index.matches(*currentPool, i));
         bound.moves += isStray ? 1 : 0;
         nodes.resize(i + 1);
         sourceEdges.resize(i + 1);
@@ -138,10 +138,10 @@
         forEachEntry(view.ledger, view.instances, [&](const LedgerEntry& entry, const Instance* instance, std::size_t i) {
             if (!instance || !index.matches(pool, i))
                 return;
-            const bool atHome = entry.pool == view.configuration.pools[pool].name;
-            const std::size_t edge = flow.addEdge(nodes[i], domainNodes[domains.of(i)], 1, atHome || strays[i] ? 0 : 1);
+            const bool isMember = entry.pool == view.configuration.pools[pool].name;
+            const std::size_t edge = flow.addEdge(nodes[i], domainNodes[domains.of(i)], 1, isMember || strays[i] ? 0 : 1);
             // Members that stay are assigned first, at no cost.
-            if (atHome)
+            if (isMember)
                 bound.unfilled -= flow.push({ sourceEdges[i], edge, domainEdges[domains.of(i)], poolEdge }) ? 1 : 0;
         });
     }
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -110,10 +110,10 @@
 
     void work(HttpExchange& exchange, const std::string& path)
     {
-        const int now = ++m_inFlight;
+        const int inFlight = ++m_inFlight;
         ++m_served;
         if (path != "/listen")
-            m_maxInFlight = std::max<int>(m_maxInFlight, now - m_listeners);
+            m_maxInFlight = std::max<int>(m_maxInFlight, inFlight - m_listeners);
         if (path == "/listen")
             listen(exchange);
         else if (path == "/cut")
--- a/standins/job_platform/fleet.cpp
+++ b/standins/job_platform/fleet.cpp
@@ -61,16 +61,16 @@
 
 void Fleet::beginWorker(const std::string& instance, const std::string& previousId)
 {
-    Instance& on = m_instances[instance];
-    on.state = "up";
-    if (m_reserves.contains(on.settings.pool))
+    Instance& target = m_instances[instance];
+    target.state = "up";
+    if (m_reserves.contains(target.settings.pool))
         return;
     const std::string id = previousId.empty() ? "w-" + std::to_string(++m_lastWorker) : previousId;
     const std::int64_t startedAt = m_loop.timeOfDay().time_since_epoch().count();
-    on.worker = std::make_unique<Worker>(m_loop, m_events, WorkerIdentity { .id = id, .instance = instance, .dataHall = on.settings.dataHall, .startedAt = startedAt });
-    const json entry { { "address", on.address }, { "service", on.settings.pool }, { "zone", on.settings.dataHall }, { "state", "ready" }, { "capacity", capacityOf(on.settings) }, { "labels", { on.settings.kind, on.settings.rack } }, { "born", startedAt } };
+    target.worker = std::make_unique<Worker>(m_loop, m_events, WorkerIdentity { .id = id, .instance = instance, .dataHall = target.settings.dataHall, .startedAt = startedAt });
+    const json entry { { "address", target.address }, { "service", target.settings.pool }, { "zone", target.settings.dataHall }, { "state", "ready" }, { "capacity", capacityOf(target.settings) }, { "labels", { target.settings.kind, target.settings.rack } }, { "born", startedAt } };
     m_store.put("servers/" + id, entry.dump());
-    m_events.write("worker-started", { { "worker", id }, { "instance", instance }, { "pool", on.settings.pool } });
+    m_events.write("worker-started", { { "worker", id }, { "instance", instance }, { "pool", target.settings.pool } });
 }
 
 void Fleet::endWorker(Instance& instance)
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -90,9 +90,9 @@
     return entries <= maxTransactionEntries ? std::optional(std::move(transaction)) : std::nullopt;
 }
 
-std::uint64_t leaseIn(std::string_view path, std::string_view before)
+std::uint64_t leaseIn(std::string_view path, std::string_view prefix)
 {
-    return parseDecimal(path.substr(before.size())).value_or(0);
+    return parseDecimal(path.substr(prefix.size())).value_or(0);
 }
 
 } // namespace
@@ -132,10 +132,10 @@
     else if (m_faults.refusing)
         answer(respond, answerJson(status::unavailable, json::object()));
     else
-        act(request, respond);
+        dispatch(request, respond);
 }
 
-void StoreService::act(const HttpRequest& request, const aio::HttpResponder& respond)
+void StoreService::dispatch(const HttpRequest& request, const aio::HttpResponder& respond)
 {
     if (request.method != "GET")
         write(request, respond);
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -57,7 +57,7 @@
     return lookUp(waves, text);
 }
 
-void GuaranteeChecker::breach(const std::string& rule, const std::string& detail)
+void GuaranteeChecker::reportBreach(const std::string& rule, const std::string& detail)
 {
     const auto passed = std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()) - Millis(1'000'000);
     m_breaches.push_back({ rule, "at " + std::to_string(passed.count()) + " ms: " + detail });
@@ -72,9 +72,9 @@
     job.maxAttempts = maxAttempts;
 }
 
-void GuaranteeChecker::noteEvacuation(const std::string& dataHall, bool on)
+void GuaranteeChecker::noteEvacuation(const std::string& dataHall, bool isRequested)
 {
-    if (on)
+    if (isRequested)
         m_evacuatedSince.emplace(dataHall, m_clock.now());
     else
         m_evacuatedSince.erase(dataHall);
@@ -126,38 +126,38 @@
     const Task task { attempt.job, attempt.task };
     const auto found = m_jobs.find(attempt.job);
     if (found == m_jobs.end()) {
-        breach("UNASKED", "no caller submitted " + attempt.job);
+        reportBreach("UNASKED", "no caller submitted " + attempt.job);
         return;
     }
     const Job& job = found->second;
     const StepSpec& step = job.spec.steps[attempt.task.step];
     if (!m_running[task].empty())
-        breach("TWICE", nameOf(attempt.job, attempt.task) + " runs on " + *m_running[task].begin() + " and starts on " + worker);
+        reportBreach("TWICE", nameOf(attempt.job, attempt.task) + " runs on " + *m_running[task].begin() + " and starts on " + worker);
     if (m_storedSuccess.contains(task))
-        breach("TWICE", nameOf(attempt.job, attempt.task) + " starts after its success was stored");
+        reportBreach("TWICE", nameOf(attempt.job, attempt.task) + " starts after its success was stored");
     for (const std::uint32_t dependency : step.dependsOn) {
         for (std::uint32_t index = 0; index < job.spec.steps[dependency].count; ++index) {
             if (!m_succeeded.contains({ attempt.job, { attempt.task.occurrence, dependency, index } }))
-                breach("ORDER", nameOf(attempt.job, attempt.task) + " starts before its dependencies");
+                reportBreach("ORDER", nameOf(attempt.job, attempt.task) + " starts before its dependencies");
         }
     }
     if (!step.longRunning && m_storedFailures[task].size() >= job.maxAttempts)
-        breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts after its last attempt");
+        reportBreach("BUDGET", nameOf(attempt.job, attempt.task) + " starts after its last attempt");
     if (!late && m_clock.now() >= m_connectedFrom && workersCrashedBy(attempt.job, attempt.task) >= crashesToCountStarts && ++m_excessStarts[task] >= excessStartLimit)
-        breach("BUDGET", nameOf(attempt.job, attempt.task) + " starts repeatedly after it has crashed three workers");
+        reportBreach("BUDGET", nameOf(attempt.job, attempt.task) + " starts repeatedly after it has crashed three workers");
     if (!late && job.cancelledAt && m_clock.now() - *job.cancelledAt > cancelBound)
-        breach("UNASKED", nameOf(attempt.job, attempt.task) + " starts though its job was cancelled");
+        reportBreach("UNASKED", nameOf(attempt.job, attempt.task) + " starts though its job was cancelled");
     if (labelsOf && !step.requiredLabel.empty()) {
         const std::vector<std::string> labels = labelsOf(worker);
         if (std::find(labels.begin(), labels.end(), step.requiredLabel) == labels.end())
-            breach("ROUTE", nameOf(attempt.job, attempt.task) + " starts on " + worker + " without its label");
+            reportBreach("ROUTE", nameOf(attempt.job, attempt.task) + " starts on " + worker + " without its label");
     }
     const auto evacuation = hallOf ? m_evacuatedSince.find(hallOf(worker)) : m_evacuatedSince.end();
     if (!late && evacuation != m_evacuatedSince.end() && m_clock.now() - evacuation->second > evacuationBound && m_clock.now() >= m_connectedFrom)
-        breach("EVAC", nameOf(attempt.job, attempt.task) + " starts on " + worker + " in a data hall that is being evacuated");
+        reportBreach("EVAC", nameOf(attempt.job, attempt.task) + " starts on " + worker + " in a data hall that is being evacuated");
     m_running[task].insert(worker);
     checkQuota(attempt, step);
-    m_awaySince.erase(task);
+    m_absentSince.erase(task);
     if (m_takenDownUntil.contains(task))
         m_takenDownUntil[task] = m_clock.now() + readyDelay;
 }
@@ -187,7 +187,7 @@
     }
     const auto allowed = static_cast<std::int64_t>(static_cast<double>(limit) * (1 + quotaSlack)) + step.needs.milliCpu;
     if (used > allowed)
-        breach("QUOTA", organisation->second + " has " + std::to_string(used) + " milli-cores running, its quota is " + std::to_string(limit) + " milli-cores");
+        reportBreach("QUOTA", organisation->second + " has " + std::to_string(used) + " milli-cores running, its quota is " + std::to_string(limit) + " milli-cores");
 }
 
 void GuaranteeChecker::removeRunning(const std::string& worker, const Attempt& attempt)
@@ -195,7 +195,7 @@
     std::set<std::string>& running = m_running[{ attempt.job, attempt.task }];
     running.erase(worker);
     if (running.empty())
-        m_awaySince[{ attempt.job, attempt.task }] = m_clock.now();
+        m_absentSince[{ attempt.job, attempt.task }] = m_clock.now();
 }
 
 void GuaranteeChecker::checkBudget(const Attempt& attempt)
@@ -206,27 +206,27 @@
     const StepSpec& step = found->second.spec.steps[attempt.task.step];
     if (step.disruptionBudget == 0)
         return;
-    std::uint32_t away = 0;
+    std::uint32_t absent = 0;
     for (std::uint32_t index = 0; index < step.count; ++index) {
         const Task other { attempt.job, { attempt.task.occurrence, attempt.task.step, index } };
-        const auto taken = m_takenDownUntil.find(other);
-        const auto gone = m_awaySince.find(other);
-        const bool isMissed = gone != m_awaySince.end() && m_clock.now() - gone->second >= absenceThreshold;
-        const bool isTakenDown = taken != m_takenDownUntil.end() && taken->second > m_clock.now();
-        if (index != attempt.task.index && (isMissed || isTakenDown))
-            ++away;
+        const auto takenDown = m_takenDownUntil.find(other);
+        const auto absentSince = m_absentSince.find(other);
+        const bool isAbsent = absentSince != m_absentSince.end() && m_clock.now() - absentSince->second >= absenceThreshold;
+        const bool isTakenDown = takenDown != m_takenDownUntil.end() && takenDown->second > m_clock.now();
+        if (index != attempt.task.index && (isAbsent || isTakenDown))
+            ++absent;
     }
-    if (away >= step.disruptionBudget)
-        breach("AVAIL", nameOf(attempt.job, attempt.task) + " is taken down while " + std::to_string(away) + " others are away");
+    if (absent >= step.disruptionBudget)
+        reportBreach("AVAIL", nameOf(attempt.job, attempt.task) + " is taken down while " + std::to_string(absent) + " others are away");
 }
 
 void GuaranteeChecker::noteDeparture(const Attempt& attempt, const Departure& departure)
 {
-    const auto taken = m_takenDownUntil.find({ attempt.job, attempt.task });
+    const auto takenDown = m_takenDownUntil.find({ attempt.job, attempt.task });
     if (!departure.byCommand) {
         // The task has been ready again since the command, so that the command does not account for this end.
-        if (taken != m_takenDownUntil.end() && taken->second <= m_clock.now())
-            m_takenDownUntil.erase(taken);
+        if (takenDown != m_takenDownUntil.end() && takenDown->second <= m_clock.now())
+            m_takenDownUntil.erase(takenDown);
         return;
     }
     if (departure.wasReady)
@@ -278,9 +278,9 @@
     if (last != m_lastAct.end()) {
         const auto& [epoch, at] = last->second;
         if (holder.epoch < epoch)
-            breach("ONE", instance + " accepts an act of an older holder");
+            reportBreach("ONE", instance + " accepts an act of an older holder");
         else if (holder.epoch > epoch && m_clock.now() - at < minHolderInterval)
-            breach("ONE", instance + " accepts acts of two holders within the min time");
+            reportBreach("ONE", instance + " accepts acts of two holders within the min time");
     }
     m_lastAct[instance] = { holder.epoch, m_clock.now() };
 }
@@ -295,7 +295,7 @@
     std::vector<MonotonicInstant>& backAt = m_backAt[wave];
     std::erase_if(backAt, [this](MonotonicInstant back) { return back <= m_clock.now(); });
     if (backAt.size() >= m_maxConcurrent[wave])
-        breach("LIMIT", instance + " is taken down beside " + std::to_string(backAt.size()) + " others of wave " + std::to_string(wave));
+        reportBreach("LIMIT", instance + " is taken down beside " + std::to_string(backAt.size()) + " others of wave " + std::to_string(wave));
     backAt.push_back(m_clock.now() + time);
 }
 
@@ -329,7 +329,7 @@
 
 void GuaranteeChecker::onOverload(const std::string& worker, const Attempt& attempt)
 {
-    breach("LIMIT", nameOf(attempt.job, attempt.task) + " starts on " + worker + " beyond its capacity");
+    reportBreach("LIMIT", nameOf(attempt.job, attempt.task) + " starts on " + worker + " beyond its capacity");
 }
 
 JobCluster::JobCluster(std::uint64_t seed, std::size_t entries)
@@ -478,11 +478,11 @@
     store.put(documents.wavePrefix() + std::to_string(wave.number), text);
 }
 
-void JobCluster::evacuate(const std::string& dataHall, bool on)
+void JobCluster::evacuate(const std::string& dataHall, bool isRequested)
 {
-    checker.noteEvacuation(dataHall, on);
+    checker.noteEvacuation(dataHall, isRequested);
     const std::string key = documents.evacuationPrefix() + dataHall;
-    if (on)
+    if (isRequested)
         store.put(key, "{}");
     else
         store.remove(key);
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -66,7 +66,7 @@
     void noteCancelled(const std::string& id);
     void noteWave(const jobs::WaveRequest& wave);
     /// \brief Records an evacuation request for a data hall, or its withdrawal.
-    void noteEvacuation(const std::string& dataHall, bool on);
+    void noteEvacuation(const std::string& dataHall, bool isRequested);
     void onStart(const std::string& worker, const jobs::StartCommand& command, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
     void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
@@ -105,7 +105,7 @@
         std::optional<MonotonicInstant> cancelledAt; ///< When the caller received the acknowledgement.
     };
 
-    void breach(const std::string& rule, const std::string& detail);
+    void reportBreach(const std::string& rule, const std::string& detail);
     void noteSuccess(const jobs::Attempt& attempt);
     void noteFailure(const jobs::Attempt& attempt);
     void removeRunning(const std::string& worker, const jobs::Attempt& attempt);
@@ -129,7 +129,7 @@
     std::map<std::uint64_t, std::uint32_t> m_maxConcurrent; ///< By wave.
     std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Return times of the instances in maintenance, by wave.
     std::map<std::string, MonotonicInstant> m_evacuatedSince; ///< By data hall.
-    std::map<Task, MonotonicInstant> m_awaySince; ///< Time since which a task runs on no worker.
+    std::map<Task, MonotonicInstant> m_absentSince; ///< Time since which a task runs on no worker.
     /// A quota and, once replaced, the time until which it still applies.
     struct Quota {
         jobs::Resources limit;
@@ -204,7 +204,7 @@
     /// \param bytes Minimum size of the document.
     void configure(const jobs::ServiceConfiguration& configuration, std::size_t bytes = 0);
     void requestWave(const jobs::WaveRequest& wave);
-    void evacuate(const std::string& dataHall, bool on = true);
+    void evacuate(const std::string& dataHall, bool isRequested = true);
 
     /// \brief Submits a job and retries at random entries until the job is accepted.
     /// \param organisation Organisation of the caller's key; empty for a caller without a key.
--- a/standins/model/peers_model.cpp
+++ b/standins/model/peers_model.cpp
@@ -143,33 +143,33 @@
 std::shared_ptr<jobs::PeerLink> PeerPort::connect(const std::string& address)
 {
     const auto wire = std::make_shared<PeersModel::Wire>();
-    const auto here = std::make_shared<PeersModel::End>(m_peers, m_process, wire, 0);
+    const auto localEnd = std::make_shared<PeersModel::End>(m_peers, m_process, wire, 0);
     wire->addresses = { m_address, address };
-    wire->ends[0] = here;
-    const auto there = m_peers.m_ports.find(address);
+    wire->ends[0] = localEnd;
+    const auto listener = m_peers.m_ports.find(address);
     const std::set<std::string>& cut = m_peers.faults.partitioned;
     const bool isCut = !m_peers.carries(m_address, address) || !m_peers.carries(address, m_address);
     if (isCut || cut.contains(m_address) || cut.contains(address)) {
         wire->unresponsive = true;
-        return here;
+        return localEnd;
     }
-    if (there != m_peers.m_ports.end() && there->second->m_isPoweredOff) {
+    if (listener != m_peers.m_ports.end() && listener->second->m_isPoweredOff) {
         wire->unresponsive = true;
-        return here;
+        return localEnd;
     }
-    if (there == m_peers.m_ports.end() || !there->second->m_accepted) {
+    if (listener == m_peers.m_ports.end() || !listener->second->m_accepted) {
         wire->open = false;
-        wire->refused = there == m_peers.m_ports.end() || there->second->m_isClosed;
+        wire->refused = listener == m_peers.m_ports.end() || listener->second->m_isClosed;
         m_peers.endLater(wire, 0);
-        return here;
+        return localEnd;
     }
-    PeerPort& port = *there->second;
-    const auto far = std::make_shared<PeersModel::End>(m_peers, port.m_process, wire, 1);
-    wire->ends[1] = far;
+    PeerPort& port = *listener->second;
+    const auto remoteEnd = std::make_shared<PeersModel::End>(m_peers, port.m_process, wire, 1);
+    wire->ends[1] = remoteEnd;
     wire->unresponsive = std::bernoulli_distribution(m_peers.faults.silentShare)(m_peers.m_random);
     m_peers.track(wire);
-    port.m_process.deliver<bool>([accepted = port.m_accepted, far](bool) { accepted(far); })(true);
-    return here;
+    port.m_process.deliver<bool>([accepted = port.m_accepted, remoteEnd](bool) { accepted(remoteEnd); })(true);
+    return localEnd;
 }
 
 void PeerPort::close(bool silently)
--- a/standins/model/store_model.cpp
+++ b/standins/model/store_model.cpp
@@ -61,7 +61,7 @@
     return found == m_items.end() ? nullptr : &found->second;
 }
 
-std::vector<StoreItem> StoreModel::under(const std::string& prefix) const
+std::vector<StoreItem> StoreModel::itemsUnder(const std::string& prefix) const
 {
     std::vector<StoreItem> items;
     for (auto item = m_items.lower_bound(prefix); item != m_items.end() && hasPrefix(item->first, prefix); ++item)
@@ -241,7 +241,7 @@
 }
 
 template <typename Result>
-void StoreClient::call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun)
+void StoreClient::call(bool writes, std::function<Result()> operation, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun)
 {
     const MonotonicInstant deadline = m_store.m_clock.now() + timeout;
     ++m_store.m_calls;
@@ -267,14 +267,14 @@
     }
     if (writes && share(m_store.m_random) < faults.lateWrites) {
         std::uniform_int_distribution<int> pause(1'000, 6'000);
-        clock.after(Millis(pause(m_store.m_random)), [act] { static_cast<void>(act()); });
+        clock.after(Millis(pause(m_store.m_random)), [operation] { static_cast<void>(operation()); });
         clock.after(callTimeout, [answer] { answer(Result {}); });
         return;
     }
     const bool isAnswerLost = writes && share(m_store.m_random) < faults.lostAnswers;
-    clock.after(faults.answerTime / 2, [this, act, answer, isAnswerLost, deadline, begun] {
+    clock.after(faults.answerTime / 2, [this, operation, answer, isAnswerLost, deadline, begun] {
         m_store.expire();
-        const Result result = act();
+        const Result result = operation();
         if (isAnswerLost)
             m_store.m_clock.after(callTimeout, [answer] { answer(Result {}); });
         else
@@ -317,7 +317,7 @@
         false,
         [this, prefix, afterKey]() -> ItemsResult {
             ItemsResult result { .outcome = StoreOutcome::Done, .items = {}, .storeRevision = m_store.m_revision };
-            for (const StoreItem& item : m_store.under(prefix)) {
+            for (const StoreItem& item : m_store.itemsUnder(prefix)) {
                 if (item.key <= afterKey)
                     continue;
                 if (result.items.size() == pageSize) {
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -38,7 +38,7 @@
     void put(const std::string& key, const std::string& value, std::uint64_t lease = 0);
     void remove(const std::string& key);
     [[nodiscard]] const jobs::StoreItem* find(const std::string& key) const;
-    [[nodiscard]] std::vector<jobs::StoreItem> under(const std::string& prefix) const;
+    [[nodiscard]] std::vector<jobs::StoreItem> itemsUnder(const std::string& prefix) const;
 
     /// \brief Drops the history and ends pending watches with an unknown outcome.
     void compact();
@@ -112,7 +112,7 @@
 
 private:
     template <typename Result>
-    void call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun = nullptr);
+    void call(bool writes, std::function<Result()> operation, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun = nullptr);
 
     void fetchRange(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
     void awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -37,9 +37,9 @@
 
 void WorkersModel::startIncarnation(const std::string& instance)
 {
-    FleetInstance& on = m_instances[instance];
-    on.state = FleetState::Up;
-    if (m_reserves.contains(on.pool))
+    FleetInstance& target = m_instances[instance];
+    target.state = FleetState::Up;
+    if (m_reserves.contains(target.pool))
         return;
     ++m_lastIncarnation;
     const std::string id = "i-" + std::to_string(m_lastIncarnation);
@@ -52,12 +52,12 @@
 /// Places a new incarnation on an instance and writes its entry.
 void WorkersModel::placeIncarnation(const std::string& instance, const std::string& id, WorkerModel model)
 {
-    FleetInstance& on = m_instances[instance];
-    on.state = FleetState::Up;
-    on.worker = id;
+    FleetInstance& target = m_instances[instance];
+    target.state = FleetState::Up;
+    target.worker = id;
     const std::int64_t startedAt = simulationStart + std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()).count();
-    model.entry = { .id = id, .address = model.entry.address, .pool = on.pool, .dataHall = on.dataHall, .capacity = on.capacity, .labels = { on.kind, on.rack }, .rack = on.rack, .startedAt = startedAt };
-    model.recentMaxCapacity = on.capacity;
+    model.entry = { .id = id, .address = model.entry.address, .pool = target.pool, .dataHall = target.dataHall, .capacity = target.capacity, .labels = { target.kind, target.rack }, .rack = target.rack, .startedAt = startedAt };
+    model.recentMaxCapacity = target.capacity;
     model.instance = instance;
     m_workers[id] = std::move(model);
     if (onEntry)
@@ -81,7 +81,7 @@
     return found == m_workers.end() ? nullptr : &found->second;
 }
 
-WorkerModel* WorkersModel::on(const std::string& instance)
+WorkerModel* WorkersModel::workerOn(const std::string& instance)
 {
     return find(m_instances[instance].worker);
 }
@@ -317,16 +317,16 @@
     const auto found = m_instances.find(instance);
     if (found == m_instances.end())
         return FleetOutcome::Refused;
-    FleetInstance& on = found->second;
+    FleetInstance& target = found->second;
     if (checker)
         checker->onAct(instance, holder);
-    if (on.state != FleetState::Up)
+    if (target.state != FleetState::Up)
         return FleetOutcome::Busy;
-    if (WorkerModel* worker = find(on.worker))
+    if (WorkerModel* worker = find(target.worker))
         endIncarnation(*worker, true);
-    on.worker.clear();
-    on.pool = pool;
-    on.state = state;
+    target.worker.clear();
+    target.pool = pool;
+    target.state = state;
     m_clock.after(time, [this, instance] { startIncarnation(instance); });
     return FleetOutcome::Done;
 }
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -128,7 +128,7 @@
     void addReserve(const std::string& pool) { m_reserves.insert(pool); }
 
     /// \returns The current worker on an instance, or null.
-    [[nodiscard]] WorkerModel* on(const std::string& instance);
+    [[nodiscard]] WorkerModel* workerOn(const std::string& instance);
     [[nodiscard]] WorkerModel* find(const std::string& worker);
 
     /// \brief Crashes a worker with all its attempts. The instance is up again after `returnsAfter`.
--- a/tests/jobs/checkpoint_move_test.cpp
+++ b/tests/jobs/checkpoint_move_test.cpp
@@ -46,7 +46,7 @@
 
     [[nodiscard]] std::size_t runningOn(const std::string& instance)
     {
-        const model::WorkerModel* worker = workers.on(instance);
+        const model::WorkerModel* worker = workers.workerOn(instance);
         return worker ? worker->running.size() : 0;
     }
 
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned ok = 200;
 constexpr unsigned unavailable = 503;
 constexpr Millis applyTime { 2'000 }; ///< Default of the setting configurationApplyMs.
-constexpr Millis step10 { 10 };
+constexpr Millis tick { 10 };
 constexpr std::size_t slowLinkEntry = 1;
 
 /// \returns A configuration with the queue `work` and a queue whose path contains the version.
@@ -72,7 +72,7 @@
     REQUIRE(cluster.askRoute(1, 2).status == ok);
     cluster.cutFromStore(1, true);
     cluster.putRoute(3);
-    for (const Millis pause : { applyTime + step10, applyTime }) {
+    for (const Millis pause : { applyTime + tick, applyTime }) {
         cluster.clock.runFor(pause);
         for (const std::string target : { "/route-2/", "/q/", "/none/" }) {
             INFO(target);
@@ -95,7 +95,7 @@
     REQUIRE(cluster.askRoute(1, 2).status == ok);
     cluster.freeze(1);
     cluster.putRoute(3);
-    cluster.clock.runFor(applyTime + step10);
+    cluster.clock.runFor(applyTime + tick);
     std::optional<unsigned> status;
     HttpRequest request { .method = "GET", .target = "/route-2/", .headers = {}, .body = {} };
     request.headers.add("Host", "h:80");
@@ -147,7 +147,7 @@
         cluster.putRoute(version, documentBytes);
         const MonotonicInstant next = cluster.clock.now() + betweenChanges;
         while (cluster.clock.now() < next) {
-            cluster.clock.runFor(step10);
+            cluster.clock.runFor(tick);
             for (std::uint64_t old = 2; old <= version; ++old) {
                 const bool mayServe = cluster.mayServe(old);
                 const unsigned status = cluster.askRoute(slowLinkEntry, old).status;
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -37,7 +37,7 @@
         };
         workers.runTimes = [](const Attempt& attempt) { return Millis(attempt.job == poison ? 60'000 : 500); };
         if (busyBefore > Millis(0))
-            playWithQuickJobs(busyBefore, quickJobInterval, quickTasks);
+            runWithQuickJobs(busyBefore, quickJobInterval, quickTasks);
         submit(owner().value(), "work", poison, job({ std::move(poisonStep) }));
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Runs the cluster and submits a job of quick tasks at each interval.
-    void playWithQuickJobs(Millis time, Millis interval, std::uint32_t tasks)
+    void runWithQuickJobs(Millis time, Millis interval, std::uint32_t tasks)
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
@@ -114,7 +114,7 @@
             besideRecent += cluster.isBesideRecentStart() ? 1 : 0;
             return cluster.isBesideRecentStart() ? beforeAnswer : afterAnswer;
         };
-        cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
+        cluster.runWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
         CAPTURE(besideRecent);
         CHECK(besideRecent > 0);
         cluster.checkGuarantee();
@@ -134,7 +134,7 @@
                 besideRecent += isUnseen ? 1 : 0;
                 return isUnseen ? beforeAnswer : afterAnswer;
             };
-            cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
+            cluster.runWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
             CAPTURE(besideRecent);
             cluster.checkGuarantee();
         }
@@ -153,7 +153,7 @@
             besideRecent += isUnseen ? 1 : 0;
             return isUnseen ? beforeAnswer : afterAnswer;
         };
-        cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
+        cluster.runWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
         CAPTURE(besideRecent);
         CHECK(besideRecent > 0);
         cluster.checkGuarantee();
@@ -177,7 +177,7 @@
             }
             return apart++ < 2 ? beforeAnswer : afterAnswer;
         };
-        cluster.playWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
+        cluster.runWithQuickJobs(Millis(40'000), quickJobInterval, quickTasks);
         CAPTURE(besideRecent, apart);
         CHECK(besideRecent > 0);
         cluster.checkGuarantee();
@@ -563,7 +563,7 @@
         CAPTURE(seed);
         PoisonCluster cluster(seed, fewInstances, step(1), busyTime);
         cluster.crashesAfter = [] { return beforeAnswer; };
-        cluster.playWithQuickJobs(Millis(30'000), quickJobInterval, quickTasks);
+        cluster.runWithQuickJobs(Millis(30'000), quickJobInterval, quickTasks);
         cluster.workers.crashesWorker = nullptr;
         cluster.clock.runFor(Millis(10'000));
         CHECK(cluster.starts > 0);
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -30,60 +30,60 @@
         for (std::size_t i = 0; i < entryCount; ++i)
             start(i);
         clock.runFor(Millis(1'000));
-        serve(Millis(2'000));
+        runWithJobs(Millis(2'000));
         m_times.clear();
     }
 
     /// Sets the faults of one in `each` workers, and clears those of the others.
-    void faults(const model::WorkerFaults& faults, int each = 5)
+    void setFaults(const model::WorkerFaults& faults, int each = 5)
     {
         int number = 0;
         for (auto& [id, worker] : workers.workers())
             worker.faults = number++ % each == 0 ? faults : model::WorkerFaults {};
     }
 
-    void serve(Millis time)
+    void runWithJobs(Millis time)
     {
         const MonotonicInstant end = clock.now() + time;
         while (clock.now() < end) {
             const MonotonicInstant next = clock.now() + Millis(100);
-            m_open.emplace(jobId(++m_jobs), clock.now());
+            m_unfinished.emplace(jobId(++m_jobs), clock.now());
             submit(1, "work", jobId(m_jobs), job({ step(tasks) }));
             while (clock.now() < next)
                 clock.runFor(Millis(5));
-            noteDone();
+            noteFinishedJobs();
         }
     }
 
     /// Waits for the running jobs.
-    void settle(Millis time)
+    void awaitJobs(Millis time)
     {
         const MonotonicInstant end = clock.now() + time;
-        while (clock.now() < end && !m_open.empty()) {
+        while (clock.now() < end && !m_unfinished.empty()) {
             clock.runFor(Millis(100));
-            noteDone();
+            noteFinishedJobs();
         }
         std::sort(m_times.begin(), m_times.end());
     }
 
     /// \returns The quantile `share` of the jobs' durations.
-    [[nodiscard]] Millis time(double share) const { return m_times.at(static_cast<std::size_t>(share * static_cast<double>(m_times.size() - 1))); }
+    [[nodiscard]] Millis durationQuantile(double share) const { return m_times.at(static_cast<std::size_t>(share * static_cast<double>(m_times.size() - 1))); }
 
     /// \returns The number of jobs that took longer than `time`.
-    [[nodiscard]] std::size_t count(Millis time) const
+    [[nodiscard]] std::size_t jobsSlowerThan(Millis time) const
     {
         return static_cast<std::size_t>(std::count_if(m_times.begin(), m_times.end(), [&](Millis each) { return each > time; }));
     }
 
-    [[nodiscard]] std::size_t open() const { return m_open.size(); }
+    [[nodiscard]] std::size_t unfinished() const { return m_unfinished.size(); }
 
     static constexpr std::size_t entryCount = 3;
     std::uint32_t tasks = 24;
 
 private:
-    void noteDone()
+    void noteFinishedJobs()
     {
-        std::erase_if(m_open, [&](const auto& open) {
+        std::erase_if(m_unfinished, [&](const auto& open) {
             if (status(1, open.first) != JobStatus::Succeeded)
                 return false;
             m_times.push_back(std::chrono::duration_cast<Millis>(clock.now() - open.second));
@@ -92,7 +92,7 @@
     }
 
     std::uint64_t m_jobs = 0;
-    std::map<std::string, MonotonicInstant> m_open;
+    std::map<std::string, MonotonicInstant> m_unfinished;
     std::vector<Millis> m_times;
 };
 
@@ -113,10 +113,10 @@
 TEST_CASE("No worker is ejected or distrusted while all are healthy")
 {
     BusyPool pool;
-    pool.serve(Millis(10'000));
-    pool.settle(Millis(5'000));
+    pool.runWithJobs(Millis(10'000));
+    pool.awaitJobs(Millis(5'000));
     CHECK(ejections(pool) == 0);
-    CHECK(pool.time(1) <= Millis(800));
+    CHECK(pool.durationQuantile(1) <= Millis(800));
 }
 
 /// Guards against sending tasks to an unresponsive worker until its renewal times out.
@@ -125,14 +125,14 @@
     for (const model::WorkerFaults& faults : { model::WorkerFaults { .partitioned = true }, model::WorkerFaults { .lostAnswers = 1, .lostRenewals = 1 }, model::WorkerFaults { .lostCommands = 1 } }) {
         BusyPool pool;
         // A start is overdue after 100 ms at the earliest: two jobs are submitted by then.
-        const std::size_t affected = pool.open() + 2;
-        pool.faults(faults);
-        pool.serve(Millis(6'000));
-        pool.faults({});
-        pool.serve(Millis(4'000));
-        pool.settle(Millis(20'000));
-        CHECK(pool.open() == 0);
-        CHECK(pool.count(Millis(1'500)) <= affected);
+        const std::size_t affected = pool.unfinished() + 2;
+        pool.setFaults(faults);
+        pool.runWithJobs(Millis(6'000));
+        pool.setFaults({});
+        pool.runWithJobs(Millis(4'000));
+        pool.awaitJobs(Millis(20'000));
+        CHECK(pool.unfinished() == 0);
+        CHECK(pool.jobsSlowerThan(Millis(1'500)) <= affected);
         CHECK(pool.checker.breaches().empty());
     }
 }
@@ -141,24 +141,24 @@
 TEST_CASE("A burst avoids idle workers that have stopped answering")
 {
     BusyPool pool;
-    pool.settle(Millis(3'000));
+    pool.awaitJobs(Millis(3'000));
     pool.clock.runFor(Millis(2'000));
-    pool.faults({ .partitioned = true });
+    pool.setFaults({ .partitioned = true });
     pool.clock.runFor(Millis(1'300));
-    pool.serve(Millis(4'000));
-    pool.settle(Millis(4'000));
-    CHECK(pool.count(Millis(1'500)) == 0);
-    CHECK(pool.open() == 0);
+    pool.runWithJobs(Millis(4'000));
+    pool.awaitJobs(Millis(4'000));
+    CHECK(pool.jobsSlowerThan(Millis(1'500)) == 0);
+    CHECK(pool.unfinished() == 0);
 }
 
 /// Guards against waiting without limit for the response to a stop.
 TEST_CASE("A start that never arrived is abandoned at a worker that answers renewals and never a command")
 {
     BusyPool pool;
-    pool.faults({ .lostCommands = 1 });
-    pool.serve(Millis(1'000));
-    pool.settle(Millis(12'000));
-    CHECK(pool.open() == 0);
+    pool.setFaults({ .lostCommands = 1 });
+    pool.runWithJobs(Millis(1'000));
+    pool.awaitJobs(Millis(12'000));
+    CHECK(pool.unfinished() == 0);
     CHECK(pool.checker.breaches().empty());
 }
 
@@ -166,15 +166,15 @@
 TEST_CASE("If a third of a pool fails all its tasks, a fifth of the pool is ejected")
 {
     BusyPool pool;
-    pool.faults({ .failing = 1 }, 3);
+    pool.setFaults({ .failing = 1 }, 3);
     for (int i = 0; i < 20; ++i) {
-        pool.serve(Millis(200));
+        pool.runWithJobs(Millis(200));
         CHECK(ejectedAt(pool) <= 4);
     }
     CHECK(ejectedAt(pool) == 4);
-    pool.faults({});
-    pool.settle(Millis(20'000));
-    pool.serve(Millis(20'000));
+    pool.setFaults({});
+    pool.awaitJobs(Millis(20'000));
+    pool.runWithJobs(Millis(20'000));
     CHECK(ejectedAt(pool) == 0);
     CHECK(pool.checker.breaches().empty());
 }
@@ -182,8 +182,8 @@
 TEST_CASE("A worker that is 8 times slower is ejected and its peers are not")
 {
     BusyPool pool;
-    pool.faults({ .slowdown = 8 }, 20);
-    pool.serve(Millis(8'000));
+    pool.setFaults({ .slowdown = 8 }, 20);
+    pool.runWithJobs(Millis(8'000));
     const std::vector<WorkerReport> workers = pool.entry(pool.owner().value()).workers().workers;
     for (const WorkerReport& worker : workers) {
         INFO(worker.worker);
@@ -195,18 +195,18 @@
 TEST_CASE("A new owner ejects failing workers again after a crash of the previous one, and no guarantee is violated")
 {
     BusyPool pool;
-    pool.faults({ .lostCommands = 1 });
-    pool.serve(Millis(2'000));
+    pool.setFaults({ .lostCommands = 1 });
+    pool.runWithJobs(Millis(2'000));
     REQUIRE(ejectedAt(pool) > 0);
     const std::size_t lost = pool.owner().value();
     pool.kill(lost);
     pool.clock.runFor(Millis(3'000));
     pool.start(lost);
-    pool.serve(Millis(3'000));
+    pool.runWithJobs(Millis(3'000));
     CHECK(ejections(pool) > 0);
-    pool.faults({});
-    pool.settle(Millis(20'000));
-    CHECK(pool.open() == 0);
+    pool.setFaults({});
+    pool.awaitJobs(Millis(20'000));
+    CHECK(pool.unfinished() == 0);
     CHECK(pool.checker.breaches().empty());
 }
 
@@ -214,10 +214,10 @@
 /// workers were ejected.
 TEST_CASE("A poison task ejects no worker, and fails after as many crashes with failing workers in the pool")
 {
-    for (const bool isTroubled : { false, true }) {
+    for (const bool hasFailingWorkers : { false, true }) {
         BusyPool pool;
-        if (isTroubled)
-            pool.faults({ .lostCommands = 1 }, 7);
+        if (hasFailingWorkers)
+            pool.setFaults({ .lostCommands = 1 }, 7);
         const std::string poison = jobId(9'999);
         int crashes = 0;
         pool.workers.crashesWorker = [&](const Attempt& attempt) {
@@ -225,16 +225,16 @@
             return attempt.job == poison;
         };
         pool.submit(1, "work", poison, job({ step(1) }));
-        pool.serve(Millis(15'000));
+        pool.runWithJobs(Millis(15'000));
         // Its first start may be lost at a failing worker, where its lease expires after 7 s.
-        pool.settle(Millis(20'000));
+        pool.awaitJobs(Millis(20'000));
         CHECK(pool.waitFor(Millis(10'000), [&] { return pool.status(1, poison) == JobStatus::Failed; }));
         CHECK(crashes == 3);
-        if (!isTroubled)
+        if (!hasFailingWorkers)
             CHECK(ejections(pool) == 0);
-        pool.faults({});
-        pool.settle(Millis(20'000));
-        CHECK(pool.open() == 0);
+        pool.setFaults({});
+        pool.awaitJobs(Millis(20'000));
+        CHECK(pool.unfinished() == 0);
         CHECK(pool.checker.breaches().empty());
     }
 }
--- a/tests/jobs/hall_loss_test.cpp
+++ b/tests/jobs/hall_loss_test.cpp
@@ -202,11 +202,11 @@
             start(i);
         clock.runFor(Millis(1'000));
         submit(0, "work", jobId(1), job({ longStep(6) }));
-        play(Millis(3'000));
+        runWithShortJobs(Millis(3'000));
     }
 
     /// Runs the cluster and submits a job every 50 ms.
-    void play(Millis time)
+    void runWithShortJobs(Millis time)
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
@@ -249,7 +249,7 @@
         // The owner may be in the same data hall.
         if (seed > 2)
             cluster.kill(owner, true);
-        cluster.play(Millis(8'000));
+        cluster.runWithShortJobs(Millis(8'000));
         cluster.start(owner);
         cluster.clock.runFor(Millis(15'000));
         CHECK(cluster.allSucceeded());
@@ -263,7 +263,7 @@
 {
     ThreeHalls cluster(1);
     cluster.workers.losePower("hall-a", Millis(5'000));
-    cluster.play(Millis(4'900));
+    cluster.runWithShortJobs(Millis(4'900));
     REQUIRE(cluster.runningIn("hall-a") == 0);
     // More work than the other data halls have room for.
     cluster.workers.runTimes = [](const Attempt&) { return Millis(2'000); };
@@ -277,7 +277,7 @@
     // A quarter of its six instances.
     CHECK(busy <= 2);
     cluster.workers.losePower("hall-a", Millis(1'500));
-    cluster.play(Millis(6'000));
+    cluster.runWithShortJobs(Millis(6'000));
     cluster.clock.runFor(Millis(15'000));
     CHECK(cluster.allSucceeded());
     CHECK(cluster.checker.breaches().empty());
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -83,11 +83,11 @@
 // Guards against store calls and delays for tasks without attributed crashes that cannot have crashed a worker.
 TEST_CASE("First starts under a new owner cost as much as under the one before")
 {
-    const Cost needed = WaitingCluster(KilledRole::OtherEntry).measureCost();
-    const Cost paid = WaitingCluster(KilledRole::Owner).measureCost();
-    CAPTURE(needed.untilSent.count(), paid.untilSent.count(), needed.storeCalls, paid.storeCalls);
-    CHECK(paid.untilSent <= needed.untilSent + Millis(50));
-    CHECK(paid.storeCalls <= needed.storeCalls + 3);
+    const Cost underSameOwner = WaitingCluster(KilledRole::OtherEntry).measureCost();
+    const Cost underNewOwner = WaitingCluster(KilledRole::Owner).measureCost();
+    CAPTURE(underSameOwner.untilSent.count(), underNewOwner.untilSent.count(), underSameOwner.storeCalls, underNewOwner.storeCalls);
+    CHECK(underNewOwner.untilSent <= underSameOwner.untilSent + Millis(50));
+    CHECK(underNewOwner.storeCalls <= underSameOwner.storeCalls + 3);
 }
 
 // Guards against a new owner that misses evidence of worker crashes: its first start of a poison task would be unrecorded again.
--- a/tests/jobs/job_state_test.cpp
+++ b/tests/jobs/job_state_test.cpp
@@ -14,7 +14,7 @@
 constexpr MonotonicInstant start { std::chrono::seconds(100) };
 constexpr std::uint32_t maxAttempts = 2;
 
-JobState open(const JobSpec& spec, const ProgressRecord& progress = {}, std::uint64_t base = 0)
+JobState makeState(const JobSpec& spec, const ProgressRecord& progress = {}, std::uint64_t base = 0)
 {
     JobState state(jobId(1), std::make_shared<const JobRecord>(JobRecord { .queue = "work", .pool = "main", .acceptedAt = Instant(Millis(0)), .spec = spec }), progress, base);
     state.openOccurrences(Instant(Millis(0)));
@@ -30,7 +30,7 @@
 
 TEST_CASE("A step starts when all its dependencies have succeeded")
 {
-    JobState state = open(job({ step(2), step(1, { 0 }) }));
+    JobState state = makeState(job({ step(2), step(1, { 0 }) }));
     CHECK(state.startable({ 0, 0 }, start).size() == 2);
     CHECK(state.startable({ 0, 1 }, start).empty());
     state.begin({ 0, 0, 0 }, 1, "w", start);
@@ -48,7 +48,7 @@
 
 TEST_CASE("Each failure counts once, and the job fails at the maximum number of failures")
 {
-    JobState state = open(job({ step(1) }));
+    JobState state = makeState(job({ step(1) }));
     state.begin({}, 1, "w", start);
     CHECK(state.end(ended({}, 1, AttemptEnd::Failed), "w", maxAttempts, start).toBeStored);
     CHECK_FALSE(state.end(ended({}, 1, AttemptEnd::Failed), "w", maxAttempts, start).finished);
@@ -63,7 +63,7 @@
 
 TEST_CASE("A long-running task never fails its job and never succeeds")
 {
-    JobState state = open(job({ longStep(1) }));
+    JobState state = makeState(job({ longStep(1) }));
     for (std::uint64_t number = 1; number < 10; ++number) {
         state.begin({}, number, "w", start);
         CHECK_FALSE(state.end(ended({}, number, number % 2 == 0 ? AttemptEnd::Failed : AttemptEnd::Succeeded), "w", 1, start).finished);
@@ -74,7 +74,7 @@
 
 TEST_CASE("The end of an attempt that was replaced changes nothing")
 {
-    JobState state = open(job({ step(1) }));
+    JobState state = makeState(job({ step(1) }));
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
     state.begin({}, 2, "v", start);
@@ -86,7 +86,7 @@
 {
     // Random run 1094: the newer attempt failed, and a third one began after the older attempt's success had been acknowledged to its
     // worker as stored.
-    JobState state = open(job({ step(1) }));
+    JobState state = makeState(job({ step(1) }));
     state.begin({}, 1, "w", start);
     state.drop({ jobId(1), {}, 1 }, start);
     state.begin({}, 2, "v", start);
@@ -99,7 +99,7 @@
     ProgressRecord progress;
     progress.tasks[{ 0, 0, 1 }].failedAttempts = { 7 };
     progress.succeeded[{ 0, 0 }] = { false, false, true };
-    JobState state = open(job({ step(3) }), progress, 4'096);
+    JobState state = makeState(job({ step(3) }), progress, 4'096);
     CHECK(state.adopt({ jobId(1), { 0, 0, 0 }, 5 }, "w", start));
     CHECK_FALSE(state.adopt({ jobId(1), { 0, 0, 0 }, 6 }, "v", start));
     CHECK(state.hasFailed({ jobId(1), { 0, 0, 1 }, 7 }));
@@ -111,7 +111,7 @@
 {
     StepSpec gang = step(3);
     gang.gang = true;
-    JobState state = open(job({ gang }));
+    JobState state = makeState(job({ gang }));
     for (std::uint32_t i = 0; i < 3; ++i)
         state.begin({ 0, 0, i }, 1, "w", start);
     CHECK(state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Failed), "w", maxAttempts, start).toBeStored);
@@ -132,7 +132,7 @@
     gang.gang = true;
     ProgressRecord progress;
     progress.tasks[{ 0, 0, 0 }].failedAttempts = { 7 };
-    JobState state = open(job({ gang }), progress, 4'096);
+    JobState state = makeState(job({ gang }), progress, 4'096);
     CHECK(state.adopt({ jobId(1), { 0, 0, 1 }, 7 }, "w", start));
     CHECK(state.hasFailed({ jobId(1), { 0, 0, 1 }, 7 }));
     CHECK(state.startable({ 0, 0 }, start).size() == 1);
@@ -144,7 +144,7 @@
     spec.occurrences = 2;
     spec.firstStart = Instant(Millis(1'000));
     spec.interval = Millis(500);
-    JobState state = open(spec);
+    JobState state = makeState(spec);
     CHECK(state.steps().empty());
     CHECK(state.nextDue() == Instant(Millis(1'000)));
     CHECK_FALSE(state.openOccurrences(Instant(Millis(999))));
@@ -160,12 +160,12 @@
 
 TEST_CASE("Progress survives a change of owner completely")
 {
-    JobState state = open(job({ step(3), step(2, { 0 }) }));
+    JobState state = makeState(job({ step(3), step(2, { 0 }) }));
     state.begin({ 0, 0, 0 }, 1, "w", start);
     state.begin({ 0, 0, 1 }, 1, "w", start);
     state.end(ended({ 0, 0, 0 }, 1, AttemptEnd::Succeeded), "w", maxAttempts, start);
     state.end(ended({ 0, 0, 1 }, 1, AttemptEnd::Stopped, "half"), "w", maxAttempts, start);
-    const JobState next = open(state.record().spec, decodeProgress(encode(state.progress())).value(), 4'096);
+    const JobState next = makeState(state.record().spec, decodeProgress(encode(state.progress())).value(), 4'096);
     CHECK(next.find({ 0, 0, 0 })->succeeded);
     CHECK(next.find({ 0, 0, 1 })->checkpoint == "half");
     CHECK(next.progress() == state.progress());
@@ -173,7 +173,7 @@
 
 TEST_CASE("A cancelled job starts nothing, and stays cancelled")
 {
-    JobState state = open(job({ step(2) }));
+    JobState state = makeState(job({ step(2) }));
     state.begin({ 0, 0, 0 }, 1, "w", start);
     state.cancel();
     CHECK(state.startable({ 0, 0 }, start).empty());
@@ -205,7 +205,7 @@
 {
     // Random run 62262: the previous owner had not stored the second failure. Its successor had already adopted the third attempt,
     // ignored the failure and started a fourth attempt.
-    JobState state = open(job({ step(1) }), {}, 4'096);
+    JobState state = makeState(job({ step(1) }), {}, 4'096);
     REQUIRE(state.adopt({ jobId(1), {}, 2 }, "w", start));
     const EndEffect late = state.end(ended({}, 1, AttemptEnd::Failed), "v", maxAttempts, start);
     CHECK(late.toBeStored);
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -44,7 +44,7 @@
 }
 
 /// Result of a plan for a shift of load, and its number of instance inspections.
-struct TurnPlan {
+struct LoadShiftPlan {
     CapacityStep step;
     std::uint64_t inspected = 0;
 };
@@ -52,7 +52,7 @@
 constexpr std::size_t largeFleet = 1'100;
 
 /// Plans for one pool that asks for more than the whole fleet, while each other one asks for a twentieth of an even share.
-TurnPlan planTurn(std::size_t asking, std::size_t off, Use others)
+LoadShiftPlan planLoadShift(std::size_t asking, std::size_t off, Use others)
 {
     const std::size_t third = (largeFleet - asking - off) / 3;
     const auto little = static_cast<std::int64_t>(largeFleet / 100);
@@ -60,9 +60,9 @@
         largePool("d", largeFleet - asking - off - 2 * third, others, little), largePool("off", off, Use::Idle, 0) };
     pools.back().reserve = true;
     CapacityPlan plan;
-    TurnPlan turn { .step = plan.next(pools, start) };
-    turn.inspected = plan.inspected();
-    return turn;
+    LoadShiftPlan result { .step = plan.next(pools, start) };
+    result.inspected = plan.inspected();
+    return result;
 }
 
 /// A plan inspects each instance a few times for each pool that could get it. 100,000 inspections take a tenth of a second.
@@ -72,16 +72,16 @@
 
 TEST_CASE("Moving hundreds of idle instances inspects each of them a few times")
 {
-    const TurnPlan turn = planTurn(110, 220, Use::Idle);
-    CHECK(turn.step.moves.size() > largeFleet / 2);
-    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
+    const LoadShiftPlan result = planLoadShift(110, 220, Use::Idle);
+    CHECK(result.step.moves.size() > largeFleet / 2);
+    CHECK(result.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
 TEST_CASE("Draining hundreds of busy instances inspects each of them a few times")
 {
-    const TurnPlan turn = planTurn(55, 20, Use::Busy);
-    CHECK(turn.step.drains.size() > largeFleet / 10);
-    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
+    const LoadShiftPlan result = planLoadShift(55, 20, Use::Busy);
+    CHECK(result.step.drains.size() > largeFleet / 10);
+    CHECK(result.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
 TEST_CASE("Work that waits for room is not checked against each worker in each pass")
@@ -114,15 +114,15 @@
     cluster.store.faults.maxEvents = 100;
     const std::size_t standby = *cluster.owner() == 1 ? 2 : 1;
     std::uint64_t number = 0;
-    std::size_t keptBefore = 0; // Two thirds of a second ago.
+    std::size_t acceptedBefore = 0; // Two thirds of a second ago.
     for (int round = 0; round < 6; ++round) {
-        keptBefore = cluster.accepted().size();
+        acceptedBefore = cluster.accepted().size();
         for (int i = 0; i < 100; ++i) {
             cluster.submit(0, "work", jobId(++number), job({ step(1) }));
             cluster.clock.runFor(Millis(7));
         }
     }
-    CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= keptBefore);
+    CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= acceptedBefore);
     // A successor has to read the missing changes before it may start tasks.
     const std::uint64_t starts = cluster.checker.starts();
     cluster.entry(*cluster.owner()).stop([] {});
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -50,13 +50,13 @@
         for (std::size_t i = 0; i < instances; ++i)
             workers.addInstance("m-" + std::to_string(i), "main", "r-" + std::to_string(i / 4), { .milliCpu = 8'000, .memoryMb = 16'000 });
         workers.runTimes = [](const Attempt&) { return taskTime; };
-        use(0, {});
+        applyQuota(0, {});
         for (std::size_t i = 0; i < entries(); ++i)
             start(i);
         clock.runFor(Millis(2'000));
     }
 
-    void use(std::size_t limited, const Resources& quota)
+    void applyQuota(std::size_t limited, const Resources& quota)
     {
         ServiceConfiguration configuration = smallConfiguration(++m_version);
         std::vector<OrganisationSettings> list;
@@ -76,14 +76,14 @@
     }
 
     /// Runs the cluster while each organisation submits at its rate, in jobs a second.
-    void play(Millis time, const std::vector<double>& rates)
+    void runWithRates(Millis time, const std::vector<double>& rates)
     {
         constexpr Millis step { 20 };
         std::vector<double> inPhase(rates.size(), 0);
-        std::vector<double>& owed = m_staggered.empty() ? inPhase : m_staggered;
+        std::vector<double>& accumulated = m_staggered.empty() ? inPhase : m_staggered;
         for (Millis passed(0); passed < time; passed += step) {
             for (std::size_t i = 0; i < rates.size(); ++i) {
-                for (owed[i] += rates[i] * std::chrono::duration<double>(step).count(); owed[i] >= 1; owed[i] -= 1)
+                for (accumulated[i] += rates[i] * std::chrono::duration<double>(step).count(); accumulated[i] >= 1; accumulated[i] -= 1)
                     call(i);
             }
             clock.runFor(step);
@@ -210,14 +210,14 @@
 
 void burst(PressureCluster& cluster, std::vector<double> rates, std::size_t hot, double times)
 {
-    cluster.play(Millis(2'000), rates);
+    cluster.runWithRates(Millis(2'000), rates);
     for (std::size_t i = 0; i < hot; ++i)
         rates[i] *= times;
-    cluster.play(Millis(5'000), rates);
+    cluster.runWithRates(Millis(5'000), rates);
     for (std::size_t i = 0; i < hot; ++i)
         rates[i] /= times;
-    cluster.play(Millis(2'000), rates);
-    cluster.play(Millis(5'000), std::vector<double>(rates.size(), 0));
+    cluster.runWithRates(Millis(2'000), rates);
+    cluster.runWithRates(Millis(5'000), std::vector<double>(rates.size(), 0));
 }
 
 } // namespace
@@ -291,12 +291,12 @@
     PressureCluster cluster(4, 20, true);
     std::vector<double> rates = usualRates(20);
     rates[0] = 160;
-    cluster.play(Millis(2'000), rates);
+    cluster.runWithRates(Millis(2'000), rates);
     cluster.kill(cluster.owner().value());
-    cluster.play(Millis(3'000), rates);
+    cluster.runWithRates(Millis(3'000), rates);
     const std::uint64_t refusals = cluster.refusals;
     const std::size_t accepted = cluster.outcomes[0].accepted;
-    cluster.play(Millis(2'000), rates);
+    cluster.runWithRates(Millis(2'000), rates);
     cluster.print("lost owner, with", 1);
     CHECK(cluster.refusals > refusals);
     CHECK(cluster.outcomes[0].accepted - accepted < 160);
--- a/tests/jobs/peer_sockets_test.cpp
+++ b/tests/jobs/peer_sockets_test.cpp
@@ -44,21 +44,21 @@
     }
 
     /// \returns Whether `holds` became true before the timeout.
-    bool waitFor(const std::function<bool()>& holds)
+    bool waitFor(const std::function<bool()>& condition)
     {
         const jobs::MonotonicInstant until = loop.now() + timeout;
-        pollUntil(holds, until);
+        pollUntil(condition, until);
         loop.run();
-        return holds();
+        return condition();
     }
 
 private:
-    void pollUntil(const std::function<bool()>& holds, jobs::MonotonicInstant until)
+    void pollUntil(const std::function<bool()>& condition, jobs::MonotonicInstant until)
     {
-        if (holds() || loop.now() >= until)
+        if (condition() || loop.now() >= until)
             loop.stop();
         else
-            loop.callAt(loop.now() + Millis(2), [this, holds, until] { pollUntil(holds, until); });
+            loop.callAt(loop.now() + Millis(2), [this, condition, until] { pollUntil(condition, until); });
     }
 };
 
--- a/tests/jobs/poison_task_test.cpp
+++ b/tests/jobs/poison_task_test.cpp
@@ -47,8 +47,8 @@
     {
         const MonotonicInstant until = clock.now() + time;
         while (clock.now() < until) {
-            submit(quick % entries(), "work", jobId(100 + quick), job({ step(3) }));
-            ++quick;
+            submit(quickJobs % entries(), "work", jobId(100 + quickJobs), job({ step(3) }));
+            ++quickJobs;
             clock.runFor(Millis(400));
         }
     }
@@ -57,14 +57,14 @@
     std::uint64_t unserved(std::size_t index = 0)
     {
         std::uint64_t count = 0;
-        for (std::uint64_t i = 0; i < quick; ++i)
+        for (std::uint64_t i = 0; i < quickJobs; ++i)
             count += shows(jobId(100 + i), JobStatus::Succeeded, index) ? 0 : 1;
         return count;
     }
 
     inline static const std::string poisonJob = jobId(1);
     inline static const std::string longRunningJob = jobId(2);
-    std::uint64_t quick = 0;
+    std::uint64_t quickJobs = 0;
 };
 
 } // namespace
@@ -107,11 +107,11 @@
     cluster.clock.runFor(Millis(25'000));
     CHECK(othersRun());
     CHECK(cluster.shows(PoisonTaskCluster::longRunningJob, JobStatus::Running));
-    const std::uint32_t ended = cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 });
-    CHECK(ended >= 3);
+    const std::uint32_t crashes = cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 });
+    CHECK(crashes >= 3);
     cluster.kill(*cluster.owner());
     cluster.clock.runFor(Millis(15'000));
-    CHECK(cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }) == ended);
+    CHECK(cluster.checker.workersCrashedBy(PoisonTaskCluster::longRunningJob, { 0, 0, 3 }) == crashes);
     CHECK(othersRun());
     CHECK(cluster.checker.breaches().empty());
 }
@@ -121,16 +121,16 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         PoisonTaskCluster cluster(seed);
-        std::uint32_t ended = 0;
+        std::uint32_t crashes = 0;
         // After every second crash the owner is killed, during the wait for the proof that the worker has ended.
         for (int round = 0; round < 400; ++round) {
             cluster.clock.runFor(Millis(100));
             const std::uint32_t now = cluster.checker.workersCrashedBy(PoisonTaskCluster::poisonJob, { 0, 1, 0 });
             const std::optional<std::size_t> owner = cluster.owner();
-            if (now == ended || !owner)
+            if (now == crashes || !owner)
                 continue;
-            ended = now;
-            if (ended % 2 == 1) {
+            crashes = now;
+            if (crashes % 2 == 1) {
                 cluster.kill(*owner);
                 cluster.clock.after(Millis(1'500), [&cluster, index = *owner] { cluster.start(index); });
             }
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -43,7 +43,7 @@
         : m_cluster(seed, 3, 6, 2, faults == Faults::Relayed || faults == Faults::Partitioned ? 1 : 0, faults == Faults::Halls ? evacuationTime : Millis(0), faults == Faults::Partitioned)
         , m_seed(seed)
         , m_faults(faults)
-        , m_laterRandom(seed)
+        , m_secondaryRandom(seed)
     {
         m_cluster.workers.runTimes = [this](const Attempt&) { return Millis(pick(100, 2'500)); };
         if (faults == Faults::Mixed)
@@ -58,34 +58,34 @@
         }
     }
 
-    void play()
+    void execute()
     {
         const MonotonicInstant end = m_cluster.clock.now() + runLength;
         while (m_cluster.clock.now() < end) {
             m_cluster.clock.runFor(Millis(pick(20, 400)));
             if (pick(0, 2) == 0)
                 submitJob();
-            if (pick(0, 7) == 0 && (!hasFewFaults() || pickLater(0, 7) == 0))
+            if (pick(0, 7) == 0 && (!hasFewFaults() || pickSecondary(0, 7) == 0))
                 injectFault();
             if (pick(0, 40) == 0 && m_jobs > 0)
                 cancel();
-            if (m_faults != Faults::First && pickLater(0, 30) == 0)
-                injectLaterFault();
-            if ((m_faults == Faults::Relayed || m_faults == Faults::Partitioned) && pickLater(0, 15) == 0)
+            if (m_faults != Faults::First && pickSecondary(0, 30) == 0)
+                injectSecondaryFault();
+            if ((m_faults == Faults::Relayed || m_faults == Faults::Partitioned) && pickSecondary(0, 15) == 0)
                 injectLinkFault();
-            if (m_faults == Faults::Partitioned && pickLater(0, 12) == 0)
+            if (m_faults == Faults::Partitioned && pickSecondary(0, 12) == 0)
                 partitionHalls();
-            if (m_faults == Faults::Organised && pickLater(0, 25) == 0)
+            if (m_faults == Faults::Organised && pickSecondary(0, 25) == 0)
                 changeQuotas();
-            if (m_faults == Faults::PoisonTasks && pickLater(0, 10) == 0)
+            if (m_faults == Faults::PoisonTasks && pickSecondary(0, 10) == 0)
                 resize();
-            if (m_faults == Faults::Halls && pickLater(0, 20) == 0)
+            if (m_faults == Faults::Halls && pickSecondary(0, 20) == 0)
                 injectHallFault();
-            if (m_faults == Faults::Restarting && pickLater(0, 25) == 0)
+            if (m_faults == Faults::Restarting && pickSecondary(0, 25) == 0)
                 restart();
-            if (m_faults == Faults::UnreportedFaults && pickLater(0, 12) == 0)
+            if (m_faults == Faults::UnreportedFaults && pickSecondary(0, 12) == 0)
                 injectUnreportedFault();
-            if (m_faults == Faults::RestartingOften && pickLater(0, 8) == 0)
+            if (m_faults == Faults::RestartingOften && pickSecondary(0, 8) == 0)
                 restart();
         }
         heal();
@@ -124,20 +124,20 @@
 
     void injectHallFault()
     {
-        const std::string hall = std::array { "hall", "hall-b", "hall-c" }.at(pickLater(0, 2));
-        if (pickLater(0, 3) == 0) {
+        const std::string hall = std::array { "hall", "hall-b", "hall-c" }.at(pickSecondary(0, 2));
+        if (pickSecondary(0, 3) == 0) {
             // The store serves all other calls, and the owner must still respect the bound.
             m_cluster.store.faults.refusedRanges = m_cluster.documents.evacuationPrefix();
-            m_cluster.clock.after(Millis(pickLater(500, 9'000)), [this] { m_cluster.store.faults.refusedRanges.clear(); });
+            m_cluster.clock.after(Millis(pickSecondary(500, 9'000)), [this] { m_cluster.store.faults.refusedRanges.clear(); });
             return;
         }
-        if (pickLater(0, 2) == 0) {
-            m_cluster.workers.losePower(hall, Millis(pickLater(0, 1) == 0 ? 1'500 : pickLater(2'000, 15'000)));
+        if (pickSecondary(0, 2) == 0) {
+            m_cluster.workers.losePower(hall, Millis(pickSecondary(0, 1) == 0 ? 1'500 : pickSecondary(2'000, 15'000)));
             return;
         }
         m_cluster.evacuate(hall);
         // Some requests are withdrawn before the evacuation is complete.
-        m_cluster.clock.after(Millis(pickLater(300, 12'000)), [this, hall] { m_cluster.evacuate(hall, false); });
+        m_cluster.clock.after(Millis(pickSecondary(300, 12'000)), [this, hall] { m_cluster.evacuate(hall, false); });
     }
 
     /// Changes the quotas of the organisations; the largest gang fits the smallest one.
@@ -147,7 +147,7 @@
         ServiceConfiguration configuration = smallConfiguration(++m_version);
         std::vector<OrganisationSettings> organisations;
         for (const char* name : { "north", "south" }) {
-            const Resources quota { .milliCpu = static_cast<std::int64_t>(pickLater(5, 12)) * core };
+            const Resources quota { .milliCpu = static_cast<std::int64_t>(pickSecondary(5, 12)) * core };
             organisations.push_back({ .name = name, .keys = { ApiKeyDigest::of(name) }, .weight = 1, .quota = quota });
             m_cluster.checker.noteQuota(name, quota);
         }
@@ -174,7 +174,7 @@
     std::uint64_t pick(std::uint64_t lowest, std::uint64_t highest) { return std::uniform_int_distribution<std::uint64_t>(lowest, highest)(m_cluster.random); }
 
     /// Draws from a second generator, so that the draws of the first kinds of fault stay the same.
-    std::uint64_t pickLater(std::uint64_t lowest, std::uint64_t highest) { return std::uniform_int_distribution<std::uint64_t>(lowest, highest)(m_laterRandom); }
+    std::uint64_t pickSecondary(std::uint64_t lowest, std::uint64_t highest) { return std::uniform_int_distribution<std::uint64_t>(lowest, highest)(m_secondaryRandom); }
 
     std::size_t anyEntry() { return pick(0, m_cluster.entries() - 1); }
 
@@ -184,7 +184,7 @@
         model::WorkerModel* worker = anyWorker();
         if (!worker)
             return;
-        const auto cores = static_cast<std::int64_t>(pickLater(2, 8));
+        const auto cores = static_cast<std::int64_t>(pickSecondary(2, 8));
         m_cluster.workers.resize(worker->entry.id, { .milliCpu = cores * 1'000, .memoryMb = cores * 2'000 });
     }
 
@@ -192,7 +192,7 @@
     void restart()
     {
         if (const model::WorkerModel* worker = anyWorker())
-            m_cluster.workers.restart(std::string(worker->entry.id), Millis(pickLater(0, 1) == 0 ? pickLater(1, 300) : pickLater(300, 9'000)));
+            m_cluster.workers.restart(std::string(worker->entry.id), Millis(pickSecondary(0, 1) == 0 ? pickSecondary(1, 300) : pickSecondary(300, 9'000)));
     }
 
     void submitJob()
@@ -205,7 +205,7 @@
         if (pick(0, 9) == 0)
             steps[0].gang = !steps[0].longRunning;
         const std::string id = jobId(++m_jobs);
-        if (m_faults == Faults::PoisonTasks && pickLater(0, 14) == 0)
+        if (m_faults == Faults::PoisonTasks && pickSecondary(0, 14) == 0)
             m_poisonJobs.insert(id);
         std::string queue = "work";
         if (m_faults == Faults::Mixed) {
@@ -214,7 +214,7 @@
         }
         std::string organisation;
         if (m_faults == Faults::Organised)
-            organisation = std::array { "north", "south", "east" }.at(pickLater(0, 2));
+            organisation = std::array { "north", "south", "east" }.at(pickSecondary(0, 2));
         // Long-running tasks might exhaust a quota permanently.
         if (m_faults == Faults::Organised && steps[0].longRunning)
             organisation = "east";
@@ -241,7 +241,7 @@
         return alive.empty() ? nullptr : alive[pick(0, alive.size() - 1)];
     }
 
-    void later(std::uint64_t lowest, std::uint64_t highest, std::function<void()> heal)
+    void afterRandomTime(std::uint64_t lowest, std::uint64_t highest, std::function<void()> heal)
     {
         m_cluster.clock.after(Millis(pick(lowest, highest)), std::move(heal));
     }
@@ -259,7 +259,7 @@
             injectEntryFault();
             return;
         case 3:
-            wave();
+            requestRandomWave();
             return;
         default:
             injectWorkerFault();
@@ -291,7 +291,7 @@
                 m_cluster.store.revokeLeases();
             return;
         }
-        later(500, 5'000, [this] { m_cluster.store.faults = {}; });
+        afterRandomTime(500, 5'000, [this] { m_cluster.store.faults = {}; });
     }
 
     void injectEntryFault()
@@ -302,20 +302,20 @@
         switch (pick(0, 3)) {
         case 0:
             m_cluster.kill(entry);
-            later(300, 3'000, [this, entry] { m_cluster.start(entry); });
+            afterRandomTime(300, 3'000, [this, entry] { m_cluster.start(entry); });
             return;
         case 1:
             m_cluster.freeze(entry);
-            later(500, 5'000, [this, entry] { m_cluster.thaw(entry); });
+            afterRandomTime(500, 5'000, [this, entry] { m_cluster.thaw(entry); });
             return;
         case 2:
             m_cluster.cutFromStore(entry, true);
-            later(500, 5'000, [this, entry] { m_cluster.cutFromStore(entry, false); });
+            afterRandomTime(500, 5'000, [this, entry] { m_cluster.cutFromStore(entry, false); });
             return;
         default:
             for (std::size_t i = 0; i < m_cluster.entries(); ++i) {
                 m_cluster.kill(i);
-                later(300, 2'000, [this, i] { m_cluster.start(i); });
+                afterRandomTime(300, 2'000, [this, i] { m_cluster.start(i); });
             }
         }
     }
@@ -352,7 +352,7 @@
             m_cluster.workers.crash(id, Millis(pick(2'000, 20'000)));
             return;
         }
-        later(500, 7'000, [this, id] {
+        afterRandomTime(500, 7'000, [this, id] {
             m_cluster.workers.find(id)->faults = {};
             if (m_cluster.workers.find(id)->alive)
                 m_cluster.store.put(m_cluster.documents.workerPrefix() + id, id);
@@ -365,9 +365,9 @@
         const model::WorkerModel* first = anyWorker();
         if (!first)
             return;
-        const std::array<model::WorkerFaults, 6> troubles { model::WorkerFaults { .partitioned = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostCommands = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowdown = 8 } };
-        const model::WorkerFaults faults = troubles.at(pickLater(0, troubles.size() - 1));
-        const bool isWholeRack = pickLater(0, 3) == 0;
+        const std::array<model::WorkerFaults, 6> candidates { model::WorkerFaults { .partitioned = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostCommands = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowdown = 8 } };
+        const model::WorkerFaults faults = candidates.at(pickSecondary(0, candidates.size() - 1));
+        const bool isWholeRack = pickSecondary(0, 3) == 0;
         const std::string rack = first->entry.rack;
         const std::string id = first->entry.id;
         std::vector<std::string> touched;
@@ -377,7 +377,7 @@
         }
         for (const std::string& each : touched)
             m_cluster.workers.find(each)->faults = faults;
-        m_cluster.clock.after(Millis(pickLater(500, 7'000)), [this, touched] {
+        m_cluster.clock.after(Millis(pickSecondary(500, 7'000)), [this, touched] {
             for (const std::string& each : touched)
                 m_cluster.workers.find(each)->faults = {};
         });
@@ -386,7 +386,7 @@
     void injectLinkFault()
     {
         model::PeerFaults& faults = m_cluster.peers.faults;
-        switch (pickLater(0, 4)) {
+        switch (pickSecondary(0, 4)) {
         case 0:
             m_cluster.peers.resetAll();
             return;
@@ -398,20 +398,20 @@
             m_cluster.peers.resetAll();
             break;
         case 3:
-            faults.delay = Millis(pickLater(100, 600));
+            faults.delay = Millis(pickSecondary(100, 600));
             break;
         default:
-            faults.partitioned.insert(m_cluster.peerAddress(pickLater(0, m_cluster.entries() - 1)));
+            faults.partitioned.insert(m_cluster.peerAddress(pickSecondary(0, m_cluster.entries() - 1)));
         }
-        m_cluster.clock.after(Millis(pickLater(500, 4'000)), [this] { m_cluster.peers.faults = {}; });
+        m_cluster.clock.after(Millis(pickSecondary(500, 4'000)), [this] { m_cluster.peers.faults = {}; });
     }
 
     /// Partitions two data halls from each other, in one direction or both.
     void partitionHalls()
     {
-        const std::size_t from = pickLater(0, 2);
-        const std::size_t to = (from + pickLater(1, 2)) % 3;
-        const bool isOneWay = pickLater(0, 2) == 0;
+        const std::size_t from = pickSecondary(0, 2);
+        const std::size_t to = (from + pickSecondary(1, 2)) % 3;
+        const bool isOneWay = pickSecondary(0, 2) == 0;
         const auto set = [this, a = threeHalls.at(from), b = threeHalls.at(to), isOneWay](bool cut) {
             m_cluster.peers.cuts.setOneWay(a, b, cut);
             if (!isOneWay)
@@ -419,13 +419,13 @@
         };
         m_cluster.checker.noteFaults(m_cluster.clock.now() + maxFaultDuration);
         set(true);
-        m_cluster.clock.after(Millis(pickLater(100, 6'000)), [set] { set(false); });
+        m_cluster.clock.after(Millis(pickSecondary(100, 6'000)), [set] { set(false); });
     }
 
-    void injectLaterFault()
+    void injectSecondaryFault()
     {
         model::WorkerModel* worker = anyWorker();
-        switch (pickLater(0, m_faults == Faults::All || m_faults == Faults::Relayed || m_faults == Faults::Partitioned || m_faults == Faults::Organised || m_faults == Faults::UnreportedFaults || m_faults == Faults::Restarting || m_faults == Faults::RestartingOften ? 4 : 3)) {
+        switch (pickSecondary(0, m_faults == Faults::All || m_faults == Faults::Relayed || m_faults == Faults::Partitioned || m_faults == Faults::Organised || m_faults == Faults::UnreportedFaults || m_faults == Faults::Restarting || m_faults == Faults::RestartingOften ? 4 : 3)) {
         case 0:
             m_cluster.workers.fleetFaults.lostAnswers = 0.5;
             break;
@@ -434,23 +434,23 @@
             break;
         case 2:
             if (worker)
-                m_cluster.workers.leave(worker->entry.id, true, Millis(pickLater(2'000, 6'000)));
+                m_cluster.workers.leave(worker->entry.id, true, Millis(pickSecondary(2'000, 6'000)));
             return;
         case 3:
             if (worker)
-                m_cluster.workers.leave(worker->entry.id, false, Millis(pickLater(2'000, 6'000)));
+                m_cluster.workers.leave(worker->entry.id, false, Millis(pickSecondary(2'000, 6'000)));
             return;
         default:
             m_cluster.checker.noteFaults(m_cluster.clock.now() + maxFaultDuration);
             m_cluster.store.faults.unresponsive = true;
             m_cluster.store.faults.leasesPaused = true;
-            m_cluster.clock.after(Millis(pickLater(500, 6'000)), [this] { m_cluster.store.faults = {}; });
+            m_cluster.clock.after(Millis(pickSecondary(500, 6'000)), [this] { m_cluster.store.faults = {}; });
             return;
         }
-        m_cluster.clock.after(Millis(pickLater(500, 5'000)), [this] { m_cluster.workers.fleetFaults = {}; });
+        m_cluster.clock.after(Millis(pickSecondary(500, 5'000)), [this] { m_cluster.workers.fleetFaults = {}; });
     }
 
-    void wave()
+    void requestRandomWave()
     {
         WaveRequest request { .number = ++m_waves, .instances = {}, .duration = Millis(15'000), .maxConcurrent = static_cast<std::uint32_t>(pick(1, 3)) };
         for (const auto& [id, instance] : m_cluster.workers.instances()) {
@@ -497,7 +497,7 @@
     {
         std::string text;
         for (const auto& [id, instance] : m_cluster.workers.instances()) {
-            const model::WorkerModel* worker = m_cluster.workers.on(id);
+            const model::WorkerModel* worker = m_cluster.workers.workerOn(id);
             text += id + " (" + instance.kind + ") in " + instance.pool + " state " + std::to_string(static_cast<int>(instance.state)) + " runs " + std::to_string(worker ? worker->running.size() : 0) + "; ";
         }
         return text;
@@ -506,7 +506,7 @@
     SmallCluster m_cluster;
     std::uint64_t m_seed;
     Faults m_faults;
-    std::mt19937_64 m_laterRandom;
+    std::mt19937_64 m_secondaryRandom;
     std::uint64_t m_jobs = 0;
     std::uint64_t m_waves = 0;
     std::set<std::string> m_poisonJobs; ///< Jobs whose first tasks crash their workers.
@@ -537,20 +537,20 @@
         20'243, // A worker whose entry reappeared after the takeover was not asked for its tasks before inherited tasks started.
     };
     for (const std::uint64_t seed : seeds)
-        RandomRun(seed, Faults::First).play();
-    constexpr std::array<std::uint64_t, 2> laterSeeds {
+        RandomRun(seed, Faults::First).execute();
+    constexpr std::array<std::uint64_t, 2> secondSeeds {
         32'582, // A draining worker's task was stopped while the stop of another task of its step was unacknowledged.
         36'394, // The same with two jobs.
     };
-    for (const std::uint64_t seed : laterSeeds)
-        RandomRun(seed, Faults::Second).play();
+    for (const std::uint64_t seed : secondSeeds)
+        RandomRun(seed, Faults::Second).execute();
     // A failure reported to a new owner in parallel to a newer attempt was dropped.
-    RandomRun(62'262, Faults::All).play();
+    RandomRun(62'262, Faults::All).execute();
     // Quotas were lowered while the store was unresponsive to the owner, which continued with the previous ones.
-    RandomRun(140, Faults::Organised).play();
-    RandomRun(5'108, Faults::Organised).play();
+    RandomRun(140, Faults::Organised).execute();
+    RandomRun(5'108, Faults::Organised).execute();
     // An unacknowledged stop was sent again after an outage, when another task of its step had failed with its worker.
-    RandomRun(110'400, Faults::All).play();
+    RandomRun(110'400, Faults::All).execute();
     constexpr std::array<std::uint64_t, 9> poisonSeeds {
         511'149, // Crashes and probations were not stored when the owner lost the store.
         512'461, // The owner crashed before it noticed that the worker of a first start was unresponsive.
@@ -563,14 +563,14 @@
         800'194, // The worker had announced its end just before the crash.
     };
     for (const std::uint64_t seed : poisonSeeds)
-        RandomRun(seed, Faults::PoisonTasks).play();
+        RandomRun(seed, Faults::PoisonTasks).execute();
     // A lease granted on the clock of a worker's previous incarnation lasted longer than the next owner assumed.
-    RandomRun(21'078, Faults::Restarting).play();
+    RandomRun(21'078, Faults::Restarting).execute();
     // Two entry instances stored one job with equal values while responses were lost; other jobs were reported as accepted but not stored.
-    RandomRun(50'000'173, Faults::Restarting).play();
-    RandomRun(50'000'222, Faults::Restarting).play();
+    RandomRun(50'000'173, Faults::Restarting).execute();
+    RandomRun(50'000'222, Faults::Restarting).execute();
     // A suspect task that waited for the rack of its data never had a recorded wait, and waited without end.
-    RandomRun(113, Faults::Mixed).play();
+    RandomRun(113, Faults::Mixed).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs")
@@ -578,7 +578,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, seed % 2 == 0 ? Faults::All : Faults::First).play();
+        RandomRun(seed, seed % 2 == 0 ? Faults::All : Faults::First).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs of jobs with placement requirements")
@@ -586,7 +586,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Mixed).play();
+        RandomRun(seed, Faults::Mixed).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with relays")
@@ -594,7 +594,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Relayed).play();
+        RandomRun(seed, Faults::Relayed).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with partitions between data halls")
@@ -602,7 +602,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Partitioned).play();
+        RandomRun(seed, Faults::Partitioned).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with organisations and quotas")
@@ -610,7 +610,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Organised).play();
+        RandomRun(seed, Faults::Organised).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with data halls that are evacuated or lose power")
@@ -618,7 +618,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Halls).play();
+        RandomRun(seed, Faults::Halls).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with poison tasks")
@@ -626,7 +626,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::PoisonTasks).play();
+        RandomRun(seed, Faults::PoisonTasks).execute();
 }
 
 TEST_CASE("No guarantee is violated in random runs with unreported faults of workers")
@@ -634,7 +634,7 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 1);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::UnreportedFaults).play();
+        RandomRun(seed, Faults::UnreportedFaults).execute();
 }
 
 /// Seeds of this kind that failed are kept in the next test.
@@ -643,14 +643,14 @@
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 10'000);
     const std::uint64_t runs = numberFrom("LANEMOOR_RUNS", 200);
     for (std::uint64_t seed = first; seed < first + runs; ++seed)
-        RandomRun(seed, Faults::Restarting).play();
+        RandomRun(seed, Faults::Restarting).execute();
 }
 
 /// Guards against failing jobs over starts that never reached a worker, over unresponsive workers that are up, and over crashed owners.
 TEST_CASE("No task that crashed no worker fails permanently while many workers restart")
 {
     for (const std::uint64_t seed : { 26, 822, 844, 1'115, 1'217, 11'845, 13'140, 13'581, 13'989 })
-        RandomRun(seed, Faults::Restarting).play();
+        RandomRun(seed, Faults::Restarting).execute();
     for (const std::uint64_t seed : { 50, 533, 627, 630, 774, 876, 972 })
-        RandomRun(seed, Faults::RestartingOften).play();
+        RandomRun(seed, Faults::RestartingOften).execute();
 }
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -28,9 +28,9 @@
     std::vector<std::string> renewals; ///< Worker ids.
     std::vector<std::string> forgotten;
 
-    void start(const WorkerIncarnation&, const StartCommand& order, std::function<void(CommandResult)> done) override
+    void start(const WorkerIncarnation&, const StartCommand& command, std::function<void(CommandResult)> done) override
     {
-        starts.push_back(order.payload);
+        starts.push_back(command.payload);
         m_loop.callAt(m_loop.now(), [done] { done({ .outcome = CommandOutcome::Done, .workerClock = 7 }); });
     }
 
@@ -254,8 +254,8 @@
     fixture.clock.runFor(Millis(100));
     std::vector<CommandOutcome> outcomes;
     for (std::uint32_t i = 0; i < 8; ++i) {
-        const StartCommand order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-        fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
+        const StartCommand command { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+        fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, command, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
     }
     fixture.clock.runFor(Millis(200));
     CHECK(outcomes == std::vector<CommandOutcome>(8, CommandOutcome::Done));
@@ -276,8 +276,8 @@
         record.spec.payload = payload;
         fixture.storeModel.put(jobKey("job"), encode(record));
         for (std::uint32_t i = 0; i < 8; ++i) {
-            const StartCommand order { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [](const CommandResult&) {});
+            const StartCommand command { .attempt = { "job", { 0, 0, i }, 1 }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, command, [](const CommandResult&) {});
         }
         fixture.clock.runFor(Millis(pauseAfter));
         const std::size_t before = fixture.byFirst.starts.size() + fixture.bySecond.starts.size();
@@ -301,8 +301,8 @@
     std::vector<CommandOutcome> outcomes;
     const auto startAll = [&](std::uint64_t number) {
         for (std::uint32_t i = 0; i < 8; ++i) {
-            const StartCommand order { .attempt = { "job", { 0, 0, i }, number }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
-            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, order, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
+            const StartCommand command { .attempt = { "job", { 0, 0, i }, number }, .payload = payload, .leaseUntil = 5, .epoch = 2, .checkpoint = {}, .ticket = {} };
+            fixture.owner.start({ "w" + std::to_string(i), "10.0.0.1:1" }, command, [&](const CommandResult& result) { outcomes.push_back(result.outcome); });
         }
     };
     startAll(1);
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -160,12 +160,12 @@
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 8; }));
     const std::size_t owner = *cluster.owner();
     const std::size_t other = (owner + 1) % cluster.entries();
-    cluster.workers.on("m-0")->faults.lateCommands = 1.0;
+    cluster.workers.workerOn("m-0")->faults.lateCommands = 1.0;
     cluster.cancel(other, jobId(1));
     // The cancellation is stored, and the stops are not answered.
     cluster.clock.runFor(Millis(500));
     cluster.kill(owner);
-    cluster.workers.on("m-0")->faults = {};
+    cluster.workers.workerOn("m-0")->faults = {};
     cluster.submit(other, "work", jobId(2), job({ step(8) }));
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.checker.starts() == 16);
@@ -183,7 +183,7 @@
     REQUIRE(cluster.startsWithin(Millis(3'000), 4) == 4);
     cluster.requestWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .maxConcurrent = 1 });
     cluster.clock.runFor(Millis(10'000));
-    CHECK(cluster.workers.on("b-0")->running.size() == 4);
+    CHECK(cluster.workers.workerOn("b-0")->running.size() == 4);
     cluster.workers.addInstance("b-1", "off", "r-b", capacity, "b");
     CHECK(cluster.waitFor(Millis(15'000), [&] { return cluster.store.find("status/wave/1")->value == "finished"; }));
     requireNoBreach(cluster);
--- a/tests/jobs/resized_worker_test.cpp
+++ b/tests/jobs/resized_worker_test.cpp
@@ -102,7 +102,7 @@
     cluster.workers.enforcesCapacity = false;
     cluster.workers.runTimes = [](const Attempt&) { return Millis(900); };
     std::uint64_t number = 0;
-    const auto play = [&](int rounds) {
+    const auto submitJobs = [&](int rounds) {
         for (int i = 0; i < rounds; ++i) {
             cluster.submit(0, "work", jobId(++number), job({ step(4) }));
             cluster.clock.runFor(Millis(400));
@@ -111,13 +111,13 @@
     const auto inPool = [&] {
         return std::count_if(cluster.workers.instances().begin(), cluster.workers.instances().end(), [](const auto& instance) { return instance.second.pool == "main"; });
     };
-    play(20);
+    submitJobs(20);
     const auto before = inPool();
     for (auto& [id, worker] : cluster.workers.workers()) {
         if (worker.alive)
             cluster.workers.resize(id, quarter);
     }
-    play(30);
+    submitJobs(30);
     CHECK(inPool() > before);
     cluster.clock.runFor(Millis(10'000));
     for (std::uint64_t i = 1; i <= number; ++i) {
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -498,7 +498,7 @@
     // Restarts the workers after the last lease of the previous owner has expired.
     cluster.clock.runFor(Millis(9'000));
     for (const char* instance : { "m-0", "m-1", "m-2" })
-        cluster.workers.crash(cluster.workers.on(instance)->entry.id, Millis(200));
+        cluster.workers.crash(cluster.workers.workerOn(instance)->entry.id, Millis(200));
     cluster.clock.runFor(Millis(1'000));
     const std::size_t owner = cluster.owner().value();
     cluster.submit(owner, "work", jobId(1), job({ step(3) }));
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -41,7 +41,7 @@
 }
 
 /// Jobs of four tasks, each of one core and half a second, arrive evenly.
-void arrive(LoadForecast& forecast, std::size_t jobs, MonotonicInstant from, Millis over)
+void addArrivals(LoadForecast& forecast, std::size_t jobs, MonotonicInstant from, Millis over)
 {
     for (std::size_t i = 0; i < jobs; ++i)
         forecast.noteArrival("work", job({ step(4) }), from + std::chrono::duration_cast<std::chrono::microseconds>(over) * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(jobs));
@@ -52,16 +52,16 @@
 TEST_CASE("A rise of many arrivals is seen within a fifth of a second")
 {
     LoadForecast forecast;
-    arrive(forecast, 10, start, Millis(500)); // 20 per second,
-    arrive(forecast, 40, start + Millis(500), Millis(200)); // then 200 per second: 400 cores.
+    addArrivals(forecast, 10, start, Millis(500)); // 20 per second,
+    addArrivals(forecast, 40, start + Millis(500), Millis(200)); // then 200 per second: 400 cores.
     CHECK(forecast.milliCpu("work", start + Millis(700)) >= 400'000);
 }
 
 TEST_CASE("A rise is extrapolated while instances are moving, within bounds")
 {
     LoadForecast forecast;
-    arrive(forecast, 20, start, Millis(350));
-    arrive(forecast, 40, start + Millis(350), Millis(350));
+    addArrivals(forecast, 20, start, Millis(350));
+    addArrivals(forecast, 40, start + Millis(350), Millis(350));
     const std::int64_t rate = 40 * 2'000 * 1'000 / 350; // Thousandths of a core that the newest arrivals keep busy.
     CHECK(forecast.milliCpu("work", start + Millis(700)) > 3 * rate / 2);
     CHECK(forecast.milliCpu("work", start + Millis(700)) < 3 * rate);
@@ -70,11 +70,11 @@
 TEST_CASE("An even load, and one of few arrivals, is not treated as a rise")
 {
     LoadForecast even;
-    arrive(even, 140, start, Millis(700));
+    addArrivals(even, 140, start, Millis(700));
     CHECK(even.milliCpu("work", start + Millis(699)) < 500'000); // 200 per second: 400 cores.
     LoadForecast few;
-    arrive(few, 2, start, Millis(350));
-    arrive(few, 6, start + Millis(350), Millis(350));
+    addArrivals(few, 2, start, Millis(350));
+    addArrivals(few, 6, start + Millis(350), Millis(350));
     CHECK(few.milliCpu("work", start + Millis(700)) <= 8 * 2'000 * 1'000 / 700);
 }
 
--- a/tests/jobs/unanswered_command_test.cpp
+++ b/tests/jobs/unanswered_command_test.cpp
@@ -83,17 +83,17 @@
 TEST_CASE("Tasks that stall on two workers at once are started again, and become ready once the workers resume")
 {
     LongRunningCluster cluster;
-    const auto hang = [&](bool stalled) {
+    const auto setStalled = [&](bool stalled) {
         for (auto& [worker, model] : cluster.workers.workers())
             model.faults.stalled = stalled && (worker == "i-6" || worker == "i-7");
     };
-    hang(true);
+    setStalled(true);
     cluster.crashTwo();
     cluster.clock.runFor(Millis(5'000));
     const std::uint64_t starts = cluster.checker.starts();
     cluster.clock.runFor(Millis(12'000));
     CHECK(cluster.checker.starts() >= starts + 2);
-    hang(false);
+    setStalled(false);
     cluster.clock.runFor(Millis(15'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
     CHECK(cluster.checker.breaches().empty());
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -39,7 +39,7 @@
 
     [[nodiscard]] EjectionCandidate candidate(std::size_t index, HealthFault fault, double score = 1) const { return { .member = members[index], .fault = fault, .score = score }; }
 
-    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& least = {}) const { return EjectionBound(options, members, least).choose(candidates); }
+    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& minInstances = {}) const { return EjectionBound(options, members, minInstances).choose(candidates); }
 
     std::vector<WorkerEntry> workers;
     std::vector<EjectionMember> members;
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -168,9 +168,9 @@
     });
 }
 
-void Callers::requestOpenStatuses()
+void Callers::requestUnfinishedStatuses()
 {
-    for (const std::string& id : m_guarantees.openJobs()) {
+    for (const std::string& id : m_guarantees.unfinishedJobs()) {
         if (m_statusRequests.insert(id).second)
             requestStatus(id);
     }
--- a/tests/soak/callers.h
+++ b/tests/soak/callers.h
@@ -42,7 +42,7 @@
     std::string probe(unsigned entry);
 
     /// \brief Requests the status of each accepted job without a final status.
-    void requestOpenStatuses();
+    void requestUnfinishedStatuses();
 
     [[nodiscard]] const CallerCounts& counts() const noexcept { return m_counts; }
 
--- a/tests/soak/checks_test.cpp
+++ b/tests/soak/checks_test.cpp
@@ -70,7 +70,7 @@
     GuaranteeMonitor guarantees = withJob();
     guarantees.noteAnswer(job, Submission::Accepted);
     guarantees.noteStatus(job, "running", 1);
-    CHECK(guarantees.openJobs() == Names { job });
+    CHECK(guarantees.unfinishedJobs() == Names { job });
     guarantees.noteStatus(job, "", 2);
     guarantees.noteStatus(job, "", 2);
     guarantees.finish(3);
--- a/tests/soak/guarantee_monitor.cpp
+++ b/tests/soak/guarantee_monitor.cpp
@@ -40,11 +40,11 @@
     Job& job = m_jobs[id];
     if (status.empty()) {
         if (!std::exchange(job.isReportedUnknown, true))
-            breach(guarantee::acceptedJobsKnown, "job " + id + " was accepted and is not known", { id }, at);
+            reportBreach(guarantee::acceptedJobsKnown, "job " + id + " was accepted and is not known", { id }, at);
         return;
     }
     if (isFinal(job.status) && job.status != status)
-        breach(guarantee::statusIsTrue, "job " + id + " was " + job.status + " and is " + status, { id }, at);
+        reportBreach(guarantee::statusIsTrue, "job " + id + " was " + job.status + " and is " + status, { id }, at);
     const bool isNew = job.status != status;
     job.status = status;
     if (isNew && isFinal(status))
@@ -63,16 +63,16 @@
         }
     }
     if (job.status == "succeeded" && !allSucceeded)
-        breach(guarantee::statusIsTrue, "job " + id + " is shown as succeeded, but a task of it has not", { id }, at);
+        reportBreach(guarantee::statusIsTrue, "job " + id + " is shown as succeeded, but a task of it has not", { id }, at);
     if (job.status == "failed" && !hasCause)
-        breach(guarantee::statusIsTrue, "job " + id + " is shown as failed without a cause", { id }, at);
+        reportBreach(guarantee::statusIsTrue, "job " + id + " is shown as failed without a cause", { id }, at);
     if (job.status == "cancelled" && !job.cancelSent)
-        breach(guarantee::statusIsTrue, "job " + id + " is shown as cancelled, but nobody cancelled it", { id }, at);
+        reportBreach(guarantee::statusIsTrue, "job " + id + " is shown as cancelled, but nobody cancelled it", { id }, at);
 }
 
 void GuaranteeMonitor::noteClosedEarly(const std::string& entry, const std::string& id, std::int64_t at)
 {
-    breach(guarantee::plannedStopsCutNothing, entry + " closed a connection before the answer on job " + id, { id, entry }, at);
+    reportBreach(guarantee::plannedStopsCutNothing, entry + " closed a connection before the answer on job " + id, { id, entry }, at);
 }
 
 void GuaranteeMonitor::noteEvent(const nlohmann::json& event)
@@ -108,14 +108,14 @@
     const TaskName parsed = parse(name);
     Task& task = m_tasks[name];
     for (const auto& [other, attempt] : task.running)
-        breach(guarantee::oneAttemptAtOnce, "task " + name + " runs on " + other + " as attempt " + std::to_string(attempt) + " and starts on " + worker, { parsed.job }, at);
+        reportBreach(guarantee::oneAttemptAtOnce, "task " + name + " runs on " + other + " as attempt " + std::to_string(attempt) + " and starts on " + worker, { parsed.job }, at);
     if (task.successStored)
-        breach(guarantee::noneAfterSuccess, "task " + name + " starts on " + worker + " after its success was acknowledged", { parsed.job }, at);
+        reportBreach(guarantee::noneAfterSuccess, "task " + name + " starts on " + worker + " after its success was acknowledged", { parsed.job }, at);
     m_lastStart[event.value("hall", "")] = at;
     task.running[worker] = event.value("run", std::uint64_t { 0 });
     const auto found = m_jobs.find(parsed.job);
     if (found == m_jobs.end()) {
-        breach(guarantee::nothingUnasked, "task " + name + " starts, but nobody submitted its job", { parsed.job }, at);
+        reportBreach(guarantee::nothingUnasked, "task " + name + " starts, but nobody submitted its job", { parsed.job }, at);
         return;
     }
     found->second.hasStarted = true;
@@ -130,14 +130,14 @@
         return;
     for (std::uint32_t index = 0; index < job.spec.tasks[name.step - 1]; ++index) {
         if (!m_tasks[nameOf(name.job, name.step - 1, index)].succeeded)
-            breach(guarantee::stepsInOrder, "step " + std::to_string(name.step) + " of job " + name.job + " starts before the one before it has succeeded", { name.job }, at);
+            reportBreach(guarantee::stepsInOrder, "step " + std::to_string(name.step) + " of job " + name.job + " starts before the one before it has succeeded", { name.job }, at);
     }
 }
 
 void GuaranteeMonitor::checkCancelled(const Job& job, const std::string& task, std::int64_t at)
 {
     if (job.cancelledAt && at - *job.cancelledAt > cancelBound && isConnected(at))
-        breach(guarantee::nothingUnasked, "task " + task + " starts " + std::to_string(at - *job.cancelledAt) + " ms after its job was cancelled", { job.spec.id }, at);
+        reportBreach(guarantee::nothingUnasked, "task " + task + " starts " + std::to_string(at - *job.cancelledAt) + " ms after its job was cancelled", { job.spec.id }, at);
 }
 
 void GuaranteeMonitor::checkEvacuation(const nlohmann::json& event, std::int64_t at)
@@ -149,7 +149,7 @@
     if (evacuated == m_evacuatedSince.end() || at - evacuated->second <= evacuationBound)
         return;
     const std::string name = event.value("task", "");
-    breach(guarantee::evacuatedHallsRest, "task " + name + " starts in " + evacuated->first + ' ' + std::to_string(at - evacuated->second) + " ms after its evacuation was acknowledged", { parse(name).job, evacuated->first }, at);
+    reportBreach(guarantee::evacuatedHallsRest, "task " + name + " starts in " + evacuated->first + ' ' + std::to_string(at - evacuated->second) + " ms after its evacuation was acknowledged", { parse(name).job, evacuated->first }, at);
 }
 
 void GuaranteeMonitor::noteAct(const nlohmann::json& event)
@@ -159,7 +159,7 @@
     const std::int64_t at = timeOf(event);
     const auto last = m_lastAct.find(instance);
     if (last != m_lastAct.end() && last->second.first != fence && at - last->second.second < minOwnerInterval)
-        breach(guarantee::ownersApart, "instance " + instance + " is acted on under epochs " + std::to_string(last->second.first) + " and " + std::to_string(fence) + " within " + std::to_string(at - last->second.second) + " ms", { instance }, at);
+        reportBreach(guarantee::ownersApart, "instance " + instance + " is acted on under epochs " + std::to_string(last->second.first) + " and " + std::to_string(fence) + " within " + std::to_string(at - last->second.second) + " ms", { instance }, at);
     m_lastAct[instance] = { fence, at };
 }
 
@@ -172,21 +172,21 @@
 {
     std::uint64_t& highest = m_configurations[entry];
     if (version < highest)
-        breach(guarantee::configurationNeverReverts, entry + " takes configuration " + std::to_string(version) + " after " + std::to_string(highest), { entry }, at);
+        reportBreach(guarantee::configurationNeverReverts, entry + " takes configuration " + std::to_string(version) + " after " + std::to_string(highest), { entry }, at);
     highest = std::max(highest, version);
 }
 
 void GuaranteeMonitor::noteStopTooLong(const std::string& entry, std::int64_t at)
 {
-    breach(guarantee::plannedStopsEnd, entry + " was asked to stop and runs on", { entry }, at);
+    reportBreach(guarantee::plannedStopsEnd, entry + " was asked to stop and runs on", { entry }, at);
 }
 
 void GuaranteeMonitor::noteNotServing(const std::string& entry, const std::string& detail, std::int64_t at)
 {
-    breach(guarantee::servesAgain, entry + ": " + detail, { entry }, at);
+    reportBreach(guarantee::servesAgain, entry + ": " + detail, { entry }, at);
 }
 
-std::vector<std::string> GuaranteeMonitor::openJobs() const
+std::vector<std::string> GuaranteeMonitor::unfinishedJobs() const
 {
     std::vector<std::string> open;
     for (const auto& [id, job] : m_jobs) {
@@ -204,11 +204,11 @@
 
 void GuaranteeMonitor::finish(std::int64_t at)
 {
-    for (const std::string& id : openJobs())
-        breach(guarantee::acceptedJobsEnd, "job " + id + " was accepted and is " + (m_jobs[id].status.empty() ? "without a status" : m_jobs[id].status), { id }, at);
+    for (const std::string& id : unfinishedJobs())
+        reportBreach(guarantee::acceptedJobsEnd, "job " + id + " was accepted and is " + (m_jobs[id].status.empty() ? "without a status" : m_jobs[id].status), { id }, at);
     for (const auto& [id, job] : m_jobs) {
         if (!job.accepted && !job.unknown && job.hasStarted)
-            breach(guarantee::refusalsAreTrue, "job " + id + " runs though it was only refused", { id }, at);
+            reportBreach(guarantee::refusalsAreTrue, "job " + id + " runs though it was only refused", { id }, at);
     }
 }
 
@@ -244,7 +244,7 @@
     return at >= m_faultsUntil + reconnectTime;
 }
 
-void GuaranteeMonitor::breach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at)
+void GuaranteeMonitor::reportBreach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at)
 {
     m_breaches.push_back({ .guarantee = guarantee, .detail = std::move(detail), .ids = std::move(ids), .at = at });
 }
--- a/tests/soak/guarantee_monitor.h
+++ b/tests/soak/guarantee_monitor.h
@@ -92,7 +92,7 @@
     ///@}
 
     /// \returns Accepted jobs without a final status.
-    [[nodiscard]] std::vector<std::string> openJobs() const;
+    [[nodiscard]] std::vector<std::string> unfinishedJobs() const;
 
     /// \returns Whether the job was seen to have succeeded.
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
@@ -143,7 +143,7 @@
     void noteAct(const nlohmann::json& event);
     void checkStatus(const std::string& id, const Job& job, std::int64_t at);
     [[nodiscard]] bool isConnected(std::int64_t at) const noexcept;
-    void breach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at);
+    void reportBreach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at);
 
     std::map<std::string, Job> m_jobs;
     std::map<std::string, Task> m_tasks;
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -32,7 +32,7 @@
     SoakResult run()
     {
         m_session.start();
-        disturb();
+        injectFaults();
         recover();
         m_session.stopAll();
         m_session.guarantees().finish(unixNow());
@@ -40,7 +40,7 @@
     }
 
 private:
-    void disturb()
+    void injectFaults()
     {
         const Millis time = std::chrono::seconds(m_options.seconds);
         const jobs::MonotonicInstant end = m_session.loop().now() + time;
@@ -56,7 +56,7 @@
         std::vector<std::string> probes;
         for (unsigned index = 0; index < m_options.processes; ++index)
             probes.push_back(m_session.callers().probe(index));
-        static_cast<void>(m_session.waitFor(endLimit, [this] { return m_session.guarantees().openJobs().empty(); }));
+        static_cast<void>(m_session.waitFor(endLimit, [this] { return m_session.guarantees().unfinishedJobs().empty(); }));
         for (unsigned index = 0; index < m_options.processes; ++index) {
             if (!m_session.guarantees().hasSucceeded(probes[index]))
                 m_session.guarantees().noteNotServing(nameOf(index), "job " + probes[index] + " submitted after the last fault has not succeeded", unixNow());
--- a/tests/soak/soak_session.cpp
+++ b/tests/soak/soak_session.cpp
@@ -96,25 +96,25 @@
 
 void SoakSession::watchJobs()
 {
-    m_callers.requestOpenStatuses();
+    m_callers.requestUnfinishedStatuses();
     m_loop.callAt(m_loop.now() + statusPause, [this] { watchJobs(); });
 }
 
 bool SoakSession::waitFor(Millis limit, const std::function<bool()>& condition)
 {
     const jobs::MonotonicInstant deadline = m_loop.now() + limit;
-    bool hasAnswered = false;
+    bool isMet = false;
     const std::function<void()> check = [&] {
-        hasAnswered = condition();
-        if (hasAnswered || m_loop.now() >= deadline)
+        isMet = condition();
+        if (isMet || m_loop.now() >= deadline)
             m_loop.stop();
         else
             m_loop.callAt(m_loop.now() + tailPause, [&check] { check(); });
     };
     check();
-    if (!hasAnswered)
+    if (!isMet)
         m_loop.run();
-    return hasAnswered;
+    return isMet;
 }
 
 bool SoakSession::areAllReady()
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -96,9 +96,9 @@
 
     Answer first;
     const std::vector<HttpHeader> key { { "Idempotency-Key", "port-099123456" } };
-    std::thread twin([&] { first = ask(cluster.entry("entry-1").front, requestOf("POST", "/orders/order", key, "port")); });
+    std::thread parallelCaller([&] { first = ask(cluster.entry("entry-1").front, requestOf("POST", "/orders/order", key, "port")); });
     const Answer second = ask(cluster.entry("entry-3").front, requestOf("POST", "/orders/order", key, "port"));
-    twin.join();
+    parallelCaller.join();
     const int runs = cluster.runsOf("port-099123456");
     table.add("one order sent through two entries at once", std::to_string(runs) + " run, answers " + std::to_string(first.response.status) + " and " + std::to_string(second.response.status), runs == 1);
 }
--- a/tools/job_demo_main.cpp
+++ b/tools/job_demo_main.cpp
@@ -45,7 +45,7 @@
     return std::to_string(time) + " ms";
 }
 
-void pass(SoakSession& session, Millis time)
+void runFor(SoakSession& session, Millis time)
 {
     static_cast<void>(session.waitFor(time, [] { return false; }));
 }
@@ -68,7 +68,7 @@
     const std::int64_t killed = unixNow();
     const bool succeeded = session.waitFor(limit, [&] { return session.owner() != owner; });
     table.add("the owner, " + entry.name + ", killed", succeeded ? session.cluster().entries()[session.owner()].name + " owns after " + inMilliseconds(unixNow() - killed) : "no successor", succeeded);
-    pass(session, restartAfter);
+    runFor(session, restartAfter);
     session.cluster().startEntry(owner);
     const std::int64_t started = unixNow();
     const bool isBack = session.waitFor(limit, [&] { return session.areAllReady(); });
@@ -78,14 +78,14 @@
 void showFailures(SoakSession& session, Table& table)
 {
     session.callers().submitUntil(session.loop().now() + submissionTime);
-    pass(session, killDelay);
+    runFor(session, killDelay);
     bool isKilled = false;
     session.cluster().control("/kill", { { "instance", session.cluster().instance(0) }, { "back_ms", restartAfter.count() } }, [&isKilled](std::int64_t) { isKilled = true; });
     table.add("a worker killed among running jobs", session.cluster().instance(0), session.waitFor(limit, [&isKilled] { return isKilled; }));
     killOwner(session, table);
-    pass(session, submissionTime - killDelay);
-    const bool allEnded = session.waitFor(limit, [&session] { return session.guarantees().openJobs().empty(); });
-    const std::string seen = std::to_string(session.guarantees().accepted()) + " accepted, " + std::to_string(session.guarantees().openJobs().size()) + " not ended, " + std::to_string(session.guarantees().starts()) + " starts";
+    runFor(session, submissionTime - killDelay);
+    const bool allEnded = session.waitFor(limit, [&session] { return session.guarantees().unfinishedJobs().empty(); });
+    const std::string seen = std::to_string(session.guarantees().accepted()) + " accepted, " + std::to_string(session.guarantees().unfinishedJobs().size()) + " not ended, " + std::to_string(session.guarantees().starts()) + " starts";
     table.add("jobs submitted all along, watched to their end", seen, allEnded);
 }
 
@@ -93,14 +93,14 @@
 {
     // Time after which the owner's crash no longer suspends the time bounds.
     constexpr Millis reconnectTime { 4'000 };
-    pass(session, reconnectTime);
+    runFor(session, reconnectTime);
     std::int64_t acknowledged = 0;
     session.callers().submitUntil(session.loop().now() + evacuationBound + watchedAfterBound);
     session.cluster().control("/put", { { "key", names::evacuationPrefix + evacuated }, { "value", "{}" } }, [&](std::int64_t at) {
         acknowledged = at;
         session.guarantees().noteEvacuation(evacuated, at);
     });
-    pass(session, evacuationBound + watchedAfterBound);
+    runFor(session, evacuationBound + watchedAfterBound);
     const std::int64_t last = session.guarantees().lastStartIn(evacuated);
     const std::string seen = last > acknowledged ? "last start there after " + inMilliseconds(last - acknowledged) : "no start there any more";
     table.add(evacuated + " evacuated, allowed until " + inMilliseconds(evacuationBound.count()), seen, acknowledged > 0 && last - acknowledged <= evacuationBound.count());
@@ -114,8 +114,8 @@
 
 void showEnd(SoakSession& session, Table& table)
 {
-    static_cast<void>(session.waitFor(submissionTime, [&session] { return session.guarantees().openJobs().empty(); }));
-    static_cast<void>(session.waitFor(limit, [&session] { return session.guarantees().openJobs().empty(); }));
+    static_cast<void>(session.waitFor(submissionTime, [&session] { return session.guarantees().unfinishedJobs().empty(); }));
+    static_cast<void>(session.waitFor(limit, [&session] { return session.guarantees().unfinishedJobs().empty(); }));
     const std::int64_t begin = unixNow();
     session.stopAll();
     session.guarantees().finish(unixNow());
