--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Entry instances of the job service on simulated store, workers and instances.
+/// Entry instances of the job service on a simulated store and simulated workers and instances.
 
 #include "lanemoor/adapters/event_log.h"
 #include "lanemoor/jobs/model/platform_documents.h"
@@ -17,7 +17,7 @@
 
 namespace lanemoor::model {
 
-/// \brief Documents for simulations: the text is a key to the object, so that nothing is parsed.
+/// \brief Documents for simulations: each text is a key to a ready-made object, so that nothing is parsed.
 class ModelDocuments final : public jobs::PlatformDocuments {
 public:
     std::map<std::string, jobs::ServiceConfiguration> configurations;
@@ -49,7 +49,7 @@
     {
     }
 
-    std::function<void(const Breach&)> onBreach; ///< Called at each breach; may be null.
+    std::function<void(const Breach&)> onBreach; ///< Called for each breach; may be null.
     std::function<std::vector<std::string>(const std::string& worker)> labelsOf; ///< Null: labels are not checked.
     std::function<std::string(const std::string& worker)> hallOf; ///< Null: evacuations are not checked.
 
@@ -66,7 +66,7 @@
     void noteCancelled(const std::string& id);
     void noteWave(const jobs::WaveRequest& wave);
     /// \brief Records an evacuation request for a data hall, or its withdrawal.
-    void noteEvacuation(const std::string& dataHall, bool on);
+    void noteEvacuation(const std::string& dataHall, bool isRequested);
     void onStart(const std::string& worker, const jobs::StartCommand& command, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
     void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
@@ -84,7 +84,7 @@
     [[nodiscard]] bool hasSucceeded(const std::string& id) const;
 
     /// \returns Whether a job may be reported as failed: one of its tasks or gangs has used all attempts, or two workers have
-    /// crashed under one of its tasks. The platform's owners permit a task to fail permanently after two crashes.
+    /// crashed under one of its tasks. The platform permits a task to fail permanently after two crashes.
     [[nodiscard]] bool mayHaveFailed(const std::string& id) const;
 
     /// \returns The number of workers that a task has crashed.
@@ -105,7 +105,7 @@
         std::optional<MonotonicInstant> cancelledAt; ///< When the caller received the acknowledgement.
     };
 
-    void breach(const std::string& rule, const std::string& detail);
+    void reportBreach(const std::string& rule, const std::string& detail);
     void noteSuccess(const jobs::Attempt& attempt);
     void noteFailure(const jobs::Attempt& attempt);
     void removeRunning(const std::string& worker, const jobs::Attempt& attempt);
@@ -129,7 +129,7 @@
     std::map<std::uint64_t, std::uint32_t> m_maxConcurrent; ///< By wave.
     std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Return times of the instances in maintenance, by wave.
     std::map<std::string, MonotonicInstant> m_evacuatedSince; ///< By data hall.
-    std::map<Task, MonotonicInstant> m_awaySince; ///< Time since which a task runs on no worker.
+    std::map<Task, MonotonicInstant> m_absentSince; ///< Time since which a task runs on no worker.
     /// A quota and, once replaced, the time until which it still applies.
     struct Quota {
         jobs::Resources limit;
@@ -201,10 +201,10 @@
 
     /// \name Operators and callers
     ///@{
-    /// \param bytes Min size of the document.
+    /// \param bytes Minimum size of the document.
     void configure(const jobs::ServiceConfiguration& configuration, std::size_t bytes = 0);
     void requestWave(const jobs::WaveRequest& wave);
-    void evacuate(const std::string& dataHall, bool on = true);
+    void evacuate(const std::string& dataHall, bool isRequested = true);
 
     /// \brief Submits a job and retries at random entries until the job is accepted.
     /// \param organisation Organisation of the caller's key; empty for a caller without a key.
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -11,7 +11,7 @@
 constexpr Millis callTimeout { 800 }; // Client timeout of commands.
 constexpr Millis oneWayLatency { 1 };
 constexpr Millis stopTime { 100 };
-constexpr Millis shrinkPropagationTime { 4'500 }; // By the platform's bounds: 3 s until an entry is connected, and a heartbeat of 1.5 s.
+constexpr Millis shrinkPropagationTime { 4'500 }; // The platform's bounds: 3 s until an entry is connected, and a heartbeat of 1.5 s.
 constexpr Millis restartDelay { 1'000 }; // From a planned end to the start of the instance's next worker.
 constexpr Millis readyDelay { 500 }; // From the start of a long-running task until the task is ready.
 constexpr Millis maxLease { 10'000 };
@@ -37,9 +37,9 @@
 
 void WorkersModel::startIncarnation(const std::string& instance)
 {
-    FleetInstance& on = m_instances[instance];
-    on.state = FleetState::Up;
-    if (m_reserves.contains(on.pool))
+    FleetInstance& target = m_instances[instance];
+    target.state = FleetState::Up;
+    if (m_reserves.contains(target.pool))
         return;
     ++m_lastIncarnation;
     const std::string id = "i-" + std::to_string(m_lastIncarnation);
@@ -52,12 +52,12 @@
 /// Places a new incarnation on an instance and writes its entry.
 void WorkersModel::placeIncarnation(const std::string& instance, const std::string& id, WorkerModel model)
 {
-    FleetInstance& on = m_instances[instance];
-    on.state = FleetState::Up;
-    on.worker = id;
+    FleetInstance& target = m_instances[instance];
+    target.state = FleetState::Up;
+    target.worker = id;
     const std::int64_t startedAt = simulationStart + std::chrono::duration_cast<Millis>(m_clock.now().time_since_epoch()).count();
-    model.entry = { .id = id, .address = model.entry.address, .pool = on.pool, .dataHall = on.dataHall, .capacity = on.capacity, .labels = { on.kind, on.rack }, .rack = on.rack, .startedAt = startedAt };
-    model.recentMaxCapacity = on.capacity;
+    model.entry = { .id = id, .address = model.entry.address, .pool = target.pool, .dataHall = target.dataHall, .capacity = target.capacity, .labels = { target.kind, target.rack }, .rack = target.rack, .startedAt = startedAt };
+    model.recentMaxCapacity = target.capacity;
     model.instance = instance;
     m_workers[id] = std::move(model);
     if (onEntry)
@@ -81,7 +81,7 @@
     return found == m_workers.end() ? nullptr : &found->second;
 }
 
-WorkerModel* WorkersModel::on(const std::string& instance)
+WorkerModel* WorkersModel::workerOn(const std::string& instance)
 {
     return find(m_instances[instance].worker);
 }
@@ -106,7 +106,6 @@
 {
     if (until == 0)
         return;
-    // Leases are capped at a max length.
     const MonotonicInstant end = std::min(instantOf(worker, until), m_clock.now() + maxLease);
     if (end <= worker.leaseUntil)
         return;
@@ -270,7 +269,7 @@
     if (!model.entry.capacity.covers(used)) {
         if (enforcesCapacity)
             return refuse(CommandOutcome::NoRoom);
-        // A delayed command is exempt from the check.
+        // A command that arrived late is exempt from the check.
         if (checker && !late && !model.recentMaxCapacity.covers(used))
             checker->onOverload(worker, command.attempt);
     }
@@ -305,7 +304,7 @@
     model.epoch = epoch;
     std::uint64_t& settled = model.settled[{ attempt.job, attempt.task }];
     settled = std::max(settled, attempt.number);
-    // A delayed command is exempt from the budget check.
+    // A command that arrived late is exempt from the budget check.
     m_clock.after(stopTime, [this, worker, attempt, late, incarnation = model.incarnation] {
         if (isCurrentIncarnation(worker, incarnation))
             endRun(m_workers[worker], attempt, AttemptEnd::Stopped, !late);
@@ -318,16 +317,16 @@
     const auto found = m_instances.find(instance);
     if (found == m_instances.end())
         return FleetOutcome::Refused;
-    FleetInstance& on = found->second;
+    FleetInstance& target = found->second;
     if (checker)
         checker->onAct(instance, holder);
-    if (on.state != FleetState::Up)
+    if (target.state != FleetState::Up)
         return FleetOutcome::Busy;
-    if (WorkerModel* worker = find(on.worker))
+    if (WorkerModel* worker = find(target.worker))
         endIncarnation(*worker, true);
-    on.worker.clear();
-    on.pool = pool;
-    on.state = state;
+    target.worker.clear();
+    target.pool = pool;
+    target.state = state;
     m_clock.after(time, [this, instance] { startIncarnation(instance); });
     return FleetOutcome::Done;
 }
@@ -348,7 +347,7 @@
     }
     if (share(m_workers.m_random) < model->faults.lateCommands) {
         std::uniform_int_distribution<int> pause(2'000, 12'000);
-        // The command is bound to a connection to this incarnation and is dropped with it.
+        // The command travels on a connection to this incarnation and is dropped with it.
         clock.after(Millis(pause(m_workers.m_random)), [this, worker, act, incarnation = model->incarnation] {
             if (m_workers.isCurrentIncarnation(worker, incarnation) && m_workers.find(worker)->alive)
                 static_cast<void>(act(true));
--- a/tests/jobs/inherited_start_test.cpp
+++ b/tests/jobs/inherited_start_test.cpp
@@ -1,5 +1,5 @@
-/// Cost of first starts under a new owner. Each start was recorded in the store before it was sent, since the previous owner might have
-/// failed before it recorded a crash. With a store that answers in some hundred milliseconds, free capacity stayed idle meanwhile.
+/// Cost of first starts under a new owner. Guards against recording each of them in the store before it is sent, in case the previous
+/// owner failed before it recorded a crash: if the store takes some hundred milliseconds, free capacity stays idle meanwhile.
 
 #include "support.h"
 
@@ -37,7 +37,7 @@
     std::uint64_t storeCalls = 0;
 };
 
-/// Each job runs one task, and its other task waits for room that another job occupies. An entry is killed, then the room becomes free.
+/// Each job runs one task, and its second one waits for room that another job occupies. An entry is killed before the room becomes free.
 struct WaitingCluster : SmallCluster {
     explicit WaitingCluster(KilledRole killed)
         : SmallCluster(1, 3, instances, 0, 1)
@@ -83,11 +83,11 @@
 // Guards against store calls and delays for tasks without attributed crashes that cannot have crashed a worker.
 TEST_CASE("First starts under a new owner cost as much as under the one before")
 {
-    const Cost needed = WaitingCluster(KilledRole::OtherEntry).measureCost();
-    const Cost paid = WaitingCluster(KilledRole::Owner).measureCost();
-    CAPTURE(needed.untilSent.count(), paid.untilSent.count(), needed.storeCalls, paid.storeCalls);
-    CHECK(paid.untilSent <= needed.untilSent + Millis(50));
-    CHECK(paid.storeCalls <= needed.storeCalls + 3);
+    const Cost underSameOwner = WaitingCluster(KilledRole::OtherEntry).measureCost();
+    const Cost underNewOwner = WaitingCluster(KilledRole::Owner).measureCost();
+    CAPTURE(underSameOwner.untilSent.count(), underNewOwner.untilSent.count(), underSameOwner.storeCalls, underNewOwner.storeCalls);
+    CHECK(underNewOwner.untilSent <= underSameOwner.untilSent + Millis(50));
+    CHECK(underNewOwner.storeCalls <= underSameOwner.storeCalls + 3);
 }
 
 // Guards against a new owner that misses evidence of worker crashes: its first start of a poison task would be unrecorded again.
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -1,13 +1,12 @@
-/// Cost of decisions on a large fleet. On a fleet of 1,100 instances fewer than half of the quick jobs ended in time, while
-/// hundreds of instances had room and tasks waited.
+/// Cost of decisions on a large fleet. Guards against decisions that take so long that tasks wait although there is room: on 1,100
+/// instances fewer than half of the short jobs ended in time, while hundreds of instances had room.
 ///
 /// A shift of load makes pools short by hundreds of instances at once. The owner's single thread spent up to several seconds on
 /// one capacity plan, in which it started no task and read no reports; the passes over the queue that had grown meanwhile were
 /// slow as well.
 ///
-/// The cost of one decision grew with the square or the cube of the fleet, or with all waiting work, instead of with the changes.
-/// The tests count inspections, which do not depend on the machine; profiles of the owner by kind of work, second by second on
-/// slower machines, showed the same.
+/// Cause: the cost of one decision grew with the square or the cube of the fleet, or with all waiting work, instead of with the
+/// changes. The tests count inspections, which do not depend on the machine.
 
 #include "lanemoor/jobs/policy/capacity_plan.h"
 #include "support.h"
@@ -45,15 +44,15 @@
 }
 
 /// Result of a plan for a shift of load, and its number of instance inspections.
-struct TurnPlan {
+struct LoadShiftPlan {
     CapacityStep step;
     std::uint64_t inspected = 0;
 };
 
 constexpr std::size_t largeFleet = 1'100;
 
-/// One pool asks for more than the whole fleet, the others for a twentieth of an even share.
-TurnPlan planTurn(std::size_t asking, std::size_t off, Use others)
+/// Plans for one pool that asks for more than the whole fleet, while each other one asks for a twentieth of an even share.
+LoadShiftPlan planLoadShift(std::size_t asking, std::size_t off, Use others)
 {
     const std::size_t third = (largeFleet - asking - off) / 3;
     const auto little = static_cast<std::int64_t>(largeFleet / 100);
@@ -61,28 +60,28 @@
         largePool("d", largeFleet - asking - off - 2 * third, others, little), largePool("off", off, Use::Idle, 0) };
     pools.back().reserve = true;
     CapacityPlan plan;
-    TurnPlan turn { .step = plan.next(pools, start) };
-    turn.inspected = plan.inspected();
-    return turn;
+    LoadShiftPlan result { .step = plan.next(pools, start) };
+    result.inspected = plan.inspected();
+    return result;
 }
 
-/// A plan inspects each instance a few times for each pool that could get it; 100,000 inspections fit into a tenth of a second.
+/// A plan inspects each instance a few times for each pool that could get it. 100,000 inspections take a tenth of a second.
 constexpr std::uint64_t maxInspectionsPerInstance = 20;
 
 } // namespace
 
 TEST_CASE("Moving hundreds of idle instances inspects each of them a few times")
 {
-    const TurnPlan turn = planTurn(110, 220, Use::Idle);
-    CHECK(turn.step.moves.size() > largeFleet / 2);
-    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
+    const LoadShiftPlan result = planLoadShift(110, 220, Use::Idle);
+    CHECK(result.step.moves.size() > largeFleet / 2);
+    CHECK(result.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
 TEST_CASE("Draining hundreds of busy instances inspects each of them a few times")
 {
-    const TurnPlan turn = planTurn(55, 20, Use::Busy);
-    CHECK(turn.step.drains.size() > largeFleet / 10);
-    CHECK(turn.inspected <= maxInspectionsPerInstance * largeFleet);
+    const LoadShiftPlan result = planLoadShift(55, 20, Use::Busy);
+    CHECK(result.step.drains.size() > largeFleet / 10);
+    CHECK(result.inspected <= maxInspectionsPerInstance * largeFleet);
 }
 
 TEST_CASE("Work that waits for room is not checked against each worker in each pass")
@@ -104,11 +103,10 @@
     CHECK((after.sitesInspected - before.sitesInspected) / (after.passes - before.passes) <= 2 * instances);
 }
 
-/// Guards against a watch cache that lags permanently. At a planned stop of the owner of 1,100 workers no task started for 2.9 s.
-/// Its successor claimed ownership within 30 ms and reported a cache age of 125 ms; the cache was 2.8 s behind. One watch
-/// response carries about 500 changes: with half a second between two requests, the cache of every instance that is not the owner
-/// falls behind at more than 1,000 changes per second. The responses had 500 to 510 changes, and the last change of each was at
-/// the revision where the next watch was to resume.
+/// Guards against a watch cache that lags permanently. One watch response carries about 500 changes (500 to 510 were seen): with
+/// half a second between two requests, the cache of every instance that is not the owner falls behind at more than 1,000 changes
+/// per second. After a planned stop of the owner of 1,100 workers its successor claimed the ownership within 30 ms and reported a
+/// cache age of 125 ms, but the cache was 2.8 s behind, and no task started for 2.9 s.
 TEST_CASE("A watch cache keeps up with changes that come faster than one watch response carries them")
 {
     SmallCluster cluster(1, 3, 40, 0);
@@ -116,15 +114,15 @@
     cluster.store.faults.maxEvents = 100;
     const std::size_t standby = *cluster.owner() == 1 ? 2 : 1;
     std::uint64_t number = 0;
-    std::size_t keptBefore = 0; // Two thirds of a second ago.
+    std::size_t acceptedBefore = 0; // Two thirds of a second ago.
     for (int round = 0; round < 6; ++round) {
-        keptBefore = cluster.accepted().size();
+        acceptedBefore = cluster.accepted().size();
         for (int i = 0; i < 100; ++i) {
             cluster.submit(0, "work", jobId(++number), job({ step(1) }));
             cluster.clock.runFor(Millis(7));
         }
     }
-    CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= keptBefore);
+    CHECK(cluster.entry(standby).jobs(std::nullopt, 10'000).size() >= acceptedBefore);
     // A successor has to read the missing changes before it may start tasks.
     const std::uint64_t starts = cluster.checker.starts();
     cluster.entry(*cluster.owner()).stop([] {});
--- a/tests/jobs/requirement_test.cpp
+++ b/tests/jobs/requirement_test.cpp
@@ -160,12 +160,12 @@
     REQUIRE(cluster.waitFor(Millis(3'000), [&] { return cluster.checker.starts() == 8; }));
     const std::size_t owner = *cluster.owner();
     const std::size_t other = (owner + 1) % cluster.entries();
-    cluster.workers.on("m-0")->faults.lateCommands = 1.0;
+    cluster.workers.workerOn("m-0")->faults.lateCommands = 1.0;
     cluster.cancel(other, jobId(1));
     // The cancellation is stored, and the stops are not answered.
     cluster.clock.runFor(Millis(500));
     cluster.kill(owner);
-    cluster.workers.on("m-0")->faults = {};
+    cluster.workers.workerOn("m-0")->faults = {};
     cluster.submit(other, "work", jobId(2), job({ step(8) }));
     cluster.clock.runFor(Millis(6'000));
     CHECK(cluster.checker.starts() == 16);
@@ -174,8 +174,8 @@
 
 TEST_CASE("A wave does not take the last instance that tasks need until another one has joined")
 {
-    // A wave evacuated the only instance of its kind in a pool. One task was stopped and found no other
-    // place, the budget kept the others running, and no task could start on the instance.
+    // Guards against a wave that evacuates the only instance of its kind in a pool: one task was stopped and
+    // found no other place, the budget kept the others running, and no task could start on the instance.
     MixedCluster cluster("main", 1);
     StepSpec lasting = labelled(longStep(4), "b");
     lasting.maxPerInstance = 0;
@@ -183,7 +183,7 @@
     REQUIRE(cluster.startsWithin(Millis(3'000), 4) == 4);
     cluster.requestWave({ .number = 1, .instances = { "b-0" }, .duration = Millis(10'000), .maxConcurrent = 1 });
     cluster.clock.runFor(Millis(10'000));
-    CHECK(cluster.workers.on("b-0")->running.size() == 4);
+    CHECK(cluster.workers.workerOn("b-0")->running.size() == 4);
     cluster.workers.addInstance("b-1", "off", "r-b", capacity, "b");
     CHECK(cluster.waitFor(Millis(15'000), [&] { return cluster.store.find("status/wave/1")->value == "finished"; }));
     requireNoBreach(cluster);
@@ -191,8 +191,8 @@
 
 TEST_CASE("Long-running tasks make room for one that needs their instance's label, one at a time")
 {
-    // In random runs, tasks without requirements permanently occupied every instance of a kind. Later two
-    // tasks of one step were moved at once, beyond the step's disruption budget.
+    // Guards against tasks without requirements that occupy every instance of a kind permanently (seen in random
+    // runs), and against moving two tasks of one step at once, beyond the step's disruption budget.
     MixedCluster cluster("main", 1, 0, 2);
     StepSpec lasting = longStep(4);
     lasting.maxPerInstance = 0;
--- a/tests/jobs/unanswered_command_test.cpp
+++ b/tests/jobs/unanswered_command_test.cpp
@@ -2,9 +2,9 @@
 /// more than 40 s after their workers failed, although there was room.
 ///
 /// Two tasks of one step were started again while workers left commands unanswered. Neither start was confirmed and neither task was
-/// reported, so each was stopped to prevent a later begin. Both stops stayed unanswered and were never repeated: a stop was repeated
-/// only within the step's disruption budget, and each unconfirmed task counted as unavailable for the other. Stopping an unconfirmed
-/// start disrupts nothing, so it needs no budget.
+/// reported, so each was stopped in case its start arrived late. Both stops stayed unanswered and were never repeated: a stop was
+/// repeated only within the step's disruption budget, and each unconfirmed task counted as unavailable for the other. Stopping an
+/// unconfirmed start disrupts nothing, so it needs no budget.
 
 #include "support.h"
 
@@ -83,17 +83,17 @@
 TEST_CASE("Tasks that stall on two workers at once are started again, and become ready once the workers resume")
 {
     LongRunningCluster cluster;
-    const auto hang = [&](bool stalled) {
+    const auto setStalled = [&](bool stalled) {
         for (auto& [worker, model] : cluster.workers.workers())
             model.faults.stalled = stalled && (worker == "i-6" || worker == "i-7");
     };
-    hang(true);
+    setStalled(true);
     cluster.crashTwo();
     cluster.clock.runFor(Millis(5'000));
     const std::uint64_t starts = cluster.checker.starts();
     cluster.clock.runFor(Millis(12'000));
     CHECK(cluster.checker.starts() >= starts + 2);
-    hang(false);
+    setStalled(false);
     cluster.clock.runFor(Millis(15'000));
     CHECK(cluster.running() == LongRunningCluster::tasks);
     CHECK(cluster.checker.breaches().empty());
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -39,7 +39,7 @@
 
     [[nodiscard]] EjectionCandidate candidate(std::size_t index, HealthFault fault, double score = 1) const { return { .member = members[index], .fault = fault, .score = score }; }
 
-    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& least = {}) const { return EjectionBound(options, members, least).choose(candidates); }
+    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& minInstances = {}) const { return EjectionBound(options, members, minInstances).choose(candidates); }
 
     std::vector<WorkerEntry> workers;
     std::vector<EjectionMember> members;
@@ -121,7 +121,7 @@
     CHECK(peer.fault(start) == HealthFault::None);
 }
 
-/// Guards against scoring a worker that has become slow by its many ends of the seconds before.
+/// Guards against a score in which the many timely ends of the seconds before hide that a worker has become slow.
 TEST_CASE("A worker that has become slow is ejected after several late ends in a row")
 {
     WorkerHealth health;
