--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -127,7 +127,7 @@
         }
     }
 
-    AdmissionQueue m_queue { { .slots = slots, .mostWaiting = 1024 } };
+    AdmissionQueue m_queue { { .slots = slots, .maxWaiting = 1024 } };
     std::mt19937_64 m_random;
     double m_batchShare;
     double m_arrivalsPerTick = 0;
--- a/bench/evacuations.cpp
+++ b/bench/evacuations.cpp
@@ -59,18 +59,18 @@
             m_cluster.submit(0, "work", jobId(++m_jobs), job({ longStep(6) }));
     }
 
-    RunResult play()
+    RunResult simulate()
     {
-        playUntil(m_cluster.clock.now() + warmUp, [] {});
+        simulateUntil(m_cluster.clock.now() + warmUp, [] {});
         // Operators' requests arrive at a random time between two polls of the owner.
         m_cluster.clock.runFor(Millis(std::uniform_int_distribution<int>(0, 1'000)(m_cluster.random)));
         const MonotonicInstant begin = m_cluster.clock.now();
-        disturb();
+        injectFaults();
         m_cluster.evacuate(evacuated);
         RunResult result;
         MonotonicInstant lastStart = begin;
         MonotonicInstant busyUntil = begin;
-        playUntil(begin + observationTime, [&] {
+        simulateUntil(begin + observationTime, [&] {
             const std::optional<MonotonicInstant> start = latestStart();
             if (!start)
                 return;
@@ -87,7 +87,7 @@
     static double passed(MonotonicInstant from, MonotonicInstant to) { return static_cast<double>(std::chrono::duration_cast<Millis>(to - from).count()); }
 
     template <typename Observe>
-    void playUntil(MonotonicInstant end, const Observe& observe)
+    void simulateUntil(MonotonicInstant end, const Observe& observe)
     {
         while (m_cluster.clock.now() < end) {
             observe();
@@ -100,7 +100,7 @@
         }
     }
 
-    void disturb()
+    void injectFaults()
     {
         m_cluster.store.faults.answerTime = m_scenario.answerTime;
         if (m_scenario.crashesOwner)
@@ -152,7 +152,7 @@
     std::vector<double> empties;
     std::size_t breaches = 0;
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const RunResult result = Run(scenario, seed).play();
+        const RunResult result = Run(scenario, seed).simulate();
         lastStarts.push_back(result.lastStart);
         empties.push_back(result.emptyAfter);
         breaches += result.breaches;
--- a/bench/lost_workers.cpp
+++ b/bench/lost_workers.cpp
@@ -73,13 +73,13 @@
         m_cluster.clock.runFor(Millis(2'000));
     }
 
-    Outcome play()
+    Outcome simulate()
     {
         const MonotonicInstant begin = m_cluster.clock.now();
         while (m_cluster.clock.now() < begin + loadTime + drainTime) {
             const auto passed = std::chrono::duration_cast<Millis>(m_cluster.clock.now() - begin);
             if (passed < loadTime)
-                act(passed);
+                applyLoad(passed);
             observe(passed);
             m_cluster.clock.runFor(tick);
         }
@@ -91,7 +91,7 @@
 
     std::size_t anyEntry() { return std::uniform_int_distribution<std::size_t>(0, m_cluster.entries() - 1)(m_cluster.random); }
 
-    void act(Millis passed)
+    void applyLoad(Millis passed)
     {
         if (isDue(passed, jobInterval)) {
             m_open.emplace_back(++m_quick, passed);
@@ -169,7 +169,7 @@
     Outcome sum;
     const auto share = [runs](double figure) { return figure / static_cast<double>(runs); };
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const Outcome one = Run(scenario, policy, seed).play();
+        const Outcome one = Run(scenario, policy, seed).simulate();
         sum.workersCrashed += share(one.workersCrashed);
         sum.innocentFailed += one.innocentFailed;
         sum.latency += share(one.latency);
--- a/bench/restarted_workers.cpp
+++ b/bench/restarted_workers.cpp
@@ -57,13 +57,13 @@
 
     /// \returns Milliseconds from the first report of each failed worker's successor to the restart of each task; 0 if the task
     /// had already started elsewhere.
-    std::vector<double> play()
+    std::vector<double> simulate()
     {
         const MonotonicInstant begin = m_cluster.clock.now();
         while (m_cluster.clock.now() < begin + loadTime + drainTime) {
             const auto passed = std::chrono::duration_cast<Millis>(m_cluster.clock.now() - begin);
             if (passed < loadTime)
-                act(passed);
+                applyLoad(passed);
             observe();
             m_cluster.clock.runFor(tick);
         }
@@ -82,7 +82,7 @@
 private:
     static bool isDue(Millis passed, Millis every) { return every.count() > 0 && passed.count() > 0 && passed.count() % every.count() < tick.count(); }
 
-    void act(Millis passed)
+    void applyLoad(Millis passed)
     {
         if (isDue(passed, jobInterval)) {
             ++m_jobs;
@@ -151,7 +151,7 @@
     std::size_t unsettled = 0;
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
         Run run(scenario, seed);
-        const std::vector<double> one = run.play();
+        const std::vector<double> one = run.simulate();
         times.insert(times.end(), one.begin(), one.end());
         breaches += run.breaches();
         unsettled += run.unsettled();
--- a/include/lanemoor/aio/http_client.h
+++ b/include/lanemoor/aio/http_client.h
@@ -30,7 +30,7 @@
     std::optional<jobs::MonotonicInstant> transferDeadline {};
     /// Called at most once, when the body begins to arrive, unless the response is already complete. \returns Whether to read the
     /// rest; otherwise the connection is closed. May be null.
-    std::function<bool()> begun {};
+    std::function<bool()> onBodyStart {};
 };
 
 /// Result of a call.
@@ -69,7 +69,7 @@
     void send(const HttpAddress& address, HttpCall call, std::function<void(HttpReply)> done);
 
     /// \brief Closes the idle connections to `address`.
-    void forget(const HttpAddress& address);
+    void closeIdleConnections(const HttpAddress& address);
 
     [[nodiscard]] const HttpClientCounts& counts() const noexcept;
 
--- a/include/lanemoor/decisions/admission.h
+++ b/include/lanemoor/decisions/admission.h
@@ -29,7 +29,7 @@
 /// Limits of one queue.
 struct AdmissionLimits {
     std::uint32_t slots = 0; ///< Requests in flight at once.
-    std::uint32_t mostWaiting = 256;
+    std::uint32_t maxWaiting = 256;
 
     [[nodiscard]] bool operator==(const AdmissionLimits&) const = default;
 };
--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -38,7 +38,7 @@
     bool adopted = false; ///< An earlier owner started it, and may have sent a stop for it.
     std::uint32_t percent = 0; ///< Progress as last reported.
     MonotonicInstant percentSince; ///< When `percent` last changed.
-    bool listed = false; ///< A status report of this worker incarnation listed it.
+    bool reported = false; ///< A status report of this worker incarnation listed it.
     std::int64_t confirmedAtWorkerClock = 0; ///< The worker's clock, ms, when it first confirmed the attempt; 0: not confirmed.
     /// The worker's clock, ms, when the start was sent; 0: unknown, as the worker had not answered shortly before.
     std::int64_t sentAtWorkerClock = 0;
@@ -49,7 +49,7 @@
     [[nodiscard]] MonotonicInstant lastProgressAt() const noexcept { return std::max(percentSince, phaseSince); }
 
     /// \returns Whether the worker has ever reported or acknowledged the attempt.
-    [[nodiscard]] bool wasConfirmed() const noexcept { return listed || confirmedAtWorkerClock > 0; }
+    [[nodiscard]] bool wasConfirmed() const noexcept { return reported || confirmedAtWorkerClock > 0; }
 
     [[nodiscard]] bool operator==(const LiveAttempt&) const = default;
 };
@@ -69,7 +69,7 @@
     bool givenUp = false; ///< The task crashes its workers and is not started again; a long-running job continues without it.
 
     /// \returns The number of crashes attributed to the task plus its unsettled probations; 0: the task is no suspect.
-    [[nodiscard]] std::uint32_t suspicion() const noexcept { return crashes.total() + static_cast<std::uint32_t>(probations.size()); }
+    [[nodiscard]] std::uint32_t suspectedCrashes() const noexcept { return crashes.total() + static_cast<std::uint32_t>(probations.size()); }
 
     /// \returns The probation of an attempt, or null.
     [[nodiscard]] const Probation* probationOf(std::uint64_t attempt) const noexcept;
@@ -194,7 +194,7 @@
     bool beginProbation(const Attempt& attempt, std::int64_t workerStartedAt);
 
     /// \brief Notes that the worker of a live attempt on probation is unresponsive. \returns Whether the probation changed and must be stored.
-    bool noteSilence(const Attempt& attempt);
+    bool noteUnresponsive(const Attempt& attempt);
 
     /// \brief Keeps the probation of a live attempt beyond its end, since only the unresponsive worker's survival or crash settles it.
     void keepProbation(const Attempt& attempt);
@@ -217,7 +217,7 @@
     /// \brief Fails a task permanently since it crashes its workers. Its job fails; a long-running job continues without the task, as its
     /// other tasks serve users and its disruption budget may forbid stopping them.
     /// \returns Whether the job's status became final.
-    bool giveUp(const TaskId& task);
+    bool failPermanently(const TaskId& task);
 
     /// \brief Notes that a caller cancelled the job. Ignored if its status is final.
     void cancel() noexcept;
--- a/include/lanemoor/jobs/model/key_value_store.h
+++ b/include/lanemoor/jobs/model/key_value_store.h
@@ -91,7 +91,7 @@
     Millis timeout { 1'000 }; ///< Timeout for the first bytes of the answer, in addition to `wait`.
     /// Called at most once, when a first part of the answer's body has arrived, but not all of it. \returns Whether to receive the rest;
     /// if false, the call ends with Abandoned. May be null.
-    std::function<bool()> begun;
+    std::function<bool()> onBodyStart;
 };
 
 /// Result of a transaction.
--- a/include/lanemoor/jobs/model/pool_load.h
+++ b/include/lanemoor/jobs/model/pool_load.h
@@ -23,8 +23,8 @@
     bool healthy = true; ///< Accepts work now, or will once it has arrived.
     bool arriving = false; ///< Moving to the pool or in maintenance; accepts no work yet.
     std::optional<MonotonicInstant> idleSince; ///< Set if the instance is up, has no running tasks and may be moved.
-    std::string drainable; ///< Id of its worker, if that is busy and may be drained; else empty.
-    MonotonicInstant emptyBy; ///< Expected end of its attempts, without long-running ones.
+    std::string drainableWorker; ///< Id of its worker, if that is busy and may be drained; else empty.
+    MonotonicInstant expectedEmptyAt; ///< Expected end of its attempts, without long-running ones.
     std::uint32_t longRunning = 0; ///< Number of its long-running attempts.
     std::string drainingFrom; ///< The pool in which it is drained in order to move to this one; empty: none.
 
--- a/include/lanemoor/jobs/model/work_meter.h
+++ b/include/lanemoor/jobs/model/work_meter.h
@@ -30,7 +30,7 @@
 struct WorkReading {
     std::array<std::chrono::microseconds, workKindCount> spent {}; ///< Exclusive times: nested work counts only under its own kind.
     std::chrono::microseconds longest {}; ///< Inclusive time of the longest piece of work.
-    WorkKind longestKind = WorkKind::Placement; ///< Kind of the longest piece.
+    WorkKind longestPieceKind = WorkKind::Placement; ///< Kind of the longest piece.
 
     [[nodiscard]] std::chrono::microseconds of(WorkKind kind) const { return spent.at(static_cast<std::size_t>(kind)); }
 
--- a/include/lanemoor/jobs/model/worker_control.h
+++ b/include/lanemoor/jobs/model/worker_control.h
@@ -133,7 +133,7 @@
     virtual void noteOverdue(const WorkerIncarnation& /*worker*/) { }
 
     /// \brief Closes the connections to an incarnation that has ended.
-    virtual void forget(const WorkerIncarnation& worker) = 0;
+    virtual void closeConnections(const WorkerIncarnation& worker) = 0;
 };
 
 } // namespace lanemoor::jobs
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -73,7 +73,7 @@
     std::uint32_t attempts = 0; ///< Unfinished attempts.
     std::uint32_t longRunning = 0; ///< Long-running attempts among them.
     std::uint32_t pinned = 0; ///< Long-running attempts that require a label.
-    MonotonicInstant emptyBy; ///< Expected end of all other attempts, from declared and observed run times.
+    MonotonicInstant expectedEmptyAt; ///< Expected end of all other attempts, from declared and observed run times.
     bool known = false; ///< The running attempts are known: the worker reported in this term, or every lease on it has expired.
     bool healthy = false; ///< Healthy: listed, responsive, not draining, not ejected.
     bool evacuating = false;
@@ -181,7 +181,7 @@
 
     /// \brief Notes that the worker's incarnation has ended, as proved by the platform.
     /// \param ordered Whether an action of this owner ended the incarnation.
-    void noteLifeOver(const std::string& worker, bool ordered = false);
+    void noteIncarnationOver(const std::string& worker, bool ordered = false);
 
     /// \brief Notes that the platform's list has not named an incarnation since the given time. A later incarnation under
     /// the same id is not affected.
--- a/include/lanemoor/jobs/owner/worker_record.h
+++ b/include/lanemoor/jobs/owner/worker_record.h
@@ -43,7 +43,7 @@
     MonotonicInstant probationUntil; ///< End of the probation of the latest start.
     MonotonicInstant livenessCheckDueAt; ///< Deadline of the pending liveness check.
     MonotonicInstant nextLivenessCheckAt; ///< Time of the next liveness check at the earliest.
-    std::string keptFor; ///< Label of the tasks that the worker is reserved for.
+    std::string reservedForLabel; ///< Label of the tasks that the worker is reserved for.
     MonotonicInstant reservedUntil; ///< End of this reservation.
 
     /// \returns The capacity that is not reserved.
--- a/include/lanemoor/jobs/owner/worker_session.h
+++ b/include/lanemoor/jobs/owner/worker_session.h
@@ -128,7 +128,7 @@
     [[nodiscard]] MonotonicInstant leaseExpiresBy() const;
 
     /// \brief Notes the end of the incarnation, proved by another source.
-    void noteLifeOver();
+    void noteIncarnationOver();
 
     /// \brief The worker reports another start time than that of this incarnation, which has therefore ended.
     void noteRestart(std::int64_t startedAt);
--- a/include/lanemoor/jobs/policy/expected_service.h
+++ b/include/lanemoor/jobs/policy/expected_service.h
@@ -12,12 +12,12 @@
 namespace lanemoor::jobs {
 
 /// A typical job of a queue, from recent submissions.
-struct UsualJob {
+struct TypicalJob {
     std::int64_t workMillis = 0; ///< Core milliseconds, corrected by observed run times.
-    Millis chain { 0 }; ///< Duration of its longest chain of steps, corrected too.
+    Millis criticalPath { 0 }; ///< Duration of its longest chain of steps, corrected too.
     Millis allowed { 0 }; ///< From submission to objective.
 
-    [[nodiscard]] bool operator==(const UsualJob&) const = default;
+    [[nodiscard]] bool operator==(const TypicalJob&) const = default;
 };
 
 /// Unfinished work of one organisation on one queue.
@@ -28,7 +28,7 @@
     std::uint32_t priority = 0; ///< Of the queue.
     std::int64_t workMillis = 0; ///< Core milliseconds of all unfinished jobs, including those that end late.
     std::int64_t runningMilliCpu = 0; ///< Running in the pool.
-    UsualJob usual;
+    TypicalJob typical;
     double correction = 1.0; ///< Observed run times as a multiple of declared ones.
     bool wasUnderPressure = false; ///< It was under pressure recently: its callers retry.
 
--- a/include/lanemoor/jobs/policy/placement.h
+++ b/include/lanemoor/jobs/policy/placement.h
@@ -19,7 +19,7 @@
 /// A task that may have crashed the workers that started it, at a site that has not survived its start yet.
 struct SiteSuspect {
     std::string quarantineKey; ///< See `quarantineKey`: suspects with the same key need no separation.
-    std::uint32_t suspicion = 0; ///< Crashes that it may have caused.
+    std::uint32_t suspectedCrashes = 0; ///< Crashes that it may have caused.
 };
 
 /// A worker as a candidate for placement.
@@ -30,7 +30,7 @@
     std::uint32_t bestEffortTasks = 0;
     bool open = true; ///< False: it accepts no new task now.
     bool preferred = true; ///< False: only used if no preferred site has room.
-    std::string keptFor; ///< Only tasks that require this label are placed here; empty: all tasks.
+    std::string reservedForLabel; ///< Only tasks that require this label are placed here; empty: all tasks.
     std::uint32_t labelDemand = 0; ///< Demand of tasks that require its labels, relative to the capacity of the sites with them; see `labelDemandLevel`.
     std::vector<SiteSuspect> suspects;
     bool distrusted = false; ///< It has not answered its latest starts: only used if no other site has room.
@@ -43,7 +43,7 @@
 struct PlacementQuery {
     std::string avoidWorker; ///< Only used if no other site is available.
     std::string quarantineKey; ///< See `quarantineKey`.
-    std::uint32_t suspicion = 0; ///< Crashes that the task may have caused.
+    std::uint32_t suspectedCrashes = 0; ///< Crashes that the task may have caused.
     std::string rack; ///< Only sites of this rack; empty: any.
     bool nearOnly = false; ///< Only sites in the rack that the step prefers, if it prefers one.
     /// \returns Tasks of the same step and occurrence at site `index`; only called for steps with a limit per instance.
@@ -77,10 +77,10 @@
     [[nodiscard]] std::optional<std::size_t> choose(const StepSpec& step, const PlacementQuery& query) const;
 
     /// \brief Reserves resources for a task of `step` on site `index`.
-    void book(std::size_t index, const StepSpec& step);
+    void reserve(std::size_t index, const StepSpec& step);
 
     /// \brief Records a suspect placed on site `index`.
-    void noteSuspect(std::size_t index, const std::string& quarantineKey, std::uint32_t suspicion);
+    void noteSuspect(std::size_t index, const std::string& quarantineKey, std::uint32_t suspectedCrashes);
 
     /// \brief Releases the resources of a task of `step` on site `index`.
     void release(std::size_t index, const StepSpec& step);
--- a/include/lanemoor/jobs/policy/reachability.h
+++ b/include/lanemoor/jobs/policy/reachability.h
@@ -111,13 +111,13 @@
     /// \brief Adds a path that starts in `dataHall`; drops the state of an earlier path with the same name.
     void setPath(const std::string& path, const std::string& dataHall);
 
-    void forgetPath(const std::string& path);
+    void removePath(const std::string& path);
 
     /// \returns The data hall in which a path starts; empty: unknown.
     [[nodiscard]] const std::string& hallOfPath(const std::string& path) const;
 
     /// \brief Drops the evidence from a worker.
-    void forgetWorker(const std::string& worker) { m_unansweredOver.erase(worker); }
+    void removeWorker(const std::string& worker) { m_unansweredOver.erase(worker); }
 
     /// \brief Records a call that the worker answered. \returns The change, if the path was unreachable.
     std::optional<PathChange> noteAnswered(const std::string& path, std::size_t hall, const std::string& worker, MonotonicInstant now);
--- a/include/lanemoor/jobs/policy/reservations.h
+++ b/include/lanemoor/jobs/policy/reservations.h
@@ -21,7 +21,7 @@
     OrganisationAccount* account = nullptr; ///< Account charged with the step's full needs; null: none.
     std::uint32_t throttledTo = 100; ///< Percent last sent to the worker.
     MonotonicInstant expectedEnd; ///< From the declared time, corrected by observed run times.
-    std::uint32_t suspicion = 0; ///< Crashes that its task may have caused; 0 once the worker has survived the start.
+    std::uint32_t suspectedCrashes = 0; ///< Crashes that its task may have caused; 0 once the worker has survived the start.
 };
 
 /// \brief The reservations at one worker and their sums, which placement reads in each pass.
@@ -47,8 +47,8 @@
     void noteThrottled(const Attempt& attempt, std::uint32_t percent);
 
     /// \brief Records that the worker may not survive the attempt's start; ignored if the attempt has no reservation.
-    /// \param suspicion Crashes that the task may have caused, this one included.
-    void noteSuspect(const Attempt& attempt, std::uint32_t suspicion);
+    /// \param suspectedCrashes Crashes that the task may have caused, this one included.
+    void noteSuspect(const Attempt& attempt, std::uint32_t suspectedCrashes);
 
     /// \brief Records that the worker has survived the attempt's start; ignored if the attempt has no reservation.
     void noteSurvived(const Attempt& attempt);
--- a/include/lanemoor/jobs/policy/unacknowledged_starts.h
+++ b/include/lanemoor/jobs/policy/unacknowledged_starts.h
@@ -37,7 +37,7 @@
     void noteProbeOverdue() noexcept { m_probeOverdue = true; }
 
     /// \brief Records an answer of the worker to any call.
-    void noteHeard() noexcept { m_probeOverdue = false; }
+    void noteResponse() noexcept { m_probeOverdue = false; }
 
     /// \returns Whether the worker has an overdue start and no answer to any start since, or an overdue probe.
     [[nodiscard]] bool isDistrusted(MonotonicInstant now) const noexcept { return m_probeOverdue || now < m_distrustedUntil; }
--- a/include/lanemoor/jobs/relay/relay_plan.h
+++ b/include/lanemoor/jobs/relay/relay_plan.h
@@ -86,7 +86,7 @@
     [[nodiscard]] const ReachabilityTable& reachability() const noexcept { return m_reachability; }
 
     /// \brief Removes a worker. \returns The relay that it was assigned to; empty: none.
-    std::string forget(const std::string& worker);
+    std::string removeWorker(const std::string& worker);
 
     /// \returns Number of relays in use.
     [[nodiscard]] std::size_t relaysInUse() const noexcept { return m_inUse; }
--- a/include/lanemoor/jobs/relay/relayed_workers.h
+++ b/include/lanemoor/jobs/relay/relayed_workers.h
@@ -66,7 +66,7 @@
     void renew(const WorkerIncarnation& worker, const RenewCommand& order, std::function<void(RenewResult)> done) override;
     void throttle(const WorkerIncarnation& worker, const Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(CommandResult)> done) override;
     void noteOverdue(const WorkerIncarnation& worker) override;
-    void forget(const WorkerIncarnation& worker) override;
+    void closeConnections(const WorkerIncarnation& worker) override;
 
     /// \brief Sends every connected instance its share of the budgets; instances that connect later get it too.
     /// \returns The share of one instance, which is the same for all and also applies to this one.
--- a/include/lanemoor/net/http_server.h
+++ b/include/lanemoor/net/http_server.h
@@ -54,7 +54,7 @@
     std::string certificateFile; ///< PEM; empty disables TLS.
     std::string keyFile;
     std::size_t maxBodyBytes = 1024 * 1024;
-    unsigned mostThreads = 64; ///< Requests handled concurrently; further ones wait.
+    unsigned maxThreads = 64; ///< Requests handled concurrently; further ones wait.
     std::chrono::milliseconds readTimeout { 5'000 }; ///< For one complete body.
     std::chrono::milliseconds idleTimeout { 30'000 }; ///< For a connection between requests.
 };
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -32,7 +32,7 @@
 /// A waiting request that can no longer meet its deadline is refused at once.
 class PoolGate {
 public:
-    explicit PoolGate(std::uint32_t mostWaiting);
+    explicit PoolGate(std::uint32_t maxWaiting);
 
     /// \brief Waits until a request is admitted.
     /// \param descriptor The caller's socket.
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -32,7 +32,7 @@
 /// The shard of this entry instance. The shards divide slots and quotas equally among the entries.
 struct EntryShard {
     std::uint32_t number = 0;
-    std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
+    std::uint32_t shardCount = 0; ///< Total number of shards; 0 if this entry holds none and sends no requests.
 
     [[nodiscard]] bool operator==(const EntryShard&) const = default;
 };
--- a/src/aio/http_client.cpp
+++ b/src/aio/http_client.cpp
@@ -103,7 +103,7 @@
         sendQueued(peer);
     }
 
-    void forget(const HttpAddress& address)
+    void closeIdleConnections(const HttpAddress& address)
     {
         const auto found = m_peers.find(address.ip + ':' + std::to_string(address.port));
         if (found == m_peers.end())
@@ -219,8 +219,8 @@
         HttpCall& call = connection.pending.call;
         if (call.transferDeadline)
             connection.stream.expires_at(m_loop.impl().toTimerClock(std::min(m_loop.now() + m_options.stallTimeout, *call.transferDeadline)));
-        const std::function<bool()> begun = std::exchange(call.begun, nullptr);
-        return !begun || begun();
+        const std::function<bool()> onBodyStart = std::exchange(call.onBodyStart, nullptr);
+        return !onBodyStart || onBodyStart();
     }
 
     void finish(Peer& peer, const ConnectionPointer& connection, HttpReply reply, bool keep)
@@ -259,9 +259,9 @@
     m_impl->send(address, { std::move(call), std::move(done) });
 }
 
-void HttpClient::forget(const HttpAddress& address)
+void HttpClient::closeIdleConnections(const HttpAddress& address)
 {
-    m_impl->forget(address);
+    m_impl->closeIdleConnections(address);
 }
 
 const HttpClientCounts& HttpClient::counts() const noexcept
--- a/src/decisions/admission.cpp
+++ b/src/decisions/admission.cpp
@@ -61,7 +61,7 @@
     TeamQueue& team = m_teams[ticket.team];
     if (team.quota > 0 && team.inFlight >= team.quota && ticket.requestClass != RequestClass::Batch)
         return AdmissionRefusal { .reason = RequestRefusal::TeamOverQuota, .retryAt = retryAt };
-    if (m_waiting.size() >= m_limits.mostWaiting)
+    if (m_waiting.size() >= m_limits.maxWaiting)
         return AdmissionRefusal { .reason = RequestRefusal::QueueFull, .retryAt = retryAt };
     team.waiting[indexOf(ticket.requestClass)].insert({ .deadline = ticket.deadline, .id = ticket.id });
     ++m_waitingByClass[indexOf(ticket.requestClass)];
--- a/src/jobs/model/job_state.cpp
+++ b/src/jobs/model/job_state.cpp
@@ -275,7 +275,7 @@
     TaskState* state = findLive(report.attempt);
     if (!state)
         return;
-    state->live->listed = true;
+    state->live->reported = true;
     if (!report.checkpoint.empty())
         state->checkpoint = report.checkpoint;
     if (state->live->percent != report.percent)
@@ -414,7 +414,7 @@
     return true;
 }
 
-bool JobState::noteSilence(const Attempt& attempt)
+bool JobState::noteUnresponsive(const Attempt& attempt)
 {
     TaskState* state = findLive(attempt);
     if (!state)
@@ -452,7 +452,7 @@
     TaskState* state = mutableTask(attempt.task);
     if (!state)
         return false;
-    const bool wasSuspect = state->suspicion() > 0;
+    const bool wasSuspect = state->suspectedCrashes() > 0;
     std::erase_if(state->probations, [&](const Probation& probation) { return probation.attempt <= attempt.number; });
     if (attempt.number < state->lastCrashedAttempt)
         return wasSuspect;
@@ -467,13 +467,13 @@
     if (!state)
         return false;
     state->givenUp = false;
-    const bool wasSuspect = state->suspicion() > 0;
+    const bool wasSuspect = state->suspectedCrashes() > 0;
     state->crashes = {};
     state->probations.clear();
     return wasSuspect;
 }
 
-bool JobState::giveUp(const TaskId& task)
+bool JobState::failPermanently(const TaskId& task)
 {
     TaskState* state = mutableTask(task);
     if (!state || isFinal(m_status))
--- a/src/jobs/model/work_meter.cpp
+++ b/src/jobs/model/work_meter.cpp
@@ -53,7 +53,7 @@
     if (inclusive <= m_meter->m_recent.longest)
         return;
     m_meter->m_recent.longest = inclusive;
-    m_meter->m_recent.longestKind = m_kind;
+    m_meter->m_recent.longestPieceKind = m_kind;
 }
 
 WorkReading WorkMeter::takeRecent()
--- a/src/jobs/owner/admission_controller.cpp
+++ b/src/jobs/owner/admission_controller.cpp
@@ -56,10 +56,10 @@
     const double weight = isFirst ? 1 : newestJobWeight;
     const auto mix = [weight](double& mean, double newest) { mean += weight * (newest - mean); };
     const QueueSettings* queue = m_state.configuration()->queue(record.queue);
-    const auto chain = static_cast<double>(job.chain.count());
+    const auto criticalPath = static_cast<double>(job.criticalPath.count());
     mix(place->second.workMillis, static_cast<double>(declaredWork(record.spec)) / milli);
-    mix(place->second.chainMillis, chain);
-    mix(place->second.allowedMillis, queue ? queue->stretch * chain + static_cast<double>(queue->latencyTarget.count()) : chain);
+    mix(place->second.criticalPathMillis, criticalPath);
+    mix(place->second.allowedMillis, queue ? queue->stretch * criticalPath + static_cast<double>(queue->latencyTarget.count()) : criticalPath);
 }
 
 void AdmissionController::tickLater()
@@ -144,18 +144,18 @@
     if (!isNew)
         return work;
     const OrganisationSettings* organisation = configuration->organisations.find(name.second);
-    work = { .queue = name.first, .organisation = name.second, .weight = organisation ? organisation->weight : 0, .priority = queue ? queue->priority : 0, .usual = typicalJobOf(name.first), .correction = m_state.forecast.ratio(name.first) };
+    work = { .queue = name.first, .organisation = name.second, .weight = organisation ? organisation->weight : 0, .priority = queue ? queue->priority : 0, .typical = typicalJobOf(name.first), .correction = m_state.forecast.ratio(name.first) };
     return work;
 }
 
-UsualJob AdmissionController::typicalJobOf(const std::string& queue) const
+TypicalJob AdmissionController::typicalJobOf(const std::string& queue) const
 {
     const auto found = m_typicalValues.find(queue);
     if (found == m_typicalValues.end())
         return {};
     const double correction = m_state.forecast.ratio(queue);
-    const TypicalValues& usual = found->second;
-    return { .workMillis = static_cast<std::int64_t>(usual.workMillis * correction), .chain = Millis(static_cast<std::int64_t>(usual.chainMillis * correction)), .allowed = Millis(static_cast<std::int64_t>(usual.allowedMillis)) };
+    const TypicalValues& typical = found->second;
+    return { .workMillis = static_cast<std::int64_t>(typical.workMillis * correction), .criticalPath = Millis(static_cast<std::int64_t>(typical.criticalPathMillis * correction)), .allowed = Millis(static_cast<std::int64_t>(typical.allowedMillis)) };
 }
 
 /// The supply of a pool is the fleet's capacity minus the demand of the other pools, and at least its present capacity.
--- a/src/jobs/owner/admission_controller.h
+++ b/src/jobs/owner/admission_controller.h
@@ -38,7 +38,7 @@
     /// Moving averages of declared values over the latest jobs of a queue.
     struct TypicalValues {
         double workMillis = 0;
-        double chainMillis = 0;
+        double criticalPathMillis = 0;
         double allowedMillis = 0;
     };
 
@@ -48,7 +48,7 @@
     void notePressed(const std::vector<AdmissionBudget>& budgets);
     [[nodiscard]] ByPool acceptedByPool() const;
     AcceptedWork& entryOf(ByPool& accepted, const QueueAndOrganisation& name, const std::string& fallbackPool) const;
-    [[nodiscard]] UsualJob typicalJobOf(const std::string& queue) const;
+    [[nodiscard]] TypicalJob typicalJobOf(const std::string& queue) const;
     [[nodiscard]] std::map<std::string, std::int64_t> supplies(const ByPool& accepted) const;
 
     const OwnerState& m_state;
--- a/src/jobs/owner/advice_client.cpp
+++ b/src/jobs/owner/advice_client.cpp
@@ -34,7 +34,7 @@
     return nullptr;
 }
 
-void AdviceClient::forget(const std::string& job, const StepId& step)
+void AdviceClient::dropAnswer(const std::string& job, const StepId& step)
 {
     m_answers.erase({ job, step });
 }
--- a/src/jobs/owner/advice_client.h
+++ b/src/jobs/owner/advice_client.h
@@ -19,7 +19,7 @@
     const std::map<std::string, std::string>* ticketsFor(const std::string& job, const StepId& step, const std::vector<std::string>& workers);
 
     /// \brief Drops the cached answer for a step, after a worker refused one of its tickets.
-    void forget(const std::string& job, const StepId& step);
+    void dropAnswer(const std::string& job, const StepId& step);
 
     void close() { m_closed = true; }
 
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -42,14 +42,14 @@
     const bool isFirstStart = job.state.status() == JobStatus::Queued;
     // The previous owner may have failed before it recorded a crash, and the members of a gang start at the same time.
     const std::uint32_t assumed = hasSuspectPeer || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
-    const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
+    const std::uint32_t suspectedCrashes = std::max(job.state.find(task)->suspectedCrashes(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspectedCrashes = suspectedCrashes });
     worker.probationUntil = m_state.now() + maxProbation;
-    m_health.noteStartBooked(worker, attempt);
+    m_health.noteStartReserved(worker, attempt);
     if (isFirstStart)
         m_state.store(job.state.id());
-    if (suspicion == 0)
+    if (suspectedCrashes == 0)
         send(attempt, worker, ticket);
     else
         recordAndSend(job, attempt, worker, ticket);
@@ -93,7 +93,7 @@
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const std::uint32_t own = 1;
-    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspicion() > own;
+    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspectedCrashes() > own;
 }
 
 /// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
@@ -198,22 +198,22 @@
 {
     WorkerRecord* record = recordOfSession(worker, session);
     OwnerJob* job = m_state.job(attempt.job);
-    bool isOfLife = false;
+    bool isSameIncarnation = false;
     if (record && result.outcome != CommandOutcome::OtherIncarnation)
-        isOfLife = record->session->noteClock(result.workerClock);
+        isSameIncarnation = record->session->noteClock(result.workerClock);
     if (record && result.outcome != CommandOutcome::OtherIncarnation && result.outcome != CommandOutcome::Unknown)
         m_health.noteStartAnswered(*record, attempt);
     switch (result.outcome) {
     case CommandOutcome::Done:
         if (!record)
             return;
-        if (job && isOfLife && job->state.noteConfirmed(attempt, result.workerClock))
+        if (job && isSameIncarnation && job->state.noteConfirmed(attempt, result.workerClock))
             m_state.store(attempt.job);
         if (const LiveAttempt* live = findLive(attempt, worker))
             m_state.responses.note(std::chrono::duration_cast<Millis>(m_state.now() - live->startedAt));
         if (record->reservations.suspects().contains(attempt))
             probeSoon(*record->session);
-        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isOfLife)))
+        if (const LiveAttempt* live = findLive(attempt, worker); live && (live->phase == AttemptPhase::Sent || (live->phase == AttemptPhase::OutcomeUnknown && isSameIncarnation)))
             job->state.setPhase(attempt, AttemptPhase::Running, m_state.now());
         return;
     case CommandOutcome::Unknown:
@@ -225,7 +225,7 @@
         return;
     case CommandOutcome::OtherIncarnation:
         if (record)
-            record->session->noteLifeOver();
+            record->session->noteIncarnationOver();
         return;
     case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
@@ -338,7 +338,7 @@
         return;
     }
     case CommandOutcome::OtherIncarnation:
-        record->session->noteLifeOver();
+        record->session->noteIncarnationOver();
         return;
     case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
@@ -401,10 +401,10 @@
     stopAll(job);
 }
 
-void CommandDispatcher::giveUp(OwnerJob& job, const TaskId& task)
+void CommandDispatcher::failPermanently(OwnerJob& job, const TaskId& task)
 {
     const bool wasOver = isFinal(job.state.status());
-    const bool isOver = job.state.giveUp(task);
+    const bool isOver = job.state.failPermanently(task);
     if (wasOver)
         return;
     ++m_counts.givenUp;
--- a/src/jobs/owner/command_dispatcher.h
+++ b/src/jobs/owner/command_dispatcher.h
@@ -33,7 +33,7 @@
     void finish(OwnerJob& job);
 
     /// \brief Fails a poison task permanently; see JobState.
-    void giveUp(OwnerJob& job, const TaskId& task);
+    void failPermanently(OwnerJob& job, const TaskId& task);
 
     /// \brief Sends the recorded starts that wait for an answer of the worker.
     void noteAnswer(const std::string& worker);
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -119,12 +119,12 @@
 
 void CrashTracker::noteAdopted(WorkerRecord& worker, OwnerJob& job, const Attempt& attempt, std::int64_t workerClock)
 {
-    const std::uint32_t suspicion = job.state.find(attempt.task)->suspicion();
-    if (suspicion == 0) {
+    const std::uint32_t suspectedCrashes = job.state.find(attempt.task)->suspectedCrashes();
+    if (suspectedCrashes == 0) {
         job.state.noteConfirmed(attempt, workerClock);
         return;
     }
-    worker.reservations.noteSuspect(attempt, suspicion);
+    worker.reservations.noteSuspect(attempt, suspectedCrashes);
     m_state.beginProbation(job, attempt, worker);
     if (job.state.noteConfirmed(attempt, workerClock))
         m_state.store(attempt.job);
@@ -136,7 +136,7 @@
         return;
     const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
     std::vector<Attempt> survived;
-    for (const auto& [attempt, suspicion] : worker.reservations.suspects()) {
+    for (const auto& [attempt, suspectedCrashes] : worker.reservations.suspects()) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isLive = task && task->live && task->live->number == attempt.number;
@@ -162,7 +162,7 @@
         m_state.requestPass();
 }
 
-void CrashTracker::noteSilence(WorkerRecord& worker)
+void CrashTracker::noteUnresponsive(WorkerRecord& worker)
 {
     if (worker.isEndOrdered || worker.reservations.empty())
         return;
@@ -172,8 +172,8 @@
             continue;
         OwnerJob& job = *m_state.job(lost.attempt.job);
         if (m_state.beginProbation(job, lost.attempt, worker))
-            worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspicion());
-        if (job.state.noteSilence(lost.attempt))
+            worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspectedCrashes());
+        if (job.state.noteUnresponsive(lost.attempt))
             m_state.store(lost.attempt.job);
     }
 }
@@ -181,7 +181,7 @@
 void CrashTracker::noteOverdue(WorkerRecord& worker)
 {
     for (const ProbationStart& start : probationStartsOf(worker)) {
-        if (start.job->state.noteSilence(start.attempt()))
+        if (start.job->state.noteUnresponsive(start.attempt()))
             m_state.store(start.job->state.id());
     }
 }
@@ -191,7 +191,7 @@
     if (worker.isEndOrdered)
         return;
     noteInheritedFailure(worker);
-    noteSilence(worker);
+    noteUnresponsive(worker);
     for (const ProbationStart& start : probationStartsOf(worker)) {
         const TaskState* task = m_state.liveTask(start.attempt(), worker.entry.id);
         if (task && task->live->phase != AttemptPhase::Recording)
@@ -345,9 +345,9 @@
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
-    if (!task || task->suspicion() < m_state.options.crashes.crashesToFail)
+    if (!task || task->suspectedCrashes() < m_state.options.crashes.crashesToFail)
         return Millis(0);
-    return retryPauseStep * std::min(task->suspicion(), maxCrashes);
+    return retryPauseStep * std::min(task->suspectedCrashes(), maxCrashes);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/crash_tracker.h
+++ b/src/jobs/owner/crash_tracker.h
@@ -31,7 +31,7 @@
 
     /// \brief Notes an unresponsive worker: puts the starts on probation that may have crashed it. Proof of its end takes a second
     /// or more, in which the owner may crash too.
-    void noteSilence(WorkerRecord& worker);
+    void noteUnresponsive(WorkerRecord& worker);
 
     /// \brief Notes an overdue response: the starts on probation at the worker may have crashed it. The note is stored, so that it survives
     /// a crash of this owner before the worker counts as unresponsive.
--- a/src/jobs/owner/displacement.cpp
+++ b/src/jobs/owner/displacement.cpp
@@ -56,7 +56,7 @@
             if (mayDisrupt(m_state, m_state.job(attempt.job)->state, attempt.task))
                 m_commands.stop(attempt, id);
         }
-        worker.keptFor = spec.requiredLabel;
+        worker.reservedForLabel = spec.requiredLabel;
         worker.reservedUntil = m_state.now() + reservationTime;
         m_state.nextDisplacementAt = m_state.now() + pause;
         return;
--- a/src/jobs/owner/fleet_controller.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -537,8 +537,8 @@
         if (hasPendingCall(instance.id) || isBlocked(instance.id) || isClosed)
             return seen;
         if (isUp && !reserve && isSound && use->attempts > 0 && use->pinned == 0) {
-            seen.drainable = instance.worker;
-            seen.emptyBy = use->emptyBy;
+            seen.drainableWorker = instance.worker;
+            seen.expectedEmptyAt = use->expectedEmptyAt;
             seen.longRunning = use->longRunning;
         }
         const bool isIdle = isUp && (reserve || (isSound && use->attempts == 0));
@@ -728,7 +728,7 @@
         if (outcome == FleetOutcome::Done) {
             ++counts.moved;
             overrideInstance(move.instance, move.to, FleetState::Moving, m_options.moveTime);
-            m_options.scheduler->noteLifeOver(worker, true);
+            m_options.scheduler->noteIncarnationOver(worker, true);
             return;
         }
         m_options.log->decision("instance-move-failed", { { "instance", move.instance }, { "outcome", std::string(nameOf(outcome)) } });
@@ -816,7 +816,7 @@
             ++counts.maintained;
             plan.noteAccepted(instance, upAgainBy(now));
             overrideInstance(instance, m_list[instance].pool, FleetState::InMaintenance, m_options.maintenanceTime);
-            m_options.scheduler->noteLifeOver(worker, true);
+            m_options.scheduler->noteIncarnationOver(worker, true);
             writeRecord(plan);
             later(m_options.maintenanceTime + returnMargin, [this] { planSoon(); });
             break;
--- a/src/jobs/owner/hall_inventory.cpp
+++ b/src/jobs/owner/hall_inventory.cpp
@@ -27,14 +27,14 @@
     const MonotonicInstant now = m_state.now();
     HallReport report { .dataHall = hall.dataHall, .state = hall.state, .forMillis = std::chrono::duration_cast<Millis>(now - hall.since).count(), .pools = {}, .emptyInMillis = std::nullopt };
     std::map<std::string, HallPoolReport> pools;
-    MonotonicInstant emptyBy = now;
+    MonotonicInstant expectedEmptyAt = now;
     for (const auto& [id, worker] : m_state.workers) {
         if (worker.entry.dataHall != hall.dataHall || (worker.session->isIncarnationOver() && worker.reservations.empty()))
             continue;
         HallPoolReport& pool = pools.try_emplace(worker.entry.pool, HallPoolReport { .pool = worker.entry.pool }).first->second;
         count(worker, pool);
         for (const auto& [attempt, reservation] : worker.reservations)
-            emptyBy = reservation.step->longRunning ? emptyBy : std::max(emptyBy, reservation.expectedEnd);
+            expectedEmptyAt = reservation.step->longRunning ? expectedEmptyAt : std::max(expectedEmptyAt, reservation.expectedEnd);
     }
     bool endsByItself = true;
     for (auto& [name, pool] : pools) {
@@ -42,7 +42,7 @@
         report.pools.push_back(std::move(pool));
     }
     if (endsByItself)
-        report.emptyInMillis = std::chrono::duration_cast<Millis>(emptyBy - now).count();
+        report.emptyInMillis = std::chrono::duration_cast<Millis>(expectedEmptyAt - now).count();
     return report;
 }
 
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -36,7 +36,7 @@
 {
 }
 
-void HealthMonitor::noteStartBooked(WorkerRecord& worker, const Attempt& attempt)
+void HealthMonitor::noteStartReserved(WorkerRecord& worker, const Attempt& attempt)
 {
     if (worker.health.isProbing(m_state.now()))
         worker.probingAttempt = attempt;
@@ -89,11 +89,11 @@
         worker.starts.noteProbeOverdue();
 }
 
-void HealthMonitor::noteHeard(WorkerRecord& worker)
+void HealthMonitor::noteResponse(WorkerRecord& worker)
 {
     if (worker.starts.isAnswering())
         return;
-    worker.starts.noteHeard();
+    worker.starts.noteResponse();
     m_state.requestPass();
 }
 
@@ -152,14 +152,14 @@
 
 MinInstances HealthMonitor::minInstances() const
 {
-    MinInstances least;
+    MinInstances required;
     for (const auto& [pool, demand] : m_state.demands) {
         for (const auto& [requirement, asked] : demand) {
             if (asked.minInstances > 0 && !requirement.preferred)
-                least[{ pool, requirement.label }] = asked.minInstances;
+                required[{ pool, requirement.label }] = asked.minInstances;
         }
     }
-    return least;
+    return required;
 }
 
 void HealthMonitor::ejectFailing()
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -24,7 +24,7 @@
 
     /// \name Calls
     ///@{
-    void noteStartBooked(WorkerRecord& worker, const Attempt& attempt);
+    void noteStartReserved(WorkerRecord& worker, const Attempt& attempt);
     void noteStartSent(WorkerRecord& worker, const StartCommand& order);
     void noteStartOverdue(WorkerRecord& worker, const Attempt& attempt);
     void noteStartAnswered(WorkerRecord& worker, const Attempt& attempt);
@@ -36,7 +36,7 @@
     void noteStartConfirmed(WorkerRecord& worker, const Attempt& attempt) { worker.starts.noteSettled(attempt); }
 
     /// \brief Notes a response to any call.
-    void noteHeard(WorkerRecord& worker);
+    void noteResponse(WorkerRecord& worker);
     ///@}
 
     /// \name Ends
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -306,7 +306,7 @@
             for (const auto& [attempt, reservation] : record.reservations) {
                 use.longRunning += reservation.step->longRunning ? 1 : 0;
                 if (!reservation.step->longRunning)
-                    use.emptyBy = std::max(use.emptyBy, reservation.expectedEnd);
+                    use.expectedEmptyAt = std::max(use.expectedEmptyAt, reservation.expectedEnd);
                 use.pinned += reservation.step->longRunning && !reservation.step->requiredLabel.empty() ? 1 : 0;
             }
             use.known = record.session->hasAnswered() || now >= record.session->leaseExpiresBy();
@@ -372,13 +372,13 @@
         requestPass();
     }
 
-    void noteLifeOver(const std::string& worker, bool ordered = false)
+    void noteIncarnationOver(const std::string& worker, bool ordered = false)
     {
         WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
         if (!record || !record->session)
             return;
         record->isEndOrdered = ordered;
-        record->session->noteLifeOver();
+        record->session->noteIncarnationOver();
     }
 
     void noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
@@ -386,7 +386,7 @@
         const WorkerRecord* record = m_term ? m_term->state.worker(worker) : nullptr;
         const bool mayMeanPrevious = record && !record->previousStarts.empty() && record->knownSince + maxFleetListLag >= since;
         if (!mayMeanPrevious)
-            noteLifeOver(worker);
+            noteIncarnationOver(worker);
     }
 
     void whenStored(std::function<void()> stored)
@@ -503,8 +503,8 @@
     {
         StepReport report { .occurrence = id.occurrence, .step = id.step, .tasks = static_cast<std::uint32_t>(step.tasks.size()), .succeeded = step.succeeded, .blocked = !job.isUnblocked(id), .attempts = {}, .suspects = {}, .wait = std::nullopt };
         for (std::uint32_t i = 0; i < step.tasks.size(); ++i) {
-            if (step.tasks[i].suspicion() > 0)
-                report.suspects.push_back({ .task = i, .workersLost = step.tasks[i].suspicion(), .confirmedCrashes = step.tasks[i].crashes.confirmed, .givenUp = step.tasks[i].givenUp });
+            if (step.tasks[i].suspectedCrashes() > 0)
+                report.suspects.push_back({ .task = i, .workersLost = step.tasks[i].suspectedCrashes(), .confirmedCrashes = step.tasks[i].crashes.confirmed, .givenUp = step.tasks[i].givenUp });
             if (const std::optional<LiveAttempt>& live = step.tasks[i].live)
                 report.attempts.push_back({ .task = i, .attempt = live->number, .worker = live->worker, .phase = std::string(nameOf(live->phase)) });
         }
@@ -527,8 +527,8 @@
         const Millis age = m_options.loop->timeOfDay() - entry.record->acceptedAt;
         const QueueSettings* queue = state.configuration()->queue(entry.record->queue);
         const double stretch = queue ? queue->stretch : 1.0;
-        job.chain = criticalPathDuration(entry.record->spec);
-        const Millis allowed(static_cast<std::int64_t>(stretch * static_cast<double>(job.chain.count())));
+        job.criticalPath = criticalPathDuration(entry.record->spec);
+        const Millis allowed(static_cast<std::int64_t>(stretch * static_cast<double>(job.criticalPath.count())));
         job.objective = state.now() - age + allowed + (queue ? queue->latencyTarget : Millis(0));
         m_term->admission->noteArrival(job);
         if (inherited) {
@@ -736,7 +736,7 @@
                 ended.push_back(id);
         }
         for (const std::string& id : ended)
-            noteLifeOver(id);
+            noteIncarnationOver(id);
     }
 
     /// Drops jobs that have ended, are stored, and have no live attempt.
@@ -867,9 +867,9 @@
     return !m_impl->isActive() || m_impl->isSettled();
 }
 
-void JobScheduler::noteLifeOver(const std::string& worker, bool ordered)
+void JobScheduler::noteIncarnationOver(const std::string& worker, bool ordered)
 {
-    m_impl->noteLifeOver(worker, ordered);
+    m_impl->noteIncarnationOver(worker, ordered);
 }
 
 void JobScheduler::noteIncarnationUnlisted(const std::string& worker, MonotonicInstant since)
--- a/src/jobs/owner/owner_load.cpp
+++ b/src/jobs/owner/owner_load.cpp
@@ -65,7 +65,7 @@
         { { "passes", static_cast<std::int64_t>(m_counts.passes - m_logged.passes) }, { "starts", static_cast<std::int64_t>(m_counts.starts - m_logged.starts) }, { "sites_inspected", static_cast<std::int64_t>(m_counts.sitesInspected - m_logged.sitesInspected) },
             { "placement_ms", millis(work.of(WorkKind::Placement)) }, { "fleet_plan_ms", millis(work.of(WorkKind::FleetPlan)) }, { "reports_ms", millis(work.of(WorkKind::Reports)) },
             { "progress_ms", millis(work.of(WorkKind::Progress)) }, { "store_news_ms", millis(work.of(WorkKind::StoreChanges)) }, { "relay_frames_ms", millis(work.of(WorkKind::RelayFrames)) },
-            { "longest_ms", millis(work.longest) }, { "longest", std::string(nameOf(work.longestKind)) }, { "timer_late_ms", millis(std::exchange(m_maxDelay, {})) } });
+            { "longest_ms", millis(work.longest) }, { "longest", std::string(nameOf(work.longestPieceKind)) }, { "timer_late_ms", millis(std::exchange(m_maxDelay, {})) } });
     m_logged = m_counts;
 }
 
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -174,7 +174,7 @@
         return MonotonicInstant::max();
     constexpr MonotonicInstant::duration minLateness { 1 };
     const double share = weights.hopelessShare * forecast.ratio(job.state.record().queue);
-    return job.objective - std::chrono::duration_cast<Millis>(job.chain * share) + minLateness;
+    return job.objective - std::chrono::duration_cast<Millis>(job.criticalPath * share) + minLateness;
 }
 
 MonotonicInstant OwnerState::expectedEnd(const OwnerJob& job, const TaskId& task) const
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -32,7 +32,7 @@
     bool inherited = false; ///< Submitted before this term: its tasks may run on workers that have not been asked yet.
     std::set<StepId> possiblyStartedBefore; ///< Steps with tasks that a previous owner may have started without a record.
     MonotonicInstant objective; ///< When the job should have ended.
-    Millis chain { 0 }; ///< Declared work time of the critical path of its steps.
+    Millis criticalPath { 0 }; ///< Declared work time of the critical path of its steps.
     OrganisationAccount* account = nullptr; ///< Account of the submitting organisation; null: unknown.
     /// The job's change count when a pass found that none of its tasks can start until it changes; nothing: not evaluated since.
     std::optional<std::uint64_t> blockedAtChange;
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -229,7 +229,7 @@
     });
     if (exhausted == candidate.tasks.end())
         return false;
-    m_dispatcher.giveUp(*candidate.job, *exhausted);
+    m_dispatcher.failPermanently(*candidate.job, *exhausted);
     return true;
 }
 
@@ -319,12 +319,12 @@
             return;
         }
         query.avoidWorker = candidate.job->state.find(task)->avoidWorker;
-        query.suspicion = suspicionOf(candidate, task);
+        query.suspectedCrashes = suspectedCrashesOf(candidate, task);
         if (step.longRunning)
             query.quarantineKey = quarantineKey({ candidate.job->state.id(), task, 0 }, true);
         const std::optional<std::size_t> site = choose(step, query, sites);
         // Other tasks of the step need no verified worker, and may share workers that are closed to the suspect.
-        if (!site && query.suspicion > 0) {
+        if (!site && query.suspectedCrashes > 0) {
             if (!sites.placer->choose(step, query)) {
                 noteWaiting(candidate, pool, 1);
                 noteWait(candidate, sites, query, 1);
@@ -360,7 +360,7 @@
 
 std::optional<std::size_t> PlacementPass::choose(const StepSpec& step, const PlacementQuery& query, PoolSites& sites)
 {
-    if (query.suspicion == 0)
+    if (query.suspectedCrashes == 0)
         return sites.placer->choose(step, query);
     const std::optional<std::size_t> verified = chooseLive(step, query, sites);
     if (!verified)
@@ -372,7 +372,7 @@
 PlacementQuery PlacementPass::narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const
 {
     PlacementQuery narrow = query;
-    const bool mustBeEstablished = query.suspicion >= crashesToIsolate;
+    const bool mustBeEstablished = query.suspectedCrashes >= crashesToIsolate;
     narrow.admits = [this, &sites, mustBeEstablished, mayTake = query.admits, admits = std::move(admits)](std::size_t index) {
         const WorkerRecord& record = *sites.records[index];
         return (!mustBeEstablished || record.isEstablished(m_now)) && admits(record) && (!mayTake || mayTake(index));
@@ -403,16 +403,16 @@
 }
 
 /// \returns Crashes attributed to the task; 0 if placement does not isolate suspects.
-std::uint32_t PlacementPass::suspicionOf(const Candidate& candidate, const TaskId& task) const
+std::uint32_t PlacementPass::suspectedCrashesOf(const Candidate& candidate, const TaskId& task) const
 {
-    return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspicion() : 0;
+    return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspectedCrashes() : 0;
 }
 
 void PlacementPass::reserveAt(PoolSites& sites, std::size_t site, const StepSpec& step, const PlacementQuery& query)
 {
-    sites.placer->book(site, step);
-    if (query.suspicion > 0)
-        sites.placer->noteSuspect(site, query.quarantineKey, query.suspicion);
+    sites.placer->reserve(site, step);
+    if (query.suspectedCrashes > 0)
+        sites.placer->noteSuspect(site, query.quarantineKey, query.suspectedCrashes);
 }
 
 /// Adds waiting tasks to the demand, unless they are too large for any instance.
@@ -500,16 +500,16 @@
     query.tasksOfStep = [&](std::size_t index) { return members[index]; };
     for (std::size_t i = 0; i < candidate.tasks.size(); ++i) {
         // A gang needs all its sites at once, so its suspects are not isolated from other tasks.
-        query.suspicion = std::min(suspicionOf(candidate, candidate.tasks[i]), crashesToIsolate - 1);
+        query.suspectedCrashes = std::min(suspectedCrashesOf(candidate, candidate.tasks[i]), crashesToIsolate - 1);
         std::optional<std::size_t> site;
-        if (query.suspicion > 0)
+        if (query.suspectedCrashes > 0)
             site = chooseLive(step, query, sites);
-        hasSuspect = hasSuspect || query.suspicion > 0;
+        hasSuspect = hasSuspect || query.suspectedCrashes > 0;
         if (!site)
             site = sites.placer->choose(step, query);
         if (!site)
             break;
-        sites.placer->book(*site, step);
+        sites.placer->reserve(*site, step);
         ++members[*site];
         chosen.push_back(*site);
     }
--- a/src/jobs/owner/placement_pass.h
+++ b/src/jobs/owner/placement_pass.h
@@ -60,7 +60,7 @@
     [[nodiscard]] PlacementQuery queryFor(const Candidate& candidate, const PoolSites& sites) const;
     [[nodiscard]] std::map<std::string, std::uint32_t> tasksByHall(const Candidate& candidate) const;
     [[nodiscard]] std::string ticketFor(const WorkerRecord& record) const;
-    [[nodiscard]] std::uint32_t suspicionOf(const Candidate& candidate, const TaskId& task) const;
+    [[nodiscard]] std::uint32_t suspectedCrashesOf(const Candidate& candidate, const TaskId& task) const;
     [[nodiscard]] std::optional<std::size_t> choose(const StepSpec& step, const PlacementQuery& query, PoolSites& sites);
     [[nodiscard]] std::optional<std::size_t> chooseLive(const StepSpec& step, const PlacementQuery& query, const PoolSites& sites) const;
     [[nodiscard]] PlacementQuery narrowed(const PlacementQuery& query, const PoolSites& sites, std::function<bool(const WorkerRecord&)> admits) const;
--- a/src/jobs/owner/status_reconciler.cpp
+++ b/src/jobs/owner/status_reconciler.cpp
@@ -307,7 +307,7 @@
     worker->hallLost = !m_state.hallLosses.noteAnswer(worker->entry.dataHall, worker->entry.id, m_state.now());
     if (worker->noteAnswer())
         m_state.requestPass();
-    m_health.noteHeard(*worker);
+    m_health.noteResponse(*worker);
     m_dispatcher.noteAnswer(worker->entry.id);
     m_crashes.noteAnswer(*worker);
 }
@@ -325,7 +325,7 @@
     WorkerRecord* worker = m_state.worker(session.incarnation().id);
     if (!worker)
         return;
-    m_crashes.noteSilence(*worker);
+    m_crashes.noteUnresponsive(*worker);
     noteHallStop(*worker, false);
     m_state.options.log->decision("worker-silent", { { "worker", session.incarnation().id }, { "attempts", static_cast<std::int64_t>(worker->reservations.size()) } });
 }
@@ -340,7 +340,7 @@
     releaseAll(*worker, {}, isIncarnationOver);
     if (isIncarnationOver) {
         noteHallStop(*worker, true);
-        m_state.options.workers->forget(session.incarnation());
+        m_state.options.workers->closeConnections(session.incarnation());
     }
     m_state.requestPass();
 }
@@ -374,14 +374,14 @@
         m_state.job(attempt.job)->state.setPhase(attempt, AttemptPhase::OutcomeUnknown, m_state.now());
     }
     if (failed)
-        m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
+        m_dispatcher.failPermanently(*m_state.job(failed->job), failed->task);
 }
 
 /// Settles the crashes of an incarnation that is proved to have ended after its lease had expired.
 void StatusReconciler::settleExpired(WorkerRecord& worker)
 {
     if (const std::optional<Attempt> failed = m_crashes.noteIncarnationEnd(worker))
-        m_dispatcher.giveUp(*m_state.job(failed->job), failed->task);
+        m_dispatcher.failPermanently(*m_state.job(failed->job), failed->task);
 }
 
 /// \returns Live attempts that no report of the worker has shown. An answer to their start does not identify the incarnation, and
@@ -391,7 +391,7 @@
     std::set<Attempt> unacknowledged;
     for (const auto& [attempt, reservation] : worker.reservations) {
         const TaskState* task = m_state.liveTask(attempt, worker.entry.id);
-        if (task && !task->live->listed && task->live->phase != AttemptPhase::Recording)
+        if (task && !task->live->reported && task->live->phase != AttemptPhase::Recording)
             unacknowledged.insert(attempt);
     }
     return unacknowledged;
--- a/src/jobs/owner/worker_record.cpp
+++ b/src/jobs/owner/worker_record.cpp
@@ -92,15 +92,15 @@
 {
     PlacementSite site { .worker = &entry, .free = free(), .open = isOpen(now) };
     if (now < reservedUntil)
-        site.keptFor = keptFor;
+        site.reservedForLabel = reservedForLabel;
     site.hasRecentStarts = now < probationUntil;
     site.distrusted = starts.isDistrusted(now);
     site.probing = health.isProbing(now);
     site.startsLeft = startsLeft(now);
     site.servingTasks = reservations.servingTasks();
     site.bestEffortTasks = reservations.bestEffortTasks();
-    for (const auto& [attempt, suspicion] : reservations.suspects())
-        site.suspects.push_back({ quarantineKey(attempt, reservations.at(attempt).step->longRunning), suspicion });
+    for (const auto& [attempt, suspectedCrashes] : reservations.suspects())
+        site.suspects.push_back({ quarantineKey(attempt, reservations.at(attempt).step->longRunning), suspectedCrashes });
     return site;
 }
 
--- a/src/jobs/owner/worker_session.cpp
+++ b/src/jobs/owner/worker_session.cpp
@@ -227,7 +227,7 @@
     case CommandOutcome::Done:
         break;
     case CommandOutcome::OtherIncarnation:
-        noteLifeOver();
+        noteIncarnationOver();
         return;
     case CommandOutcome::Fenced:
         m_observer.onFenced(*this);
@@ -288,7 +288,7 @@
     m_observer.onRestart(*this, startedAt, wasOver);
 }
 
-void WorkerSession::noteLifeOver()
+void WorkerSession::noteIncarnationOver()
 {
     if (m_incarnationOver)
         return;
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -278,11 +278,11 @@
             balance.healthy.insert(&instance);
         if (instance.idleSince)
             balance.idle.push_back(&instance);
-        else if (!instance.drainable.empty())
+        else if (!instance.drainableWorker.empty())
             balance.drainable.push_back(&instance);
     }
     std::stable_sort(balance.idle.begin(), balance.idle.end(), [](const PoolInstance* a, const PoolInstance* b) { return *a->idleSince < *b->idleSince; });
-    std::stable_sort(balance.drainable.begin(), balance.drainable.end(), [](const PoolInstance* a, const PoolInstance* b) { return std::tuple(a->longRunning > 0, a->emptyBy) < std::tuple(b->longRunning > 0, b->emptyBy); });
+    std::stable_sort(balance.drainable.begin(), balance.drainable.end(), [](const PoolInstance* a, const PoolInstance* b) { return std::tuple(a->longRunning > 0, a->expectedEmptyAt) < std::tuple(b->longRunning > 0, b->expectedEmptyAt); });
     return balance;
 }
 
@@ -478,7 +478,7 @@
                     const PoolInstance* instance = nextDrainable(pool, next[i], receiver, lacking);
                     if (!instance)
                         continue;
-                    const std::tuple<bool, double, MonotonicInstant> rank { instance->longRunning > 0, -pool.sizeOf({}), instance->emptyBy };
+                    const std::tuple<bool, double, MonotonicInstant> rank { instance->longRunning > 0, -pool.sizeOf({}), instance->expectedEmptyAt };
                     if (chosen && rank >= best)
                         continue;
                     best = rank;
@@ -487,7 +487,7 @@
                 }
                 if (!chosen)
                     break;
-                drains.push_back({ chosen->instance, chosen->drainable, donor->load->pool, receiver.load->pool });
+                drains.push_back({ chosen->instance, chosen->drainableWorker, donor->load->pool, receiver.load->pool });
                 donor->removeInstance(*chosen);
                 receiver.addInstance(*chosen);
             }
--- a/src/jobs/policy/expected_service.cpp
+++ b/src/jobs/policy/expected_service.cpp
@@ -33,7 +33,7 @@
         load.weight = std::max(load.weight, work.weight);
         load.runningCores += static_cast<double>(work.runningMilliCpu) / milli;
         load.workMillis += static_cast<double>(work.workMillis);
-        load.demandCores += static_cast<double>(work.workMillis) / static_cast<double>(std::max<std::int64_t>(work.usual.allowed.count(), 1));
+        load.demandCores += static_cast<double>(work.workMillis) / static_cast<double>(std::max<std::int64_t>(work.typical.allowed.count(), 1));
     }
     return loads;
 }
@@ -85,23 +85,23 @@
             before += other.organisation == work.organisation && other.priority <= work.priority ? static_cast<double>(other.workMillis) : 0;
         const double share = entitlements.at(work.organisation);
         const double cores = std::max(share * m_cores, minCores);
-        const double chain = static_cast<double>(work.usual.chain.count());
-        const auto allowed = static_cast<double>(work.usual.allowed.count());
-        const double expected = before / cores + chain;
+        const double criticalPath = static_cast<double>(work.typical.criticalPath.count());
+        const auto allowed = static_cast<double>(work.typical.allowed.count());
+        const double expected = before / cores + criticalPath;
         if (!work.wasUnderPressure && before < cores * allowed * budgetThreshold)
             continue;
         const bool isBelow = load.demandCores < cores;
-        const double aim = std::max(allowed * aimShare, chain);
+        const double aim = std::max(allowed * aimShare, criticalPath);
         const double limit = isBelow ? std::max(m_options.lateFactor * allowed, aim) : aim;
         // Beyond its aim an organisation below its share gets one job at a time: a budget up to the limit would make all its jobs
         // late.
-        const double oneJob = isBelow && expected < limit ? static_cast<double>(work.usual.workMillis) : std::numeric_limits<double>::lowest();
+        const double oneJob = isBelow && expected < limit ? static_cast<double>(work.typical.workMillis) : std::numeric_limits<double>::lowest();
         const double part = before > 0 ? static_cast<double>(work.workMillis) / before : 1;
         budgets.push_back({ .queue = work.queue,
             .organisation = work.organisation,
             .workMillis = std::llround(std::max((aim - expected) * cores, oneJob)),
             .milliCpu = expected > aim ? 0 : std::llround(part * cores * milli), // Accepted work beyond the aim is finished first.
-            .jobMillis = std::max<std::int64_t>(work.usual.workMillis, 1),
+            .jobMillis = std::max<std::int64_t>(work.typical.workMillis, 1),
             .expectedEnd = Millis(std::llround(expected)),
             .limit = Millis(std::llround(limit)),
             .sharePermille = static_cast<std::uint32_t>(std::lround(share * permille)),
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -21,7 +21,7 @@
 bool fits(const PlacementSite& site, const StepSpec& step, const Resources& needs)
 {
     return site.free.covers(needs)
-        && (step.requiredLabel.empty() || hasLabel(*site.worker, step.requiredLabel)) && (site.keptFor.empty() || site.keptFor == step.requiredLabel);
+        && (step.requiredLabel.empty() || hasLabel(*site.worker, step.requiredLabel)) && (site.reservedForLabel.empty() || site.reservedForLabel == step.requiredLabel);
 }
 
 /// \returns Whether serving and best-effort tasks would share the site.
@@ -31,15 +31,15 @@
 }
 
 /// \returns Whether a site has a suspect to be separated from the task, with at least this many crashes.
-bool hasSuspect(const PlacementSite& site, const PlacementQuery& query, std::uint32_t suspicion)
+bool hasSuspect(const PlacementSite& site, const PlacementQuery& query, std::uint32_t suspectedCrashes)
 {
-    return std::any_of(site.suspects.begin(), site.suspects.end(), [&](const SiteSuspect& suspect) { return suspect.quarantineKey != query.quarantineKey && suspect.suspicion >= suspicion; });
+    return std::any_of(site.suspects.begin(), site.suspects.end(), [&](const SiteSuspect& suspect) { return suspect.quarantineKey != query.quarantineKey && suspect.suspectedCrashes >= suspectedCrashes; });
 }
 
 /// \returns Whether the task must not share the site, because of its own suspicion or that of a task there.
 bool isIsolated(const PlacementSite& site, const PlacementQuery& query)
 {
-    return !site.suspects.empty() && hasSuspect(site, query, query.suspicion >= crashesToIsolate ? 1 : crashesToIsolate);
+    return !site.suspects.empty() && hasSuspect(site, query, query.suspectedCrashes >= crashesToIsolate ? 1 : crashesToIsolate);
 }
 
 /// Drawbacks of a site in the order of their priority; smaller is better.
@@ -51,15 +51,15 @@
 {
     const bool avoided = !query.avoidWorker.empty() && site.worker->id == query.avoidWorker;
     const bool besideSuspect = !site.suspects.empty() && hasSuspect(site, query, 1);
-    const bool besideRecent = query.suspicion >= crashesToIsolate && site.hasRecentStarts;
+    const bool besideRecent = query.suspectedCrashes >= crashesToIsolate && site.hasRecentStarts;
     // A crash caused by a suspect says nothing about the worker's health.
-    const bool probedBySuspect = query.suspicion > 0 && site.probing;
+    const bool probedBySuspect = query.suspectedCrashes > 0 && site.probing;
     return { avoided, probedBySuspect, besideSuspect, besideRecent, !site.preferred, isFar(site, step), wouldMix(site, step), step.requiredLabel.empty() ? site.labelDemand : 0 };
 }
 
 std::int64_t fullnessOf(const PlacementSite& site, const StepSpec& step, const PlacementQuery& query)
 {
-    if (query.suspicion > 0)
+    if (query.suspectedCrashes > 0)
         return -site.free.milliCpu;
     // Best-effort tasks take no processor time, so the site with the fewest of them comes first.
     return step.bestEffort ? std::int64_t { site.bestEffortTasks } : site.free.milliCpu;
@@ -176,7 +176,7 @@
         if (!choice.best || rank < *choice.best)
             choice.best = rank;
         // No emptier site can be better.
-        if (!step.bestEffort && query.suspicion == 0 && choice.hasNoDrawbacks())
+        if (!step.bestEffort && query.suspectedCrashes == 0 && choice.hasNoDrawbacks())
             break;
     }
     return choice;
@@ -236,7 +236,7 @@
         std::rotate(was, was + 1, is);
 }
 
-void Placer::book(std::size_t index, const StepSpec& step)
+void Placer::reserve(std::size_t index, const StepSpec& step)
 {
     PlacementSite& site = m_sites[index];
     const Resources before = site.free;
@@ -248,9 +248,9 @@
     site.bestEffortTasks += step.bestEffort ? 1 : 0;
 }
 
-void Placer::noteSuspect(std::size_t index, const std::string& quarantineKey, std::uint32_t suspicion)
+void Placer::noteSuspect(std::size_t index, const std::string& quarantineKey, std::uint32_t suspectedCrashes)
 {
-    m_sites[index].suspects.push_back({ quarantineKey, suspicion });
+    m_sites[index].suspects.push_back({ quarantineKey, suspectedCrashes });
 }
 
 void Placer::release(std::size_t index, const StepSpec& step)
--- a/src/jobs/policy/reachability.cpp
+++ b/src/jobs/policy/reachability.cpp
@@ -55,11 +55,11 @@
 
 void ReachabilityTable::setPath(const std::string& path, const std::string& dataHall)
 {
-    forgetPath(path);
+    removePath(path);
     m_paths[path].hall = hallOf(dataHall);
 }
 
-void ReachabilityTable::forgetPath(const std::string& path)
+void ReachabilityTable::removePath(const std::string& path)
 {
     const auto found = m_paths.find(path);
     if (found == m_paths.end())
--- a/src/jobs/policy/reservations.cpp
+++ b/src/jobs/policy/reservations.cpp
@@ -11,8 +11,8 @@
 {
     erase(attempt);
     count(reservation, 1);
-    if (reservation.suspicion > 0)
-        m_suspects[attempt] = reservation.suspicion;
+    if (reservation.suspectedCrashes > 0)
+        m_suspects[attempt] = reservation.suspectedCrashes;
     m_reservations.emplace(attempt, std::move(reservation));
 }
 
@@ -42,13 +42,13 @@
         found->second.throttledTo = percent;
 }
 
-void Reservations::noteSuspect(const Attempt& attempt, std::uint32_t suspicion)
+void Reservations::noteSuspect(const Attempt& attempt, std::uint32_t suspectedCrashes)
 {
     const auto found = m_reservations.find(attempt);
     if (found == m_reservations.end())
         return;
-    found->second.suspicion = suspicion;
-    m_suspects[attempt] = suspicion;
+    found->second.suspectedCrashes = suspectedCrashes;
+    m_suspects[attempt] = suspectedCrashes;
 }
 
 void Reservations::noteSurvived(const Attempt& attempt)
@@ -56,7 +56,7 @@
     const auto found = m_reservations.find(attempt);
     if (found == m_reservations.end())
         return;
-    found->second.suspicion = 0;
+    found->second.suspectedCrashes = 0;
     m_suspects.erase(attempt);
 }
 
--- a/src/jobs/relay/command_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -183,7 +183,7 @@
                 execute(call);
         }
         for (const wire::RelayLife& incarnation : frame.forgotten())
-            m_parts.workers->forget({ .id = incarnation.worker(), .address = incarnation.address() });
+            m_parts.workers->closeConnections({ .id = incarnation.worker(), .address = incarnation.address() });
         if (frame.has_admission() && m_parts.granted && !isStale)
             m_parts.granted(grantsOf(frame.admission()));
         // Every frame is answered, so that the owner can detect a broken link. Calls are answered anyway.
--- a/src/jobs/relay/outstanding_calls.cpp
+++ b/src/jobs/relay/outstanding_calls.cpp
@@ -27,7 +27,7 @@
     return outstanding;
 }
 
-void OutstandingCalls::forget(const std::string& worker)
+void OutstandingCalls::removeCallsTo(const std::string& worker)
 {
     const auto workerCalls = m_byWorker.find(worker);
     if (workerCalls == m_byWorker.end())
--- a/src/jobs/relay/outstanding_calls.h
+++ b/src/jobs/relay/outstanding_calls.h
@@ -34,7 +34,7 @@
     std::optional<OutstandingCall> take(std::uint64_t call);
 
     /// \brief Removes all calls to a worker whose incarnation ended: their outcomes are no evidence on paths.
-    void forget(const std::string& worker);
+    void removeCallsTo(const std::string& worker);
 
     /// \brief Marks the overdue calls to a worker.
     /// \returns The calls that were not marked before.
--- a/src/jobs/relay/reachability_log.h
+++ b/src/jobs/relay/reachability_log.h
@@ -29,7 +29,7 @@
     void logChange(const PathChange& change, const std::optional<std::string>& next, const Reachability& after);
 
     /// \brief Resets the unreachable data halls at the end of a term.
-    void forget() { m_unreachable.clear(); }
+    void reset() { m_unreachable.clear(); }
 
     /// \returns Number of path changes since the start of the process.
     [[nodiscard]] std::uint64_t pathChanges() const noexcept { return m_pathChanges; }
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -56,7 +56,7 @@
 
 void RelayPlan::removeRelay(const std::string& name)
 {
-    m_reachability.forgetPath(name);
+    m_reachability.removePath(name);
     if (m_relays.erase(name) == 0)
         return;
     for (auto& [worker, assignment] : m_assignments) {
@@ -191,7 +191,7 @@
     return static_cast<double>(used.workers) > 1 + maxShareRatio * m_fairShare * used.capacity();
 }
 
-std::string RelayPlan::forget(const std::string& worker)
+std::string RelayPlan::removeWorker(const std::string& worker)
 {
     const auto found = m_assignments.find(worker);
     if (found == m_assignments.end())
@@ -201,7 +201,7 @@
     m_assignments.erase(found);
     if (assignment.hall != 0)
         --m_workersByHall[assignment.hall];
-    m_reachability.forgetWorker(worker);
+    m_reachability.removeWorker(worker);
     replanIfNeeded();
     return assignment.relay;
 }
--- a/src/jobs/relay/relayed_workers.cpp
+++ b/src/jobs/relay/relayed_workers.cpp
@@ -71,7 +71,7 @@
         m_grants.reset();
         m_plan = RelayPlan(m_options, m_ownCores, m_reachability, m_ownHall);
         m_outstandingCalls.clear();
-        m_reachabilityLog.forget();
+        m_reachabilityLog.reset();
         std::vector<std::uint64_t> all;
         for (const auto& [call, pending] : m_pendingCalls)
             all.push_back(call);
@@ -187,11 +187,11 @@
         fill(*call.message, worker, order, refersToStore);
     }
 
-    void forget(const WorkerIncarnation& worker)
+    void closeConnections(const WorkerIncarnation& worker)
     {
-        const std::string name = m_plan.forget(worker.id);
-        m_outstandingCalls.forget(worker.id);
-        m_parts.direct->forget(worker);
+        const std::string name = m_plan.removeWorker(worker.id);
+        m_outstandingCalls.removeCallsTo(worker.id);
+        m_parts.direct->closeConnections(worker);
         const auto relay = m_byName.find(name);
         if (relay == m_byName.end())
             return;
@@ -630,9 +630,9 @@
         m_impl->direct().throttle(worker, attempt, percent, epoch, std::move(std::get<std::function<void(CommandResult)>>(relayed)));
 }
 
-void RelayedWorkers::forget(const WorkerIncarnation& worker)
+void RelayedWorkers::closeConnections(const WorkerIncarnation& worker)
 {
-    m_impl->forget(worker);
+    m_impl->closeConnections(worker);
 }
 
 AdmissionGrants RelayedWorkers::grant(const AdmissionGrants& grants)
--- a/src/jobs/service/job_service_settings.cpp
+++ b/src/jobs/service/job_service_settings.cpp
@@ -194,8 +194,8 @@
             constexpr double maxCores = 1'024;
             if (const std::optional<double> cores = service.number("machineCores", 0, maxCores))
                 settings.machineCores = *cores;
-            constexpr double maxFleetActs = 1'000'000;
-            readNumber(service, "fleetActsPerSecond", 0, maxFleetActs, settings.fleetActsPerSecond);
+            constexpr double maxFleetActions = 1'000'000;
+            readNumber(service, "fleetActsPerSecond", 0, maxFleetActions, settings.fleetActsPerSecond);
             constexpr double maxFactor = 1'000;
             readNumber(service, "farFactor", 1, maxFactor, settings.policies.placement.farFactor);
             constexpr std::int64_t maxHalls = 1'000;
--- a/src/jobs/store/document_replica.cpp
+++ b/src/jobs/store/document_replica.cpp
@@ -74,7 +74,7 @@
     {
         auto open = std::make_shared<OpenCall>(OpenCall { .callResult = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .replicaRevision = m_revision });
         m_lastSentAt = open->callResult.sentAt;
-        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .begun = [self = weak_from_this(), open] {
+        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .onBodyStart = [self = weak_from_this(), open] {
                                  const auto impl = self.lock();
                                  return impl && impl->beginTransfer(*open);
                              } };
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -262,7 +262,7 @@
     {
         m_server.readTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.readTimeout.count())));
         m_server.keepAliveTimeout(cxxtools::Milliseconds(static_cast<double>(m_options.idleTimeout.count())));
-        m_server.maxThreads(m_options.mostThreads);
+        m_server.maxThreads(m_options.maxThreads);
         m_server.addService(cxxtools::Regex(".*"), m_service);
         listen();
         m_thread = std::thread([this] { m_loop.run(); });
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -24,14 +24,14 @@
 constexpr unsigned operatorThreads = 8;
 constexpr Millis stopCheckInterval { 20 };
 
-HttpServerOptions serverOptions(const ListenSettings& listen, unsigned mostThreads)
+HttpServerOptions serverOptions(const ListenSettings& listen, unsigned maxThreads)
 {
     HttpServerOptions options;
     options.ip = listen.ip;
     options.port = listen.port;
     options.certificateFile = listen.certificateFile;
     options.keyFile = listen.keyFile;
-    options.mostThreads = mostThreads;
+    options.maxThreads = maxThreads;
     return options;
 }
 
--- a/src/serve/process/pool_gate.cpp
+++ b/src/serve/process/pool_gate.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-PoolGate::PoolGate(std::uint32_t mostWaiting)
-    : m_maxWaiting(mostWaiting)
-    , m_queue({ .slots = 0, .mostWaiting = mostWaiting })
+PoolGate::PoolGate(std::uint32_t maxWaiting)
+    : m_maxWaiting(maxWaiting)
+    , m_queue({ .slots = 0, .maxWaiting = maxWaiting })
 {
 }
 
@@ -41,7 +41,7 @@
 std::variant<std::uint64_t, AdmissionRefusal, CallerDisconnected> PoolGate::enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor)
 {
     std::unique_lock lock(m_mutex);
-    m_queue.setLimits({ .slots = routes.slots, .mostWaiting = m_maxWaiting });
+    m_queue.setLimits({ .slots = routes.slots, .maxWaiting = m_maxWaiting });
     m_queue.setQuota(context.team, teamQuota);
     const std::uint64_t ticket = m_nextTicket++;
     const Ticket offered { .id = ticket, .requestClass = context.requestClass, .team = context.team, .deadline = context.deadline };
--- a/src/serve/process/reports.cpp
+++ b/src/serve/process/reports.cpp
@@ -165,7 +165,7 @@
         { "entry", state.settings().name },
         { "dataHall", state.settings().dataHall },
         { "readiness", describe(state.readiness()) },
-        { "seat", shard.seats > 0 ? Json(shard.number) : Json() },
+        { "seat", shard.shardCount > 0 ? Json(shard.number) : Json() },
         { "configurationRevision", snapshot->configuration->revision },
         { "ledgerVersion", snapshot->ledger->version },
         { "storeReachedAt", formatInstant(state.storeReachedAt()) },
--- a/src/serve/process/shared_state.cpp
+++ b/src/serve/process/shared_state.cpp
@@ -145,7 +145,7 @@
 {
     const ReadinessInputs inputs {
         .configurationRevision = snapshot()->configuration->revision,
-        .hasShard = shard().seats > 0,
+        .hasShard = shard().shardCount > 0,
         .stopping = isStopping(),
         .storeReachedAt = storeReachedAt(),
         .peersKnown = m_peersKnown.load(std::memory_order_acquire),
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -140,9 +140,9 @@
     [[nodiscard]] std::uint32_t quotaShare(const Team* team) const
     {
         const EntryShard shard = m_state.shard();
-        if (!team || shard.seats == 0)
+        if (!team || shard.shardCount == 0)
             return 0;
-        return std::max<std::uint32_t>(1, shareOfShard(team->name, team->quota, shard.number, shard.seats));
+        return std::max<std::uint32_t>(1, shareOfShard(team->name, team->quota, shard.number, shard.shardCount));
     }
 
     void serveQueued(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, std::uint32_t quota, RequestMeasure& measure)
--- a/src/serve/version/routing_table.cpp
+++ b/src/serve/version/routing_table.cpp
@@ -10,8 +10,8 @@
 
 Route routeTo(const Instance& instance, EntryShard shard, EndpointRegistry& registry)
 {
-    const std::uint32_t slots = shareOfShard(instance.id, instance.slots, shard.number, shard.seats);
-    const std::uint32_t connections = shareOfShard(instance.id, instance.connections, shard.number, shard.seats);
+    const std::uint32_t slots = shareOfShard(instance.id, instance.slots, shard.number, shard.shardCount);
+    const std::uint32_t connections = shareOfShard(instance.id, instance.connections, shard.number, shard.shardCount);
     return {
         .endpoint = registry.at(instance.id, { instance.address, instance.port }),
         .rack = instance.rack,
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -30,7 +30,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr unsigned mostThreads = 300;
+constexpr unsigned maxThreads = 300;
 
 std::chrono::milliseconds millisIn(const HttpRequest& request, std::string_view name, std::uint64_t fallback)
 {
@@ -192,7 +192,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     EndpointHandler handler(arguments[1], std::chrono::milliseconds(count > 2 ? std::atoi(arguments[2]) : 300));
     HttpServerOptions options;
-    options.mostThreads = mostThreads;
+    options.maxThreads = maxThreads;
     const HttpServer server(options, handler);
     std::cout << "listening " << server.port() << std::endl;
     std::cin.ignore(std::numeric_limits<std::streamsize>::max());
--- a/standins/fleet_standin.cpp
+++ b/standins/fleet_standin.cpp
@@ -99,7 +99,7 @@
     exchange.respond({ 204, {}, {} });
 }
 
-void FleetStandin::control(HttpExchange& exchange, const std::string& id, const std::string& act)
+void FleetStandin::control(HttpExchange& exchange, const std::string& id, const std::string& action)
 {
     const std::string& target = exchange.request().target;
     const std::uint64_t grant = parseDecimal(queryValue(target, "grant").value_or("0")).value_or(0);
@@ -115,12 +115,12 @@
         m_newestEpoch[id] = epoch;
         address = worker->second.address;
         // A reboot is idempotent per grant.
-        if (act == "reboot" && !m_rebooted.emplace(id, grant).second) {
+        if (action == "reboot" && !m_rebooted.emplace(id, grant).second) {
             exchange.respond({ 202, {}, {} });
             return;
         }
     }
-    callWorker(address, "POST", "/platform/" + act);
+    callWorker(address, "POST", "/platform/" + action);
     exchange.respond({ 202, {}, {} });
 }
 
--- a/standins/fleet_standin.h
+++ b/standins/fleet_standin.h
@@ -49,7 +49,7 @@
 
     void answerList(HttpExchange& exchange);
     void registerWorker(HttpExchange& exchange);
-    void control(HttpExchange& exchange, const std::string& id, const std::string& act);
+    void control(HttpExchange& exchange, const std::string& id, const std::string& action);
     void observe();
     void recordListing(const std::map<std::string, std::string>& states);
     [[nodiscard]] std::string listing() const;
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -132,10 +132,10 @@
     else if (m_faults.refusing)
         answer(respond, answerJson(status::unavailable, json::object()));
     else
-        act(request, respond);
+        dispatch(request, respond);
 }
 
-void StoreService::act(const HttpRequest& request, const aio::HttpResponder& respond)
+void StoreService::dispatch(const HttpRequest& request, const aio::HttpResponder& respond)
 {
     if (request.method != "GET")
         write(request, respond);
--- a/standins/job_platform/store_service.h
+++ b/standins/job_platform/store_service.h
@@ -53,7 +53,7 @@
     };
 
     void serve(const HttpRequest& request, const aio::HttpResponder& respond);
-    void act(const HttpRequest& request, const aio::HttpResponder& respond);
+    void dispatch(const HttpRequest& request, const aio::HttpResponder& respond);
     void write(const HttpRequest& request, const aio::HttpResponder& respond);
     void watch(const HttpRequest& request, const aio::HttpResponder& respond);
     [[nodiscard]] HttpResponse execute(const HttpRequest& request);
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -272,17 +272,17 @@
         ++m_crashesUnder[{ attempt.job, attempt.task }];
 }
 
-void GuaranteeChecker::onAct(const std::string& instance, const FleetHolder& holder)
+void GuaranteeChecker::onFleetAction(const std::string& instance, const FleetHolder& holder)
 {
-    const auto last = m_lastAct.find(instance);
-    if (last != m_lastAct.end()) {
+    const auto last = m_lastAction.find(instance);
+    if (last != m_lastAction.end()) {
         const auto& [epoch, at] = last->second;
         if (holder.epoch < epoch)
             breach("ONE", instance + " accepts an act of an older holder");
         else if (holder.epoch > epoch && m_clock.now() - at < minHolderInterval)
             breach("ONE", instance + " accepts acts of two holders within the min time");
     }
-    m_lastAct[instance] = { holder.epoch, m_clock.now() };
+    m_lastAction[instance] = { holder.epoch, m_clock.now() };
 }
 
 void GuaranteeChecker::noteWave(const WaveRequest& wave)
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -70,7 +70,7 @@
     void onStart(const std::string& worker, const jobs::StartCommand& command, bool late) override;
     void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) override;
     void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) override;
-    void onAct(const std::string& instance, const jobs::FleetHolder& holder) override;
+    void onFleetAction(const std::string& instance, const jobs::FleetHolder& holder) override;
     void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) override;
     void onStored(const std::string& worker, const jobs::EndedAttempt& ended) override;
     void onWorkerCrashed(const std::string& worker, const jobs::Attempt& attempt) override;
@@ -125,7 +125,7 @@
     MonotonicInstant m_connectedFrom;
     std::map<Task, std::uint32_t> m_excessStarts; ///< Starts of tasks that had already crashed as many workers as permitted.
     std::map<Task, MonotonicInstant> m_takenDownUntil; ///< Time until which a command accounts for the task's absence.
-    std::map<std::string, std::pair<std::uint64_t, MonotonicInstant>> m_lastAct; ///< Epoch and time, by instance.
+    std::map<std::string, std::pair<std::uint64_t, MonotonicInstant>> m_lastAction; ///< Epoch and time, by instance.
     std::map<std::uint64_t, std::uint32_t> m_maxConcurrent; ///< By wave.
     std::map<std::uint64_t, std::vector<MonotonicInstant>> m_backAt; ///< Return times of the instances in maintenance, by wave.
     std::map<std::string, MonotonicInstant> m_evacuatedSince; ///< By data hall.
--- a/standins/model/peers_model.cpp
+++ b/standins/model/peers_model.cpp
@@ -112,7 +112,7 @@
     }
 }
 
-void PeersModel::silenceAll()
+void PeersModel::makeAllUnresponsive()
 {
     for (const std::weak_ptr<Wire>& known : m_wires) {
         if (const auto wire = known.lock())
@@ -166,7 +166,7 @@
     PeerPort& port = *there->second;
     const auto far = std::make_shared<PeersModel::End>(m_peers, port.m_process, wire, 1);
     wire->ends[1] = far;
-    wire->unresponsive = std::bernoulli_distribution(m_peers.faults.silentShare)(m_peers.m_random);
+    wire->unresponsive = std::bernoulli_distribution(m_peers.faults.unresponsiveShare)(m_peers.m_random);
     m_peers.track(wire);
     port.m_process.deliver<bool>([accepted = port.m_accepted, far](bool) { accepted(far); })(true);
     return here;
--- a/standins/model/peers_model.h
+++ b/standins/model/peers_model.h
@@ -20,7 +20,7 @@
 /// Faults of the links.
 struct PeerFaults {
     std::set<std::string> partitioned; ///< Addresses whose messages are dropped silently in both directions.
-    double silentShare = 0; ///< Share of new links that drop all messages silently.
+    double unresponsiveShare = 0; ///< Share of new links that drop all messages silently.
     Millis delay { 1 }; ///< One-way latency.
 };
 
@@ -43,7 +43,7 @@
     void resetAll();
 
     /// \brief Makes all open links drop messages silently; new links work.
-    void silenceAll();
+    void makeAllUnresponsive();
 
 private:
     friend class PeerPort;
--- a/standins/model/store_model.cpp
+++ b/standins/model/store_model.cpp
@@ -209,7 +209,7 @@
 }
 
 template <typename Result>
-void StoreClient::transfer(const Result& result, MonotonicInstant deadline, const std::function<void(Result)>& answer, const std::function<bool()>& begun)
+void StoreClient::transfer(const Result& result, MonotonicInstant deadline, const std::function<void(Result)>& answer, const std::function<bool()>& onBodyStart)
 {
     SimClock& clock = m_store.m_clock;
     if (linkBytesPerMs == 0) {
@@ -223,9 +223,9 @@
         return;
     }
     m_linkFreeAt = end;
-    if (begun && end > begin) {
-        const auto arrives = [this, result, end, length = end - begin, answer, begun](int) {
-            if (begun()) {
+    if (onBodyStart && end > begin) {
+        const auto arrives = [this, result, end, length = end - begin, answer, onBodyStart](int) {
+            if (onBodyStart()) {
                 m_store.m_clock.at(std::max(end, m_store.m_clock.now()), [answer, result] { answer(result); });
                 return;
             }
@@ -241,7 +241,7 @@
 }
 
 template <typename Result>
-void StoreClient::call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun)
+void StoreClient::call(bool writes, std::function<Result()> operation, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& onBodyStart)
 {
     const MonotonicInstant deadline = m_store.m_clock.now() + timeout;
     ++m_store.m_calls;
@@ -267,18 +267,18 @@
     }
     if (writes && share(m_store.m_random) < faults.lateWrites) {
         std::uniform_int_distribution<int> pause(1'000, 6'000);
-        clock.after(Millis(pause(m_store.m_random)), [act] { static_cast<void>(act()); });
+        clock.after(Millis(pause(m_store.m_random)), [operation] { static_cast<void>(operation()); });
         clock.after(callTimeout, [answer] { answer(Result {}); });
         return;
     }
     const bool isAnswerLost = writes && share(m_store.m_random) < faults.lostAnswers;
-    clock.after(faults.answerTime / 2, [this, act, answer, isAnswerLost, deadline, begun] {
+    clock.after(faults.answerTime / 2, [this, operation, answer, isAnswerLost, deadline, onBodyStart] {
         m_store.expire();
-        const Result result = act();
+        const Result result = operation();
         if (isAnswerLost)
             m_store.m_clock.after(callTimeout, [answer] { answer(Result {}); });
         else
-            m_store.m_clock.after(m_store.faults.answerTime / 2, [this, answer, result, deadline, begun] { transfer(result, deadline, answer, begun); });
+            m_store.m_clock.after(m_store.faults.answerTime / 2, [this, answer, result, deadline, onBodyStart] { transfer(result, deadline, answer, onBodyStart); });
     });
 }
 
@@ -300,7 +300,7 @@
     fetchRange(prefix, afterKey, timeout, std::move(done), nullptr);
 }
 
-void StoreClient::fetchRange(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
+void StoreClient::fetchRange(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(ItemsResult)> done, const std::function<bool()>& onBodyStart)
 {
     if (m_store.faults.lostPages > 0 && std::uniform_real_distribution<double>(0, 1)(m_store.m_random) < m_store.faults.lostPages) {
         ++m_store.m_calls;
@@ -328,7 +328,7 @@
             }
             return result;
         },
-        std::move(done), timeout, begun);
+        std::move(done), timeout, onBodyStart);
 }
 
 void StoreClient::watch(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done)
@@ -344,25 +344,25 @@
             const bool isNewer = item && item->revision != unlessRevision;
             return { .outcome = StoreOutcome::Done, .items = isNewer ? std::vector<StoreItem> { *item } : std::vector<StoreItem> {} };
         };
-        call<ItemsResult>(true, compare, std::move(done), query.timeout, query.begun);
+        call<ItemsResult>(true, compare, std::move(done), query.timeout, query.onBodyStart);
         return;
     }
     if (query.after == 0)
-        fetchRange(query.key, {}, query.timeout, std::move(done), query.begun);
+        fetchRange(query.key, {}, query.timeout, std::move(done), query.onBodyStart);
     else
-        awaitEvents(query.key, query.after, query.wait, std::move(done), query.begun);
+        awaitEvents(query.key, query.after, query.wait, std::move(done), query.onBodyStart);
 }
 
-void StoreClient::awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done, const std::function<bool()>& begun)
+void StoreClient::awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(ItemsResult)> done, const std::function<bool()>& onBodyStart)
 {
     ++m_store.m_calls;
     SimClock& clock = m_store.m_clock;
     const std::function<void(ItemsResult)> delivered = m_process.deliver<ItemsResult>(std::move(done));
-    const std::function<void(ItemsResult)> answer = [this, delivered, deadline = clock.now() + wait + callTimeout, begun](const ItemsResult& result) {
+    const std::function<void(ItemsResult)> answer = [this, delivered, deadline = clock.now() + wait + callTimeout, onBodyStart](const ItemsResult& result) {
         if (partitioned)
             m_store.m_clock.at(deadline, [delivered] { delivered({}); });
         else
-            transfer(result, deadline, delivered, begun);
+            transfer(result, deadline, delivered, onBodyStart);
     };
     if (resetting || partitioned || watchesBlocked || m_store.faults.unresponsive || m_store.faults.refusing) {
         clock.after(callTimeout, [delivered] { delivered({}); });
--- a/standins/model/store_model.h
+++ b/standins/model/store_model.h
@@ -112,15 +112,15 @@
 
 private:
     template <typename Result>
-    void call(bool writes, std::function<Result()> act, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& begun = nullptr);
+    void call(bool writes, std::function<Result()> operation, std::function<void(Result)> done, Millis timeout, const std::function<bool()>& onBodyStart = nullptr);
 
-    void fetchRange(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
-    void awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& begun);
+    void fetchRange(const std::string& prefix, const std::string& afterKey, Millis timeout, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& onBodyStart);
+    void awaitEvents(const std::string& prefix, std::uint64_t after, Millis wait, std::function<void(jobs::ItemsResult)> done, const std::function<bool()>& onBodyStart);
 
     /// Transfers a response over the link. A response that has not begun to arrive by `deadline` is lost, because the adapters
     /// time the call out.
     template <typename Result>
-    void transfer(const Result& result, MonotonicInstant deadline, const std::function<void(Result)>& answer, const std::function<bool()>& begun);
+    void transfer(const Result& result, MonotonicInstant deadline, const std::function<void(Result)>& answer, const std::function<bool()>& onBodyStart);
 
     StoreModel& m_store;
     SimProcess& m_process;
--- a/standins/model/workers_model.cpp
+++ b/standins/model/workers_model.cpp
@@ -320,7 +320,7 @@
         return FleetOutcome::Refused;
     FleetInstance& on = found->second;
     if (checker)
-        checker->onAct(instance, holder);
+        checker->onFleetAction(instance, holder);
     if (on.state != FleetState::Up)
         return FleetOutcome::Busy;
     if (WorkerModel* worker = find(on.worker))
@@ -332,7 +332,7 @@
     return FleetOutcome::Done;
 }
 
-void WorkerClient::sendCommand(const std::string& worker, const std::function<CommandResult(bool late)>& act, std::function<void(CommandResult)> done)
+void WorkerClient::sendCommand(const std::string& worker, const std::function<CommandResult(bool late)>& operation, std::function<void(CommandResult)> done)
 {
     const std::function<void(CommandResult)> answer = m_process.deliver<CommandResult>(std::move(done));
     SimClock& clock = m_workers.m_clock;
@@ -349,22 +349,22 @@
     if (share(m_workers.m_random) < model->faults.lateCommands) {
         std::uniform_int_distribution<int> pause(2'000, 12'000);
         // The command is bound to a connection to this incarnation and is dropped with it.
-        clock.after(Millis(pause(m_workers.m_random)), [this, worker, act, incarnation = model->incarnation] {
+        clock.after(Millis(pause(m_workers.m_random)), [this, worker, operation, incarnation = model->incarnation] {
             if (m_workers.isCurrentIncarnation(worker, incarnation) && m_workers.find(worker)->alive)
-                static_cast<void>(act(true));
+                static_cast<void>(operation(true));
         });
         clock.after(callTimeout, [answer] { answer({}); });
         return;
     }
     const bool isAnswerLost = share(m_workers.m_random) < model->faults.lostAnswers;
-    clock.after(oneWayLatency, [this, worker, act, answer, isAnswerLost] {
+    clock.after(oneWayLatency, [this, worker, operation, answer, isAnswerLost] {
         SimClock& later = m_workers.m_clock;
         const WorkerModel* reached = m_workers.find(worker);
         if (!reached->alive || reached->faults.partitioned) {
             later.after(callTimeout, [answer] { answer({}); });
             return;
         }
-        const CommandResult result = act(false);
+        const CommandResult result = operation(false);
         // A worker that crashed while starting the task sends no response.
         if (isAnswerLost || !m_workers.find(worker)->alive || !answerArrives(m_workers.find(worker)->entry))
             later.after(callTimeout, [answer] { answer({}); });
@@ -414,11 +414,11 @@
         clock.after(command.wait + callTimeout, [answer] { answer({}); });
         return;
     }
-    const auto report = [this, id = worker.id, answer, unreachable, givenUpAt = clock.now() + command.wait + callTimeout](std::uint64_t incarnation) {
+    const auto report = [this, id = worker.id, answer, unreachable, timesOutAt = clock.now() + command.wait + callTimeout](std::uint64_t incarnation) {
         SimClock& later = m_workers.m_clock;
         const bool isCut = !answerArrives(m_workers.m_workers[id].entry);
         if (isCut || unreachable() || !m_workers.isCurrentIncarnation(id, incarnation)) {
-            later.at(isCut ? givenUpAt : later.now() + callTimeout, [answer] { answer({}); });
+            later.at(isCut ? timesOutAt : later.now() + callTimeout, [answer] { answer({}); });
             return;
         }
         const WorkerModel& model = m_workers.m_workers[id];
@@ -463,7 +463,7 @@
     });
 }
 
-void WorkerClient::forget(const WorkerIncarnation&)
+void WorkerClient::closeConnections(const WorkerIncarnation&)
 {
 }
 
@@ -481,7 +481,7 @@
     m_workers.m_clock.after(oneWayLatency * 2, [answer, list] { answer(list); });
 }
 
-void FleetClient::send(const std::function<FleetOutcome()>& act, std::function<void(FleetOutcome)> done)
+void FleetClient::send(const std::function<FleetOutcome()>& operation, std::function<void(FleetOutcome)> done)
 {
     const std::function<void(FleetOutcome)> answer = m_process.deliver<FleetOutcome>(std::move(done));
     std::uniform_real_distribution<double> share(0, 1);
@@ -492,8 +492,8 @@
         return;
     }
     const bool isAnswerLost = share(m_workers.m_random) < m_workers.fleetFaults.lostAnswers;
-    clock.after(oneWayLatency, [this, act, answer, isAnswerLost] {
-        const FleetOutcome outcome = act();
+    clock.after(oneWayLatency, [this, operation, answer, isAnswerLost] {
+        const FleetOutcome outcome = operation();
         if (isAnswerLost)
             m_workers.m_clock.after(callTimeout, [answer] { answer(FleetOutcome::Unknown); });
         else
@@ -503,13 +503,13 @@
 
 void FleetClient::move(const std::string& instance, const std::string& pool, const FleetHolder& holder, std::function<void(FleetOutcome)> done)
 {
-    const auto act = [this, instance, pool, holder] { return m_workers.takeDown(instance, holder, pool, FleetState::Moving, m_workers.moveTime); };
-    send(act, std::move(done));
+    const auto operation = [this, instance, pool, holder] { return m_workers.takeDown(instance, holder, pool, FleetState::Moving, m_workers.moveTime); };
+    send(operation, std::move(done));
 }
 
 void FleetClient::maintain(const std::string& instance, std::uint64_t wave, const FleetHolder& holder, std::function<void(FleetOutcome)> done)
 {
-    const auto act = [this, instance, wave, holder] {
+    const auto operation = [this, instance, wave, holder] {
         std::set<std::string>& maintained = m_workers.m_maintained[wave];
         if (maintained.contains(instance))
             return FleetOutcome::Done;
@@ -521,7 +521,7 @@
             m_workers.checker->onMaintenance(instance, wave, m_workers.maintenanceTime);
         return outcome;
     };
-    send(act, std::move(done));
+    send(operation, std::move(done));
 }
 
 void FleetClient::advise(const std::string&, std::uint32_t, std::uint32_t, const std::vector<std::string>& workers, std::function<void(Advice)> done)
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -57,7 +57,7 @@
     virtual void onEnd(const std::string& worker, const jobs::Attempt& attempt, jobs::AttemptEnd end, const Departure& departure) = 0;
     /// \brief An attempt has ended with its worker.
     virtual void onWorkerFailed(const std::string& worker, const jobs::Attempt& attempt, const Departure& departure) = 0;
-    virtual void onAct(const std::string& instance, const jobs::FleetHolder& holder) = 0;
+    virtual void onFleetAction(const std::string& instance, const jobs::FleetHolder& holder) = 0;
     virtual void onMaintenance(const std::string& instance, std::uint64_t wave, Millis time) = 0;
     virtual void onStored(const std::string& worker, const jobs::EndedAttempt& ended) = 0;
     /// \brief A poison task has crashed its worker.
@@ -202,10 +202,10 @@
     void stop(const jobs::WorkerIncarnation& worker, const jobs::Attempt& attempt, std::uint64_t epoch, std::function<void(jobs::CommandResult)> done) override;
     void renew(const jobs::WorkerIncarnation& worker, const jobs::RenewCommand& command, std::function<void(jobs::RenewResult)> done) override;
     void throttle(const jobs::WorkerIncarnation& worker, const jobs::Attempt& attempt, std::uint32_t percent, std::uint64_t epoch, std::function<void(jobs::CommandResult)> done) override;
-    void forget(const jobs::WorkerIncarnation& worker) override;
+    void closeConnections(const jobs::WorkerIncarnation& worker) override;
 
 private:
-    void sendCommand(const std::string& worker, const std::function<jobs::CommandResult(bool late)>& act, std::function<void(jobs::CommandResult)> done);
+    void sendCommand(const std::string& worker, const std::function<jobs::CommandResult(bool late)>& operation, std::function<void(jobs::CommandResult)> done);
 
     /// \returns Whether a call to the worker arrives despite the cuts.
     [[nodiscard]] bool callArrives(const jobs::WorkerEntry& worker) const { return !m_workers.cuts || m_workers.cuts->carries(dataHall, worker.dataHall); }
@@ -231,7 +231,7 @@
 
 private:
     /// Sends an act and delivers the response, subject to the faults.
-    void send(const std::function<jobs::FleetOutcome()>& act, std::function<void(jobs::FleetOutcome)> done);
+    void send(const std::function<jobs::FleetOutcome()>& operation, std::function<void(jobs::FleetOutcome)> done);
 
     WorkersModel& m_workers;
     SimProcess& m_process;
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr unsigned mostThreads = 200;
+constexpr unsigned maxThreads = 200;
 
 class PlatformHandler final : public HttpHandler {
 public:
@@ -66,7 +66,7 @@
     PlatformHandler handler(std::chrono::milliseconds(count > 1 ? std::atoi(arguments[1]) : 0));
     HttpServerOptions options;
     options.port = static_cast<std::uint16_t>(count > 2 ? std::atoi(arguments[2]) : 0);
-    options.mostThreads = mostThreads;
+    options.maxThreads = maxThreads;
     options.maxBodyBytes = 2 * 1024 * 1024;
     const HttpServer server(options, handler);
     std::cout << "listening " << server.port() << std::endl;
--- a/tests/jobs/admission_test.cpp
+++ b/tests/jobs/admission_test.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr MonotonicInstant begin { std::chrono::seconds(100) };
-constexpr UsualJob usual { .workMillis = 2'000, .chain = Millis(500), .allowed = Millis(1'500) };
+constexpr TypicalJob typical { .workMillis = 2'000, .criticalPath = Millis(500), .allowed = Millis(1'500) };
 
 AcceptedWork accepted(const std::string& organisation, std::int64_t workMillis, std::int64_t runningMilliCpu = 0)
 {
-    return { .queue = "q", .organisation = organisation, .weight = 1, .workMillis = workMillis, .runningMilliCpu = runningMilliCpu, .usual = usual };
+    return { .queue = "q", .organisation = organisation, .weight = 1, .workMillis = workMillis, .runningMilliCpu = runningMilliCpu, .typical = typical };
 }
 
 AdmissionGrants grants(std::int64_t workMillis, std::int64_t milliCpu, std::uint64_t term = 1)
@@ -69,7 +69,7 @@
     const std::vector<AdmissionBudget> atShare = service.budgets({ accepted("a", 70'000, 27'200), accepted("b", 500'000, 27'200) });
     REQUIRE(below.size() == 2);
     REQUIRE(atShare.size() == 2);
-    CHECK(below[0].limit == 3 * usual.allowed);
+    CHECK(below[0].limit == 3 * typical.allowed);
     CHECK(below[0].workMillis > 0);
     CHECK(atShare[0].limit == Millis(1'200)); // With a margin before the objective.
     CHECK(atShare[0].workMillis < 0);
--- a/tests/jobs/crash_attribution_test.cpp
+++ b/tests/jobs/crash_attribution_test.cpp
@@ -94,18 +94,18 @@
     const std::string other = jobId(2);
     PlacementQuery query;
     query.quarantineKey = suspect;
-    query.suspicion = 2;
+    query.suspectedCrashes = 2;
     CHECK(placer.choose(step(1), query) == 2U);
-    placer.book(2, step(1));
+    placer.reserve(2, step(1));
     placer.noteSuspect(2, suspect, 2);
     PlacementQuery usual;
     usual.quarantineKey = other;
     CHECK(placer.choose(step(1), usual) == 0U);
-    placer.book(0, step(1));
-    placer.book(0, step(1));
-    placer.book(1, step(1));
-    placer.book(1, step(1));
-    placer.book(1, step(1));
+    placer.reserve(0, step(1));
+    placer.reserve(0, step(1));
+    placer.reserve(1, step(1));
+    placer.reserve(1, step(1));
+    placer.reserve(1, step(1));
     // The site with the suspect has room, but other tasks must not use it.
     CHECK_FALSE(placer.choose(step(1), usual));
     usual.quarantineKey = suspect;
@@ -121,12 +121,12 @@
         sites.push_back({ .worker = &worker, .free = { .milliCpu = 4'000, .memoryMb = 10'000 } });
     sites[0].free.milliCpu = 2'000;
     Placer placer(sites);
-    placer.book(1, step(1));
+    placer.reserve(1, step(1));
     PlacementQuery query;
     query.quarantineKey = jobId(1);
-    query.suspicion = crashesToIsolate;
+    query.suspectedCrashes = crashesToIsolate;
     CHECK(placer.choose(step(1), query) == 0U);
-    query.suspicion = crashesToIsolate - 1;
+    query.suspectedCrashes = crashesToIsolate - 1;
     CHECK(placer.choose(step(1), query) == 1U);
 }
 
@@ -145,7 +145,7 @@
     query.quarantineKey = other;
     CHECK(placer.choose(step(1), query) == 1U);
     for (int i = 0; i < 4; ++i)
-        placer.book(1, step(1));
+        placer.reserve(1, step(1));
     CHECK(placer.choose(step(1), query) == 0U);
 }
 
@@ -172,13 +172,13 @@
     CHECK(stored->tasks.at(task).probations.front() == Probation { .attempt = 2, .worker = "w2", .workerStartedAt = 1'700'000'000'000, .isAcknowledged = true });
     JobState next(jobId(1), record, *stored, 10);
     next.openOccurrences({});
-    CHECK(next.find(task)->suspicion() == 2);
+    CHECK(next.find(task)->suspectedCrashes() == 2);
     CHECK(next.noteSurvived(task));
     CHECK(next.progress().tasks.empty());
     // A start that the worker refused is not a crash.
     state.drop(attempt(2), begin);
-    CHECK(state.find(task)->suspicion() == 1);
-    CHECK(state.giveUp(task));
+    CHECK(state.find(task)->suspectedCrashes() == 1);
+    CHECK(state.failPermanently(task));
     CHECK(state.status() == JobStatus::Failed);
 }
 
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -35,7 +35,7 @@
     }
 
     /// Sets the faults of every `each`th worker, and clears those of the others.
-    void faults(const model::WorkerFaults& faults, int each = 5)
+    void setFaults(const model::WorkerFaults& faults, int each = 5)
     {
         int number = 0;
         for (auto& [id, worker] : workers.workers())
@@ -126,9 +126,9 @@
         BusyPool pool;
         // A start is overdue after 100 ms at the earliest: two jobs are submitted by then.
         const std::size_t affected = pool.open() + 2;
-        pool.faults(faults);
+        pool.setFaults(faults);
         pool.serve(Millis(6'000));
-        pool.faults({});
+        pool.setFaults({});
         pool.serve(Millis(4'000));
         pool.settle(Millis(20'000));
         CHECK(pool.open() == 0);
@@ -143,7 +143,7 @@
     BusyPool pool;
     pool.settle(Millis(3'000));
     pool.clock.runFor(Millis(2'000));
-    pool.faults({ .partitioned = true });
+    pool.setFaults({ .partitioned = true });
     pool.clock.runFor(Millis(1'300));
     pool.serve(Millis(4'000));
     pool.settle(Millis(4'000));
@@ -155,7 +155,7 @@
 TEST_CASE("A start that never arrived is abandoned at a worker that answers renewals and never a command")
 {
     BusyPool pool;
-    pool.faults({ .lostCommands = 1 });
+    pool.setFaults({ .lostCommands = 1 });
     pool.serve(Millis(1'000));
     pool.settle(Millis(12'000));
     CHECK(pool.open() == 0);
@@ -166,13 +166,13 @@
 TEST_CASE("If a third of a pool fails all its tasks, a fifth of the pool is ejected")
 {
     BusyPool pool;
-    pool.faults({ .failing = 1 }, 3);
+    pool.setFaults({ .failing = 1 }, 3);
     for (int i = 0; i < 20; ++i) {
         pool.serve(Millis(200));
         CHECK(ejectedAt(pool) <= 4);
     }
     CHECK(ejectedAt(pool) == 4);
-    pool.faults({});
+    pool.setFaults({});
     pool.settle(Millis(20'000));
     pool.serve(Millis(20'000));
     CHECK(ejectedAt(pool) == 0);
@@ -182,7 +182,7 @@
 TEST_CASE("A worker that is 8 times slower is ejected and its peers are not")
 {
     BusyPool pool;
-    pool.faults({ .slowdown = 8 }, 20);
+    pool.setFaults({ .slowdown = 8 }, 20);
     pool.serve(Millis(8'000));
     const std::vector<WorkerReport> workers = pool.entry(pool.owner().value()).workers().workers;
     for (const WorkerReport& worker : workers) {
@@ -195,7 +195,7 @@
 TEST_CASE("A new owner ejects failing workers again after a crash of the previous one, and no guarantee is violated")
 {
     BusyPool pool;
-    pool.faults({ .lostCommands = 1 });
+    pool.setFaults({ .lostCommands = 1 });
     pool.serve(Millis(2'000));
     REQUIRE(ejectedAt(pool) > 0);
     const std::size_t lost = pool.owner().value();
@@ -204,7 +204,7 @@
     pool.start(lost);
     pool.serve(Millis(3'000));
     CHECK(ejections(pool) > 0);
-    pool.faults({});
+    pool.setFaults({});
     pool.settle(Millis(20'000));
     CHECK(pool.open() == 0);
     CHECK(pool.checker.breaches().empty());
@@ -213,10 +213,10 @@
 /// Guards against ejecting the workers that a poison task crashes, and against clearing the task because its workers were ejected.
 TEST_CASE("A poison task ejects no worker, and fails after as many crashes with failing workers in the pool")
 {
-    for (const bool isTroubled : { false, true }) {
+    for (const bool hasFaults : { false, true }) {
         BusyPool pool;
-        if (isTroubled)
-            pool.faults({ .lostCommands = 1 }, 7);
+        if (hasFaults)
+            pool.setFaults({ .lostCommands = 1 }, 7);
         const std::string poison = jobId(9'999);
         int crashes = 0;
         pool.workers.crashesWorker = [&](const Attempt& attempt) {
@@ -229,9 +229,9 @@
         pool.settle(Millis(20'000));
         CHECK(pool.waitFor(Millis(10'000), [&] { return pool.status(1, poison) == JobStatus::Failed; }));
         CHECK(crashes == 3);
-        if (!isTroubled)
+        if (!hasFaults)
             CHECK(ejections(pool) == 0);
-        pool.faults({});
+        pool.setFaults({});
         pool.settle(Millis(20'000));
         CHECK(pool.open() == 0);
         CHECK(pool.checker.breaches().empty());
--- a/tests/jobs/http_test.cpp
+++ b/tests/jobs/http_test.cpp
@@ -253,15 +253,15 @@
     std::thread m_thread;
 };
 
-/// \returns The reply to a call whose response has to begin within 200 ms and may take 5 s; increments `begun` when it begins.
-HttpReply callSlow(std::uint16_t port, int& begun, bool wantsRest = true)
+/// \returns The reply to a call whose response has to begin within 200 ms and may take 5 s; increments `bodyStarts` when it begins.
+HttpReply callSlow(std::uint16_t port, int& bodyStarts, bool wantsRest = true)
 {
     Exchange exchange;
     HttpClient client(exchange.loop, { .stallTimeout = Millis(300) });
     std::optional<HttpReply> result;
     const jobs::MonotonicInstant now = exchange.loop.now();
-    client.send({ "127.0.0.1", port }, { .request = post("x"), .deadline = now + Millis(200), .transferDeadline = now + timeout, .begun = [&] {
-                                            ++begun;
+    client.send({ "127.0.0.1", port }, { .request = post("x"), .deadline = now + Millis(200), .transferDeadline = now + timeout, .onBodyStart = [&] {
+                                            ++bodyStarts;
                                             return wantsRest;
                                         } },
         [&](HttpReply reply) {
@@ -279,32 +279,32 @@
 TEST_CASE("A response that keeps arriving may take longer than the deadline for its beginning")
 {
     const SlowServer server(10, Millis(50));
-    int begun = 0;
-    const HttpReply reply = callSlow(server.port, begun);
+    int bodyStarts = 0;
+    const HttpReply reply = callSlow(server.port, bodyStarts);
     CHECK(reply.delivery == Delivery::Answered);
     CHECK(reply.response.body.size() == 1'000);
-    CHECK(begun == 1);
+    CHECK(bodyStarts == 1);
 }
 
 // Guards against two transfers of one document over a narrow link at once.
 TEST_CASE("A call whose response is declined ends when the response begins")
 {
     const SlowServer server(10, Millis(200));
-    int begun = 0;
+    int bodyStarts = 0;
     const auto before = std::chrono::steady_clock::now();
-    CHECK(callSlow(server.port, begun, false).delivery == Delivery::Abandoned);
+    CHECK(callSlow(server.port, bodyStarts, false).delivery == Delivery::Abandoned);
     CHECK(std::chrono::steady_clock::now() - before < std::chrono::milliseconds(1'000));
-    CHECK(begun == 1);
+    CHECK(bodyStarts == 1);
 }
 
 TEST_CASE("A response that stalls or does not begin is lost after its timeout")
 {
     for (const std::size_t parts : { 0, 3 }) {
         const SlowServer server(parts, Millis(0));
-        int begun = 0;
+        int bodyStarts = 0;
         const auto before = std::chrono::steady_clock::now();
-        CHECK(callSlow(server.port, begun).delivery == Delivery::Unanswered);
+        CHECK(callSlow(server.port, bodyStarts).delivery == Delivery::Unanswered);
         CHECK(std::chrono::steady_clock::now() - before < std::chrono::milliseconds(1'500));
-        CHECK(begun == (parts > 0 ? 1 : 0));
+        CHECK(bodyStarts == (parts > 0 ? 1 : 0));
     }
 }
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -36,8 +36,8 @@
         if (use == Use::Idle) {
             instance.idleSince = start - Millis(5'000);
         } else {
-            instance.drainable = "worker-" + instance.instance;
-            instance.emptyBy = start + Millis(static_cast<std::int64_t>(i));
+            instance.drainableWorker = "worker-" + instance.instance;
+            instance.expectedEmptyAt = start + Millis(static_cast<std::int64_t>(i));
         }
         pool.instances.push_back(std::move(instance));
     }
--- a/tests/jobs/placement_test.cpp
+++ b/tests/jobs/placement_test.cpp
@@ -40,7 +40,7 @@
         pool.workers.push_back({ .id = name("w", i), .address = {}, .pool = "main", .dataHall = name("h", anyOf(3)), .capacity = {}, .labels = { name("k", anyOf(2)), rack }, .rack = rack, .draining = anyOf(8) == 0 });
     }
     for (const WorkerEntry& worker : pool.workers) {
-        pool.sites.push_back({ .worker = &worker, .free = { .milliCpu = (anyOf(12) - 1) * unit, .memoryMb = anyOf(6) * unit }, .servingTasks = anyOf(3) == 0 ? 1U : 0U, .open = anyOf(8) != 0, .preferred = anyOf(8) != 0, .keptFor = anyOf(8) == 0 ? "k0" : "", .labelDemand = static_cast<std::uint32_t>(anyOf(3)), .distrusted = anyOf(5) == 0 });
+        pool.sites.push_back({ .worker = &worker, .free = { .milliCpu = (anyOf(12) - 1) * unit, .memoryMb = anyOf(6) * unit }, .servingTasks = anyOf(3) == 0 ? 1U : 0U, .open = anyOf(8) != 0, .preferred = anyOf(8) != 0, .reservedForLabel = anyOf(8) == 0 ? "k0" : "", .labelDemand = static_cast<std::uint32_t>(anyOf(3)), .distrusted = anyOf(5) == 0 });
         if (anyOf(6) == 0)
             pool.sites.back().startsLeft = static_cast<std::uint32_t>(anyOf(3));
     }
@@ -86,7 +86,7 @@
     for (std::size_t i = 0; i < sites.size(); ++i) {
         const PlacementSite& site = sites[i];
         const bool isFar = !step.preferredRack.empty() && !hasLabel(*site.worker, step.preferredRack);
-        const bool fits = site.open && site.startsLeft > 0 && !site.worker->draining && site.free.covers(footprint(step)) && (step.requiredLabel.empty() || hasLabel(*site.worker, step.requiredLabel)) && (site.keptFor.empty() || site.keptFor == step.requiredLabel);
+        const bool fits = site.open && site.startsLeft > 0 && !site.worker->draining && site.free.covers(footprint(step)) && (step.requiredLabel.empty() || hasLabel(*site.worker, step.requiredLabel)) && (site.reservedForLabel.empty() || site.reservedForLabel == step.requiredLabel);
         const bool admitted = (query.rack.empty() || site.worker->rack == query.rack) && !(query.nearOnly && isFar) && (!query.admits || query.admits(i)) && (step.maxPerInstance == 0 || query.tasksOfStep(i) < step.maxPerInstance);
         if (!fits || !admitted)
             continue;
@@ -117,7 +117,7 @@
             const std::optional<std::size_t> expected = bestOfAll(placer.sites(), step, query);
             RC_ASSERT(placer.choose(step, query) == expected);
             if (expected) {
-                placer.book(*expected, step);
+                placer.reserve(*expected, step);
                 reserved.emplace_back(*expected, step);
             }
             if (!reserved.empty() && anyOf(5) == 0) {
@@ -139,14 +139,14 @@
     Placer placer(sites);
     for (int i = 0; i < 4; ++i) {
         REQUIRE(placer.choose(step(1), {}) == count);
-        placer.book(count, step(1));
+        placer.reserve(count, step(1));
     }
     CHECK(placer.inspected() == 4);
     StepSpec small = step(1);
     small.needs.milliCpu = 100;
     for (std::size_t expected : { 0U, 0U, 1U }) {
         REQUIRE(placer.choose(small, {}) == expected);
-        placer.book(expected, small);
+        placer.reserve(expected, small);
     }
     placer.release(0, small);
     CHECK(placer.choose(small, {}) == 0U);
@@ -196,7 +196,7 @@
         const std::optional<std::size_t> site = placer.choose(longStep(1), { .tasksByHall = &byHall });
         if (!site)
             return false;
-        placer.book(*site, longStep(1));
+        placer.reserve(*site, longStep(1));
         ++byHall[pool.workers[*site].dataHall];
         return true;
     };
@@ -208,7 +208,7 @@
     // If the other data halls have no room left, one takes all tasks.
     for (std::size_t i = 0; i < pool.sites.size(); ++i) {
         while (pool.workers[i].dataHall != "h1" && placer.sites()[i].free.milliCpu >= 1'000)
-            placer.book(i, step(1));
+            placer.reserve(i, step(1));
     }
     for (int i = 0; i < 6; ++i)
         REQUIRE(placeOne());
@@ -224,7 +224,7 @@
         std::map<std::string, std::uint32_t> byHall;
         for (int i = 0; i < 24; ++i) {
             const std::size_t site = placer.choose(longStep(1), { .tasksOfStep = [](std::size_t) { return 0U; }, .tasksByHall = &byHall }).value();
-            placer.book(site, longStep(1));
+            placer.reserve(site, longStep(1));
             ++byHall[pool.workers[site].dataHall];
         }
         return placer.inspected();
--- a/tests/jobs/plan_test.cpp
+++ b/tests/jobs/plan_test.cpp
@@ -69,7 +69,7 @@
     const WorkerEntry b = worker("b");
     Placer placer({ site(a, 4'000), site(b, 1'500) });
     CHECK(placer.choose(step(1), {}) == 1U);
-    placer.book(1, step(1));
+    placer.reserve(1, step(1));
     CHECK(placer.choose(step(1), {}) == 0U);
 }
 
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -365,8 +365,8 @@
         const model::WorkerModel* first = anyWorker();
         if (!first)
             return;
-        const std::array<model::WorkerFaults, 6> troubles { model::WorkerFaults { .partitioned = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostCommands = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowdown = 8 } };
-        const model::WorkerFaults faults = troubles.at(pickLater(0, troubles.size() - 1));
+        const std::array<model::WorkerFaults, 6> choices { model::WorkerFaults { .partitioned = true }, { .lostAnswers = 1, .lostRenewals = 1 }, { .lostCommands = 1 }, { .lostAnswers = 0.5 }, { .failing = 1 }, { .slowdown = 8 } };
+        const model::WorkerFaults faults = choices.at(pickLater(0, choices.size() - 1));
         const bool isWholeRack = pickLater(0, 3) == 0;
         const std::string rack = first->entry.rack;
         const std::string id = first->entry.id;
@@ -391,10 +391,10 @@
             m_cluster.peers.resetAll();
             return;
         case 1:
-            m_cluster.peers.silenceAll();
+            m_cluster.peers.makeAllUnresponsive();
             return;
         case 2:
-            faults.silentShare = 0.5;
+            faults.unresponsiveShare = 0.5;
             m_cluster.peers.resetAll();
             break;
         case 3:
--- a/tests/jobs/relay_test.cpp
+++ b/tests/jobs/relay_test.cpp
@@ -53,7 +53,7 @@
         m_loop.callAt(m_loop.now(), [done] { done({ .outcome = CommandOutcome::Done }); });
     }
 
-    void forget(const WorkerIncarnation& worker) override { forgotten.push_back(worker.id); }
+    void closeConnections(const WorkerIncarnation& worker) override { forgotten.push_back(worker.id); }
 
 private:
     EventLoop& m_loop;
@@ -214,13 +214,13 @@
         static_cast<void>(plan.relayOf("w" + std::to_string(i), now));
     CHECK(plan.relaysInUse() == 3);
     for (int i = 24; i >= 18; --i)
-        plan.forget("w" + std::to_string(i));
+        plan.removeWorker("w" + std::to_string(i));
     CHECK(plan.relaysInUse() == 3);
     for (int i = 17; i >= 13; --i)
-        plan.forget("w" + std::to_string(i));
+        plan.removeWorker("w" + std::to_string(i));
     CHECK(plan.relaysInUse() == 2);
     for (int i = 12; i >= 0; --i)
-        plan.forget("w" + std::to_string(i));
+        plan.removeWorker("w" + std::to_string(i));
     CHECK(plan.relaysInUse() == 0);
 }
 
@@ -237,7 +237,7 @@
     CHECK(result.workerClock == 9);
     CHECK(result.running == std::vector<RunningAttempt> { { .attempt = { "job", { 1, 2, 3 }, 4 }, .checkpoint = "half", .percent = 50, .load = 5 } });
     CHECK(result.ended == std::vector<EndedAttempt> { { .sequence = 6, .attempt = { "job", { 0, 1, 2 }, 3 }, .end = AttemptEnd::GangBroken, .checkpoint = "c" } });
-    fixture.owner.forget({ "w7", "10.0.0.1:1" });
+    fixture.owner.closeConnections({ "w7", "10.0.0.1:1" });
     fixture.clock.runFor(Millis(20));
     CHECK(fixture.byFirst.forgotten.size() + fixture.bySecond.forgotten.size() == 1);
 }
@@ -355,7 +355,7 @@
     RelayFixture fixture;
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(100));
-    fixture.peers.silenceAll();
+    fixture.peers.makeAllUnresponsive();
     fixture.renewAll(8);
     fixture.clock.runFor(Millis(8'000));
     fixture.outcomes.clear();
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -27,8 +27,8 @@
         if (i < idle) {
             instance.idleSince = idleSince;
         } else {
-            instance.drainable = "worker-" + instance.instance;
-            instance.emptyBy = start + Millis(100 * static_cast<std::int64_t>(i));
+            instance.drainableWorker = "worker-" + instance.instance;
+            instance.expectedEmptyAt = start + Millis(100 * static_cast<std::int64_t>(i));
         }
         pool.instances.push_back(std::move(instance));
     }
--- a/tests/jobs/worker_health_test.cpp
+++ b/tests/jobs/worker_health_test.cpp
@@ -39,7 +39,7 @@
 
     [[nodiscard]] EjectionCandidate candidate(std::size_t index, HealthFault fault, double score = 1) const { return { .member = members[index], .fault = fault, .score = score }; }
 
-    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& least = {}) const { return EjectionBound(options, members, least).choose(candidates); }
+    [[nodiscard]] std::vector<EjectionCandidate> choose(const std::vector<EjectionCandidate>& candidates, const MinInstances& minInstances = {}) const { return EjectionBound(options, members, minInstances).choose(candidates); }
 
     std::vector<WorkerEntry> workers;
     std::vector<EjectionMember> members;
@@ -282,7 +282,7 @@
     starts.noteOverdue(attempt(2), start);
     starts.noteOverdue(attempt(6), start);
     starts.noteProbeOverdue();
-    starts.noteHeard();
+    starts.noteResponse();
     CHECK(starts.isDistrusted(start));
     CHECK(starts.noteAnswered(attempt(6)));
     CHECK(starts.startsLeft(start) == UnacknowledgedStarts::unlimited);
@@ -290,7 +290,7 @@
     starts.noteOverdue(attempt(7), start);
     starts.noteProbeOverdue();
     CHECK(starts.startsLeft(start + Millis(60'000)) == 0);
-    starts.noteHeard();
+    starts.noteResponse();
     CHECK(starts.startsLeft(start + Millis(60'000)) == UnacknowledgedStarts::unlimited);
 }
 
@@ -300,7 +300,7 @@
     starts.noteProbeOverdue();
     CHECK(starts.isDistrusted(start));
     CHECK(starts.startsLeft(start) == 2);
-    starts.noteHeard();
+    starts.noteResponse();
     CHECK(starts.startsLeft(start) == UnacknowledgedStarts::unlimited);
 }
 
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -218,7 +218,7 @@
             if (incarnation != entry.incarnation)
                 return;
             if (entry.isReady && !isReady)
-                m_client.forget(entry.front());
+                m_client.closeIdleConnections(entry.front());
             entry.isReady = isReady;
         });
     }
--- a/tests/soak/fault_runner.cpp
+++ b/tests/soak/fault_runner.cpp
@@ -206,7 +206,7 @@
         cut(entry.toStore, { .refusing = true }, fault.duration);
         return;
     case FaultKind::SilenceProcessFromStore:
-        entry.toStore->silence();
+        entry.toStore->stall();
         return;
     case FaultKind::CutHallForward:
         cut(toHall, { .cutForward = true }, fault.duration);
--- a/tests/soak/guarantee_monitor.cpp
+++ b/tests/soak/guarantee_monitor.cpp
@@ -157,10 +157,10 @@
     const std::string instance = event.value("instance", "");
     const std::int64_t fence = event.value("fence", std::int64_t { 0 });
     const std::int64_t at = timeOf(event);
-    const auto last = m_lastAct.find(instance);
-    if (last != m_lastAct.end() && last->second.first != fence && at - last->second.second < minOwnerInterval)
+    const auto last = m_lastAction.find(instance);
+    if (last != m_lastAction.end() && last->second.first != fence && at - last->second.second < minOwnerInterval)
         breach(guarantee::ownersApart, "instance " + instance + " is acted on under epochs " + std::to_string(last->second.first) + " and " + std::to_string(fence) + " within " + std::to_string(at - last->second.second) + " ms", { instance }, at);
-    m_lastAct[instance] = { fence, at };
+    m_lastAction[instance] = { fence, at };
 }
 
 void GuaranteeMonitor::noteFaults(std::int64_t until)
--- a/tests/soak/guarantee_monitor.h
+++ b/tests/soak/guarantee_monitor.h
@@ -149,7 +149,7 @@
     std::map<std::string, Task> m_tasks;
     std::map<std::string, std::int64_t> m_evacuatedSince;
     std::map<std::string, std::uint64_t> m_configurations;
-    std::map<std::string, std::pair<std::int64_t, std::int64_t>> m_lastAct; ///< Fencing token and time, by instance.
+    std::map<std::string, std::pair<std::int64_t, std::int64_t>> m_lastAction; ///< Fencing token and time, by instance.
     std::map<std::string, std::int64_t> m_lastStart; ///< By data hall.
     std::int64_t m_faultsUntil = 0;
     std::uint64_t m_starts = 0;
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -48,7 +48,7 @@
         }
     }
 
-    void silence() { m_isSilent = true; }
+    void stall() { m_isStalled = true; }
 
 private:
     /// The data flow from one end to the other.
@@ -124,7 +124,7 @@
     {
         if (!m_forward.from.is_open())
             return false;
-        return m_isSilent || (&direction == &m_forward ? m_path->faults.cutForward : m_path->faults.cutBackward);
+        return m_isStalled || (&direction == &m_forward ? m_path->faults.cutForward : m_path->faults.cutBackward);
     }
 
     void later(Millis time, std::function<void()> callback) { m_loop.callAt(m_loop.now() + time, std::move(callback)); }
@@ -133,7 +133,7 @@
     std::shared_ptr<Path> m_path;
     Direction m_forward;
     Direction m_backward;
-    bool m_isSilent = false;
+    bool m_isStalled = false;
 };
 
 void Path::reset()
@@ -144,11 +144,11 @@
     }
 }
 
-void Path::silence()
+void Path::stall()
 {
     for (const std::weak_ptr<Link>& link : m_links) {
         if (const std::shared_ptr<Link> open = link.lock())
-            open->silence();
+            open->stall();
     }
 }
 
--- a/tests/soak/tcp_proxy.h
+++ b/tests/soak/tcp_proxy.h
@@ -33,7 +33,7 @@
     void reset();
 
     /// \brief Stops all data on the open connections in both directions, for good, and leaves them open.
-    void silence();
+    void stall();
 
 private:
     friend class Link;
--- a/tests/unit/state_test.cpp
+++ b/tests/unit/state_test.cpp
@@ -117,7 +117,7 @@
     snapshot.ledger = std::make_shared<const Ledger>(ledger);
     snapshot.instances = std::make_shared<const Instances>(instances);
     EndpointRegistry registry;
-    const RoutingTable table(snapshot, { .number = 0, .seats = 1 }, registry);
+    const RoutingTable table(snapshot, { .number = 0, .shardCount = 1 }, registry);
     CHECK(table.find("counter")->members == std::vector<std::string> { "w4" });
     CHECK(table.find("counter")->slots == 8);
     CHECK(table.find("other") == nullptr);
--- a/tests/unit/traffic_test.cpp
+++ b/tests/unit/traffic_test.cpp
@@ -63,7 +63,7 @@
 
 TEST_CASE("checks start before batch, and batch is never starved")
 {
-    AdmissionQueue queue({ .slots = 1, .mostWaiting = 1000 });
+    AdmissionQueue queue({ .slots = 1, .maxWaiting = 1000 });
     for (std::uint64_t id = 0; id < 100; ++id)
         REQUIRE_FALSE(queue.offer(ticket(id, id % 2 == 0 ? RequestClass::Check : RequestClass::Batch), noon));
     std::vector<std::uint64_t> order;
@@ -78,7 +78,7 @@
 
 TEST_CASE("a team at its quota does not hold up the others")
 {
-    AdmissionQueue queue({ .slots = 4, .mostWaiting = 100 });
+    AdmissionQueue queue({ .slots = 4, .maxWaiting = 100 });
     queue.setQuota("greedy", 2);
     queue.setQuota("small", 2);
     for (std::uint64_t id = 1; id <= 4; ++id)
@@ -96,7 +96,7 @@
 
 TEST_CASE("requests that can't meet their deadlines by observed run times are refused at once or expire")
 {
-    AdmissionQueue queue({ .slots = 1, .mostWaiting = 100 });
+    AdmissionQueue queue({ .slots = 1, .maxWaiting = 100 });
     for (std::uint64_t id = 0; id < 60; ++id) {
         REQUIRE_FALSE(queue.offer(ticket(id, RequestClass::Check), noon));
         REQUIRE(queue.start(noon) == id);
@@ -116,7 +116,7 @@
 TEST_CASE("slots and quotas hold for any sequence of offers, starts, cancels and finishes")
 {
     CHECK(rc::check([](const std::vector<std::uint16_t>& operations) {
-        AdmissionQueue queue({ .slots = 5, .mostWaiting = 20 });
+        AdmissionQueue queue({ .slots = 5, .maxWaiting = 20 });
         queue.setQuota("t0", 3);
         std::map<std::uint64_t, std::string> running;
         std::uint64_t next = 0;
