--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -113,7 +113,7 @@
     void noteStop(const std::string& worker, bool hasEnded, MonotonicInstant now);
 
     /// \brief Removes a worker whose end was planned.
-    void forgetWorker(const std::string& worker);
+    void removeWorker(const std::string& worker);
 
     /// \returns Losses, returns and readmissions up to now.
     [[nodiscard]] HallFindings update(MonotonicInstant now);
--- a/include/lanemoor/serve/version/routing_table.h
+++ b/include/lanemoor/serve/version/routing_table.h
@@ -32,7 +32,7 @@
 /// The shard of this entry instance. Shards divide slots and quotas equally among entry instances.
 struct EntryShard {
     std::uint32_t number = 0;
-    std::uint32_t seats = 0; ///< Total number of shards; 0 if this entry instance holds none and sends no requests.
+    std::uint32_t shardCount = 0; ///< Total number of shards; 0 if this entry instance holds none and sends no requests.
 
     [[nodiscard]] bool operator==(const EntryShard&) const = default;
 };
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -42,14 +42,14 @@
     const bool isFirstStart = job.state.status() == JobStatus::Queued;
     // The previous owner may have failed before it recorded a crash, and the members of a gang start at the same time.
     const std::uint32_t assumed = hasSuspectPeer || m_state.mayHaveCrashedBefore(job, task) ? 1 : 0;
-    const std::uint32_t suspicion = std::max(job.state.find(task)->suspicion(), assumed);
+    const std::uint32_t suspectedCrashes = std::max(job.state.find(task)->suspectedCrashes(), assumed);
     job.state.begin(task, number, worker.entry.id, m_state.now());
-    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspicion = suspicion });
+    worker.reservations.put(attempt, { .step = job.state.sharedSpec(task.step), .account = job.account, .expectedEnd = m_state.expectedEnd(job, task), .suspectedCrashes = suspectedCrashes });
     worker.probationUntil = m_state.now() + maxProbation;
     m_health.noteStartReserved(worker, attempt);
     if (isFirstStart)
         m_state.store(job.state.id());
-    if (suspicion == 0)
+    if (suspectedCrashes == 0)
         send(attempt, worker, ticket);
     else
         recordAndSend(job, attempt, worker, ticket);
@@ -93,7 +93,7 @@
 {
     const JobState& job = m_state.job(attempt.job)->state;
     const std::uint32_t suspicionOfThisStart = 1;
-    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspicion() > suspicionOfThisStart;
+    return !job.spec(attempt.task.step).gang && job.find(attempt.task)->suspectedCrashes() > suspicionOfThisStart;
 }
 
 /// Storing the start took so long that the worker may have crashed meanwhile: sends the start after the next answer.
@@ -225,7 +225,7 @@
         return;
     case CommandOutcome::OtherIncarnation:
         if (record)
-            record->session->noteLifeOver();
+            record->session->noteIncarnationOver();
         return;
     case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
@@ -338,7 +338,7 @@
         return;
     }
     case CommandOutcome::OtherIncarnation:
-        record->session->noteLifeOver();
+        record->session->noteIncarnationOver();
         return;
     case CommandOutcome::Fenced:
         m_state.options.ownership->noteSuperseded();
@@ -401,10 +401,10 @@
     stopAll(job);
 }
 
-void CommandDispatcher::giveUp(OwnerJob& job, const TaskId& task)
+void CommandDispatcher::failPermanently(OwnerJob& job, const TaskId& task)
 {
     const bool wasFinished = isFinal(job.state.status());
-    const bool jobFails = job.state.giveUp(task);
+    const bool jobFails = job.state.failPermanently(task);
     if (wasFinished)
         return;
     ++m_counts.givenUp;
--- a/src/jobs/owner/crash_tracker.cpp
+++ b/src/jobs/owner/crash_tracker.cpp
@@ -120,12 +120,12 @@
 
 void CrashTracker::noteAdopted(WorkerRecord& worker, OwnerJob& job, const Attempt& attempt, std::int64_t workerClock)
 {
-    const std::uint32_t suspicion = job.state.find(attempt.task)->suspicion();
-    if (suspicion == 0) {
+    const std::uint32_t suspectedCrashes = job.state.find(attempt.task)->suspectedCrashes();
+    if (suspectedCrashes == 0) {
         job.state.noteConfirmed(attempt, workerClock);
         return;
     }
-    worker.reservations.noteSuspect(attempt, suspicion);
+    worker.reservations.noteSuspect(attempt, suspectedCrashes);
     m_state.beginProbation(job, attempt, worker);
     if (job.state.noteConfirmed(attempt, workerClock))
         m_state.store(attempt.job);
@@ -137,7 +137,7 @@
         return;
     const Millis probation = m_attributor.probation(aliveWorkerCount(), m_state.now());
     std::vector<Attempt> survived;
-    for (const auto& [attempt, suspicion] : worker.reservations.suspects()) {
+    for (const auto& [attempt, suspectedCrashes] : worker.reservations.suspects()) {
         const OwnerJob* job = m_state.job(attempt.job);
         const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
         const bool isLive = task && task->live && task->live->number == attempt.number;
@@ -173,7 +173,7 @@
             continue;
         OwnerJob& job = *m_state.job(lost.attempt.job);
         if (m_state.beginProbation(job, lost.attempt, worker))
-            worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspicion());
+            worker.reservations.noteSuspect(lost.attempt, job.state.find(lost.attempt.task)->suspectedCrashes());
         if (job.state.noteUnresponsive(lost.attempt))
             m_state.store(lost.attempt.job);
     }
@@ -346,9 +346,9 @@
 {
     const OwnerJob* job = m_state.job(attempt.job);
     const TaskState* task = job ? job->state.find(attempt.task) : nullptr;
-    if (!task || task->suspicion() < m_state.options.crashes.crashesToFail)
+    if (!task || task->suspectedCrashes() < m_state.options.crashes.crashesToFail)
         return Millis(0);
-    return retryPauseStep * std::min(task->suspicion(), maxCrashes);
+    return retryPauseStep * std::min(task->suspectedCrashes(), maxCrashes);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -89,11 +89,11 @@
         worker.starts.noteProbeOverdue();
 }
 
-void HealthMonitor::noteHeard(WorkerRecord& worker)
+void HealthMonitor::noteResponse(WorkerRecord& worker)
 {
     if (worker.starts.isAnswering())
         return;
-    worker.starts.noteHeard();
+    worker.starts.noteResponse();
     m_state.requestPass();
 }
 
--- a/src/jobs/owner/health_monitor.h
+++ b/src/jobs/owner/health_monitor.h
@@ -36,7 +36,7 @@
     void noteStartConfirmed(WorkerRecord& worker, const Attempt& attempt) { worker.starts.noteSettled(attempt); }
 
     /// \brief Notes a response to any call.
-    void noteHeard(WorkerRecord& worker);
+    void noteResponse(WorkerRecord& worker);
     ///@}
 
     /// \name Ends
--- a/src/jobs/policy/failure_domains.cpp
+++ b/src/jobs/policy/failure_domains.cpp
@@ -88,7 +88,7 @@
     m_workers.erase(found);
 }
 
-void HallLossDetector::forgetWorker(const std::string& worker)
+void HallLossDetector::removeWorker(const std::string& worker)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
--- a/src/jobs/store/document_replica.cpp
+++ b/src/jobs/store/document_replica.cpp
@@ -74,7 +74,7 @@
     {
         auto pending = std::make_shared<PendingCall>(PendingCall { .callResult = { .call = call, .dueAt = dueAt, .sentAt = m_loop.now(), .endedAt = {} }, .replicaRevision = m_revision });
         m_lastSentAt = pending->callResult.sentAt;
-        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .begun = [self = weak_from_this(), pending] {
+        DocumentQuery query { .key = m_options.key, .timeout = answerStartTimeout, .onBodyStart = [self = weak_from_this(), pending] {
                                  const auto impl = self.lock();
                                  return impl && impl->beginTransfer(*pending);
                              } };
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -391,10 +391,10 @@
             m_cluster.peers.resetAll();
             return;
         case 1:
-            m_cluster.peers.silenceAll();
+            m_cluster.peers.makeAllUnresponsive();
             return;
         case 2:
-            faults.silentShare = 0.5;
+            faults.unresponsiveShare = 0.5;
             m_cluster.peers.resetAll();
             break;
         case 3:
