--- a/bench/traffic.cpp
+++ b/bench/traffic.cpp
@@ -137,7 +137,7 @@
 
 void measureTraffic(const std::string& folder)
 {
-    Cluster cluster({ .buildFolder = folder, .seats = 1 });
+    Cluster cluster({ .buildFolder = folder, .shardCount = 1 });
     start(cluster, 3, 1);
     const HttpAddress& direct = cluster.workerAddress("w0");
     const HttpAddress& entry = cluster.entry("entry-0").front;
@@ -157,7 +157,7 @@
 
 void measureListeners(const std::string& folder)
 {
-    Cluster cluster({ .buildFolder = folder, .seats = 1 });
+    Cluster cluster({ .buildFolder = folder, .shardCount = 1 });
     start(cluster, 2, 1);
     std::printf("\nStanding listeners held by one entry instance\n");
     std::vector<std::thread> held;
@@ -180,7 +180,7 @@
 {
     std::printf("\nControl of idle entries: processor time, memory, messages, store calls\n");
     for (const auto& [workers, entries] : { std::pair(6U, 2U), std::pair(6U, 4U), std::pair(6U, 6U), std::pair(24U, 6U), std::pair(48U, 6U) }) {
-        Cluster cluster({ .buildFolder = folder, .seats = 6, .leaseMs = 6000 });
+        Cluster cluster({ .buildFolder = folder, .shardCount = 6, .leaseMs = 6000 });
         start(cluster, workers, entries);
         std::vector<ProcessCost> before;
         const double callsBefore = callsAtPlatform(cluster);
--- a/include/lanemoor/jobs/model/job_record.h
+++ b/include/lanemoor/jobs/model/job_record.h
@@ -77,7 +77,7 @@
     std::string checkpoint;
     CrashCount crashes;
     std::vector<Probation> probations;
-    bool givenUp = false; ///< The task crashes its workers and is not started again.
+    bool failedPermanently = false; ///< The task crashes its workers and is not started again.
 
     [[nodiscard]] bool operator==(const TaskRecord&) const = default;
 };
--- a/include/lanemoor/jobs/model/job_state.h
+++ b/include/lanemoor/jobs/model/job_state.h
@@ -66,7 +66,7 @@
     CrashCount crashes; ///< Consecutive crashes.
     std::uint64_t lastCrashedAttempt = 0; ///< Survived attempts with lower numbers don't reset `crashes`.
     std::vector<Probation> probations; ///< Of the live attempt and of earlier ones, if the task is suspect or a worker is unresponsive.
-    bool givenUp = false; ///< The task crashes its workers and is not started again; a long-running job continues without it.
+    bool failedPermanently = false; ///< The task crashes its workers and is not started again; a long-running job continues without it.
 
     /// \returns The number of crashes attributed to the task plus its unsettled probations; 0: the task is no suspect.
     [[nodiscard]] std::uint32_t suspectedCrashes() const noexcept { return crashes.total() + static_cast<std::uint32_t>(probations.size()); }
--- a/include/lanemoor/jobs/owner/job_report.h
+++ b/include/lanemoor/jobs/owner/job_report.h
@@ -44,7 +44,7 @@
     std::uint32_t task = 0; ///< Index within the step.
     std::uint32_t workersLost = 0; ///< Consecutive worker crashes attributed to the task.
     std::uint32_t confirmedCrashes = 0; ///< Attributed crashes whose worker had acknowledged the start.
-    bool givenUp = false; ///< The task failed permanently and does not start again.
+    bool failedPermanently = false; ///< The task failed permanently and does not start again.
 
     [[nodiscard]] bool operator==(const SuspectReport&) const = default;
 };
@@ -102,7 +102,7 @@
     std::string owner; ///< Last known owner; empty: none.
     std::uint64_t term = 0;
     bool ownedHere = false;
-    std::int64_t copyAgeMillis = 0; ///< Age of this instance's replica of the store.
+    std::int64_t replicaAgeMillis = 0; ///< Age of this instance's replica of the store.
 
     [[nodiscard]] bool operator==(const ShardReport&) const = default;
 };
@@ -136,7 +136,7 @@
     std::string rack;
     std::uint32_t attempts = 0; ///< Unfinished attempts.
     bool open = false; ///< The worker accepts new tasks now.
-    bool silent = false; ///< The worker is unresponsive.
+    bool unresponsive = false; ///< The worker is unresponsive.
     bool distrusted = false; ///< The worker left its latest starts or a probe unanswered.
     WorkerHealthScore health;
     Millis ejectedFor { 0 }; ///< Time until the ejected worker is probed.
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -64,7 +64,7 @@
     WorkerHealthOptions health;
     FailureDomainOptions failureDomains;
     AdmissionOptions admission;
-    bool seesRises = true; ///< Whether the load forecast weighs the newest arrivals more and extrapolates a rise.
+    bool extrapolatesRises = true; ///< Whether the load forecast weighs the newest arrivals more and extrapolates a rise.
 };
 
 /// Usage of a worker, as input for decisions on instances.
@@ -116,7 +116,7 @@
     std::uint64_t jobsFailed = 0;
     std::uint64_t jobsCancelled = 0;
     std::uint64_t suspicions = 0; ///< Worker crashes attributed to a task.
-    std::uint64_t givenUp = 0; ///< Poison tasks that failed permanently.
+    std::uint64_t permanentFailures = 0; ///< Poison tasks that failed permanently.
     std::uint64_t passes = 0; ///< Placement passes.
     std::uint64_t ejections = 0; ///< Worker ejections.
     std::uint64_t sitesInspected = 0; ///< Workers inspected for a task, summed over all passes.
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -66,10 +66,10 @@
     /// 2.5 s of the instance. A gap of 2 lowers the score of a run by 0.020 on modified deployments, and makes no
     /// difference on the others.
     double fairnessGap = 5.0;
-    bool backlogApart = true; ///< Whether jobs that end late in any case only get capacity that no other job asks for.
-    bool seesRises = true; ///< Whether the newest arrivals weigh more and a rise is extrapolated.
+    bool separatesBacklog = true; ///< Whether jobs that end late in any case only get capacity that no other job asks for.
+    bool extrapolatesRises = true; ///< Whether the newest arrivals weigh more and a rise is extrapolated.
     PeakReservationOptions peaks;
-    bool leastFirst = true; ///< Whether the pool with the least capacity is served first; otherwise the one with the largest relative shortage.
+    bool servesLeastCapacityFirst = true; ///< Whether the pool with the least capacity is served first; otherwise the one with the largest relative shortage.
 
     [[nodiscard]] bool operator==(const CapacityOptions&) const = default;
 };
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -20,7 +20,7 @@
     bool enabled = true; ///< False: each worker is assessed alone, regardless of its data hall.
     /// Workers of a lost data hall stop answering within this time: a renewal call waits up to 1 s for the end of a task.
     Millis lossWindow { 1'000 };
-    std::uint32_t leastStopped = 4; ///< Fewer workers may stop by coincidence.
+    std::uint32_t minStopped = 4; ///< Fewer workers may stop by coincidence.
     double lostShare = 0.5; ///< A data hall is lost if more than this share of its workers stops answering.
     Millis returnStep { 250 }; ///< Interval between two batches of readmitted workers.
     double returnShare = 0.25; ///< Share of the data hall's workers in one batch.
--- a/include/lanemoor/jobs/policy/load_forecast.h
+++ b/include/lanemoor/jobs/policy/load_forecast.h
@@ -15,9 +15,9 @@
 /// \brief Tracks arrivals by queue and the ratio of observed to declared run times.
 class LoadForecast {
 public:
-    /// \param seesRises Whether the newest arrivals weigh more and a rise is extrapolated.
-    explicit LoadForecast(bool seesRises = true)
-        : m_seesRises(seesRises)
+    /// \param extrapolatesRises Whether the newest arrivals weigh more and a rise is extrapolated.
+    explicit LoadForecast(bool extrapolatesRises = true)
+        : m_extrapolatesRises(extrapolatesRises)
     {
     }
 
@@ -54,7 +54,7 @@
         double ratio = 1.0;
     };
 
-    bool m_seesRises;
+    bool m_extrapolatesRises;
     std::map<std::string, Queue> m_queues;
 };
 
--- a/include/lanemoor/jobs/policy/reachability.h
+++ b/include/lanemoor/jobs/policy/reachability.h
@@ -22,11 +22,11 @@
     bool enabled = true; ///< False: data halls have no effect on the routes of calls.
     /// Unanswered calls to this many different workers make a path unreachable for their data hall. A single worker that does not
     /// answer may have crashed.
-    std::uint32_t workersToDoubt = 2;
+    std::uint32_t unansweredWorkersThreshold = 2;
     Millis evidenceLasts { 3'000 }; ///< Lifetime of the evidence of an unanswered call.
     Millis answerLasts { 5'000 }; ///< A reachable path becomes unknown after this time without an answer.
     Millis firstRetry { 250 }; ///< From the change of state to the first retry. The pause doubles with each retry.
-    Millis longestRetry { 1'000 }; ///< Max pause between two retries.
+    Millis maxRetryDelay { 1'000 }; ///< Max pause between two retries.
 
     [[nodiscard]] bool operator==(const ReachabilityOptions&) const = default;
 };
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -16,10 +16,10 @@
 /// Settings of health scoring and ejection.
 struct WorkerHealthOptions {
     bool enabled = true; ///< False: only task failures are scored, and ejections are not limited.
-    double mostOfPool = 0.2; ///< Max share of a pool's workers that is ejected at once.
-    double mostOfDomain = 0.5; ///< The same for a rack and for a data hall.
+    double maxShareOfPool = 0.2; ///< Max share of a pool's workers that is ejected at once.
+    double maxShareOfDomain = 0.5; ///< The same for a rack and for a data hall.
     Millis firstBackoff { 2'000 };
-    Millis longestBackoff { 16'000 };
+    Millis maxBackoff { 16'000 };
     double lateFactor = 4; ///< A run time above this multiple of its peers' median is late.
 
     [[nodiscard]] bool operator==(const WorkerHealthOptions&) const = default;
--- a/include/lanemoor/state/settings.h
+++ b/include/lanemoor/state/settings.h
@@ -50,10 +50,10 @@
     PeerListenSettings peer; ///< For the other entry instances.
     std::vector<PeerAddress> peers; ///< Initial peers.
     PeerAddress platform;
-    std::uint32_t seats = 6; ///< Max number of entry instances; must be the same on all of them.
-    std::uint32_t mostListeners = 128; ///< Max number of open listener requests.
-    std::uint32_t mostThreads = 256; ///< Max number of concurrent requests, including listeners.
-    std::uint32_t mostWaiting = 256; ///< Max number of requests waiting for one pool.
+    std::uint32_t shardCount = 6; ///< Max number of entry instances; must be the same on all of them.
+    std::uint32_t maxListeners = 128; ///< Max number of open listener requests.
+    std::uint32_t maxThreads = 256; ///< Max number of concurrent requests, including listeners.
+    std::uint32_t maxWaiting = 256; ///< Max number of requests waiting for one pool.
     std::uint32_t claimsPerSecond = 7; ///< Max rate at which this entry instance claims orders in the store.
     Millis defaultDeadline { 10'000 }; ///< For requests without a deadline.
     Millis unreadyBeforeStop { 2'000 }; ///< Delay between reporting not ready and stopping, so that load balancers notice.
--- a/src/jobs/model/job_record.cpp
+++ b/src/jobs/model/job_record.cpp
@@ -207,7 +207,7 @@
             entry.set_acknowledged(probation.isAcknowledged);
             entry.set_silent(probation.isUnresponsive);
         }
-        out.set_given_up(task.givenUp);
+        out.set_given_up(task.failedPermanently);
     }
     return document.SerializeAsString();
 }
@@ -229,7 +229,7 @@
         out.crashes = { .confirmed = task.confirmed_crashes(), .unconfirmed = task.unconfirmed_crashes() };
         for (const wire::StartProbation& probation : task.probations())
             out.probations.push_back({ .attempt = probation.attempt(), .worker = probation.worker(), .workerStartedAt = probation.worker_started_at(), .isAcknowledged = probation.acknowledged(), .isUnresponsive = probation.silent() });
-        out.givenUp = task.given_up();
+        out.failedPermanently = task.given_up();
     }
     return record;
 }
--- a/src/jobs/model/job_state.cpp
+++ b/src/jobs/model/job_state.cpp
@@ -87,7 +87,7 @@
         return tasks;
     const std::vector<TaskState>& states = found->second.tasks;
     for (std::uint32_t i = 0; i < states.size(); ++i) {
-        if (!states[i].succeeded && !states[i].live && !states[i].givenUp && states[i].notBefore <= now)
+        if (!states[i].succeeded && !states[i].live && !states[i].failedPermanently && states[i].notBefore <= now)
             tasks.push_back({ step.occurrence, step.step, i });
     }
     return tasks;
@@ -132,7 +132,7 @@
         for (std::uint32_t i = 0; i < step.tasks.size(); ++i) {
             const TaskState& task = step.tasks[i];
             const TaskId taskId { id.occurrence, id.step, i };
-            const TaskRecord stored { task.failedAttempts, task.checkpoint, task.crashes, task.probations, task.givenUp };
+            const TaskRecord stored { task.failedAttempts, task.checkpoint, task.crashes, task.probations, task.failedPermanently };
             if (task.succeeded || stored == TaskRecord {})
                 record.tasks.erase(taskId);
             else
@@ -177,7 +177,7 @@
             // The stored record does not identify the attempts that crashed their workers.
             task.lastCrashedAttempt = task.crashes.total() > 0 ? m_attemptBase : 0;
             task.probations = stored->second.probations;
-            task.givenUp = stored->second.givenUp;
+            task.failedPermanently = stored->second.failedPermanently;
         }
     }
 }
@@ -456,7 +456,7 @@
     std::erase_if(state->probations, [&](const Probation& probation) { return probation.attempt <= attempt.number; });
     if (attempt.number < state->lastCrashedAttempt)
         return wasSuspect;
-    state->givenUp = false;
+    state->failedPermanently = false;
     state->crashes = {};
     return wasSuspect;
 }
@@ -466,7 +466,7 @@
     TaskState* state = mutableTask(task);
     if (!state)
         return false;
-    state->givenUp = false;
+    state->failedPermanently = false;
     const bool wasSuspect = state->suspectedCrashes() > 0;
     state->crashes = {};
     state->probations.clear();
@@ -478,7 +478,7 @@
     TaskState* state = mutableTask(task);
     if (!state || isFinal(m_status))
         return false;
-    state->givenUp = true;
+    state->failedPermanently = true;
     if (spec(task.step).longRunning)
         return false;
     m_status = JobStatus::Failed;
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -407,7 +407,7 @@
     const bool jobFails = job.state.failPermanently(task);
     if (wasFinished)
         return;
-    ++m_counts.givenUp;
+    ++m_counts.permanentFailures;
     const TaskState& state = *job.state.find(task);
     m_state.options.log->decision("task-given-up", { { "attempt", nameOf(Attempt { job.state.id(), task, state.lastAttempt }) }, { "workers_lost", std::int64_t { state.crashes.total() } }, { "confirmed", std::int64_t { state.crashes.confirmed } }, { "job_fails", std::int64_t { jobFails } } });
     m_state.store(job.state.id());
--- a/src/jobs/owner/fair_placement.cpp
+++ b/src/jobs/owner/fair_placement.cpp
@@ -46,11 +46,11 @@
     m_shares.emplace(demandsOf(m_room, candidates), m_room.capacity);
     std::map<std::pair<std::uint32_t, bool>, std::vector<PlacementCandidate>> levels;
     for (const PoolGroup& group : m_groups) {
-        for (const bool hopeless : { false, true })
-            levels[{ group.queue ? group.queue->priority : 0, hopeless }];
+        for (const bool infeasible : { false, true })
+            levels[{ group.queue ? group.queue->priority : 0, infeasible }];
     }
     for (PlacementCandidate& candidate : candidates)
-        levels[{ candidate.priority, candidate.hopeless }].push_back(std::move(candidate));
+        levels[{ candidate.priority, candidate.infeasible }].push_back(std::move(candidate));
     for (auto& [level, ofLevel] : levels)
         placeLevel(level.first, level.second, std::move(ofLevel));
     noteDeficits();
@@ -81,8 +81,8 @@
     for (const auto& [organisation, used] : room.used)
         demandOf(organisation).used = used;
     for (const PoolGroup& group : m_groups) {
-        for (const bool hopeless : { false, true })
-            demandOf(group.organisation).waiting += group.group->sums(hopeless).needs;
+        for (const bool infeasible : { false, true })
+            demandOf(group.organisation).waiting += group.group->sums(infeasible).needs;
     }
     for (const PlacementCandidate& candidate : candidates) {
         if (!organisationOf(candidate).empty())
@@ -100,7 +100,7 @@
     return settings ? settings->weight : 0;
 }
 
-void FairPlacement::placeLevel(std::uint32_t priority, bool hopeless, std::vector<PlacementCandidate> candidates)
+void FairPlacement::placeLevel(std::uint32_t priority, bool infeasible, std::vector<PlacementCandidate> candidates)
 {
     std::vector<Source> sources;
     for (PlacementCandidate& candidate : candidates)
@@ -108,7 +108,7 @@
     for (const PoolGroup& group : m_groups) {
         if ((group.queue ? group.queue->priority : 0) != priority)
             continue;
-        Source source { .head = {}, .group = group.group, .next = group.group->begin(hopeless), .end = group.group->end(hopeless) };
+        Source source { .head = {}, .group = group.group, .next = group.group->begin(infeasible), .end = group.group->end(infeasible) };
         if (advance(source))
             sources.push_back(std::move(source));
     }
@@ -182,7 +182,7 @@
         std::vector<TaskId> tasks = job.state.startable(id, m_now);
         if (tasks.empty())
             continue;
-        candidates.push_back({ .priority = queue ? queue->priority : 0, .hopeless = std::get<0>(waiting.first), .beyondRate = std::get<1>(waiting.first) && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks), .fromGroup = true });
+        candidates.push_back({ .priority = queue ? queue->priority : 0, .infeasible = std::get<0>(waiting.first), .beyondRate = std::get<1>(waiting.first) && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks), .fromGroup = true });
     }
     return candidates;
 }
@@ -234,10 +234,10 @@
     for (const PoolGroup& group : m_groups) {
         if (m_heldByQuota.contains(group.organisation))
             continue;
-        for (const bool hopeless : { false, true }) {
-            for (const auto& [requirement, milliCpu] : group.group->sums(hopeless).milliCpu) {
+        for (const bool infeasible : { false, true }) {
+            for (const auto& [requirement, milliCpu] : group.group->sums(infeasible).milliCpu) {
                 WaitingTasks& tasks = waiting[requirement];
-                (hopeless ? tasks.backlogMilliCpu : tasks.milliCpu) += milliCpu;
+                (infeasible ? tasks.backlogMilliCpu : tasks.milliCpu) += milliCpu;
                 tasks.largest = group.group->largest();
             }
         }
--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -79,7 +79,7 @@
 
     void findGroups();
     [[nodiscard]] std::vector<OrganisationDemand> demandsOf(const PoolRoom& room, const std::vector<PlacementCandidate>& candidates) const;
-    void placeLevel(std::uint32_t priority, bool hopeless, std::vector<PlacementCandidate> candidates);
+    void placeLevel(std::uint32_t priority, bool infeasible, std::vector<PlacementCandidate> candidates);
     void placeAll(std::vector<Source> sources);
     void placeHead(Source& source);
     [[nodiscard]] bool advance(Source& source) const;
--- a/src/jobs/owner/fleet_controller.cpp
+++ b/src/jobs/owner/fleet_controller.cpp
@@ -506,12 +506,12 @@
             for (const auto& [requirement, demand] : demands[pool.name]) {
                 const std::int64_t backlog = demand.runningBacklogMilliCpu + demand.waiting.backlogMilliCpu;
                 const std::int64_t timely = demand.runningMilliCpu + demand.waiting.milliCpu - demand.runningBacklogMilliCpu;
-                const bool isApart = m_options.capacity.backlogApart;
-                load.requirements[requirement] = { .demandMilliCpu = std::max(isApart ? timely : timely + backlog, demand.forecastMilliCpu),
-                    .backlogMilliCpu = isApart ? backlog : 0,
-                    .backlogWaits = isApart && demand.waiting.backlogMilliCpu > 0,
+                const bool isSeparate = m_options.capacity.separatesBacklog;
+                load.requirements[requirement] = { .demandMilliCpu = std::max(isSeparate ? timely : timely + backlog, demand.forecastMilliCpu),
+                    .backlogMilliCpu = isSeparate ? backlog : 0,
+                    .backlogWaits = isSeparate && demand.waiting.backlogMilliCpu > 0,
                     .minInstances = demand.minInstances,
-                    .hasWaiting = demand.waiting.milliCpu > 0 || (!isApart && demand.waiting.backlogMilliCpu > 0),
+                    .hasWaiting = demand.waiting.milliCpu > 0 || (!isSeparate && demand.waiting.backlogMilliCpu > 0),
                     .largestWaiting = demand.waiting.largest };
                 load.hasArrivals = load.hasArrivals || demand.forecastMilliCpu > 0;
             }
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -214,7 +214,7 @@
     for (const auto& [id, record] : m_state.workers) {
         WorkerReport report { .worker = id, .pool = record.entry.pool, .dataHall = record.entry.dataHall, .rack = record.entry.rack, .attempts = static_cast<std::uint32_t>(record.reservations.size()) };
         report.open = record.isOpen(now);
-        report.silent = record.session && record.session->isUnresponsive();
+        report.unresponsive = record.session && record.session->isUnresponsive();
         report.distrusted = record.starts.isDistrusted(now);
         report.health = record.health.report(now);
         if (report.health.ejected)
--- a/src/jobs/owner/job_report.cpp
+++ b/src/jobs/owner/job_report.cpp
@@ -32,7 +32,7 @@
         json["attempts"].push_back(attempt(running));
     json["suspects"] = Json::array();
     for (const SuspectReport& suspect : report.suspects)
-        json["suspects"].push_back({ { "task", suspect.task }, { "workersLost", suspect.workersLost }, { "confirmedCrashes", suspect.confirmedCrashes }, { "givenUp", suspect.givenUp } });
+        json["suspects"].push_back({ { "task", suspect.task }, { "workersLost", suspect.workersLost }, { "confirmedCrashes", suspect.confirmedCrashes }, { "givenUp", suspect.failedPermanently } });
     if (report.wait)
         json["wait"] = wait(*report.wait);
     json["closedHalls"] = Json::array();
@@ -80,7 +80,7 @@
     Json list = Json::array();
     for (const WorkerReport& worker : report.workers) {
         const WorkerHealthScore& health = worker.health;
-        list.push_back({ { "id", worker.worker }, { "pool", worker.pool }, { "dataHall", worker.dataHall }, { "rack", worker.rack }, { "attempts", worker.attempts }, { "open", worker.open }, { "silent", worker.silent },
+        list.push_back({ { "id", worker.worker }, { "pool", worker.pool }, { "dataHall", worker.dataHall }, { "rack", worker.rack }, { "attempts", worker.attempts }, { "open", worker.open }, { "silent", worker.unresponsive },
             { "distrusted", worker.distrusted }, { "ejected", health.ejected }, { "probing", health.probing }, { "reason", nameOf(health.fault) }, { "score", health.score }, { "calls", health.evidence.calls }, { "unanswered", health.evidence.unanswered },
             { "ends", health.evidence.ends }, { "lateEnds", health.evidence.lateEnds }, { "failures", health.failures }, { "ejectedForMillis", worker.ejectedFor.count() } });
     }
@@ -91,7 +91,7 @@
 {
     Json list = Json::array();
     for (const ShardReport& shard : shards)
-        list.push_back({ { "shard", shard.shard }, { "owner", shard.owner }, { "term", shard.term }, { "ownedHere", shard.ownedHere }, { "copyAgeMillis", shard.copyAgeMillis } });
+        list.push_back({ { "shard", shard.shard }, { "owner", shard.owner }, { "term", shard.term }, { "ownedHere", shard.ownedHere }, { "copyAgeMillis", shard.replicaAgeMillis } });
     return Json { { "shards", std::move(list) } }.dump();
 }
 
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -80,14 +80,14 @@
 }
 
 /// Adds the usage of the attempts on a worker. \param hopeless Jobs that can no longer meet their objective.
-void noteRunning(const WorkerRecord& record, const std::unordered_set<std::string_view>& hopeless, PoolDemand& demand)
+void noteRunning(const WorkerRecord& record, const std::unordered_set<std::string_view>& infeasibleJobs, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
     std::map<Requirement, Resources> usedByLateJobs;
     Resources usedAnywhere;
     Resources usedAnywhereByLateJobs;
     for (const auto& [attempt, reservation] : record.reservations) {
-        const bool isLate = hopeless.contains(attempt.job);
+        const bool isLate = infeasibleJobs.contains(attempt.job);
         // Fast path: most tasks have no placement requirement.
         if (reservation.step->requiredLabel.empty() && reservation.step->preferredRack.empty()) {
             usedAnywhere += footprint(*reservation.step);
@@ -129,7 +129,7 @@
         : state { .options = options,
             .ownership = ownership,
             .inheritedLeaseExpiresBy = options.loop->now() + options.ownershipTime + Millis(static_cast<std::int64_t>(leaseStretch * static_cast<double>(options.workerLeaseTime.count()))),
-            .forecast = LoadForecast(options.seesRises),
+            .forecast = LoadForecast(options.extrapolatesRises),
             .hallLosses = HallLossDetector(options.failureDomains) }
         , health(state, counts)
         , dispatcher(std::make_shared<CommandDispatcher>(state, health, counts))
@@ -465,13 +465,13 @@
             for (const auto& [requirement, waiting] : classes)
                 demands[pool][requirement].waiting = waiting;
         }
-        std::unordered_set<std::string_view> hopeless;
+        std::unordered_set<std::string_view> infeasibleJobs;
         for (const auto& [id, job] : state.individualJobs) {
-            if (!isFinal(job->state.status()) && state.isHopeless(*job, now))
-                hopeless.insert(id);
+            if (!isFinal(job->state.status()) && state.isInfeasible(*job, now))
+                infeasibleJobs.insert(id);
         }
         for (const auto& [id, record] : state.workers)
-            noteRunning(record, hopeless, demands[record.entry.pool]);
+            noteRunning(record, infeasibleJobs, demands[record.entry.pool]);
         for (const auto& [id, job] : state.individualJobs) {
             if (!isFinal(job->state.status()))
                 noteSpread(job->state, demands[state.poolOf(job->state)]);
@@ -504,7 +504,7 @@
         StepReport report { .occurrence = id.occurrence, .step = id.step, .tasks = static_cast<std::uint32_t>(step.tasks.size()), .succeeded = step.succeeded, .blocked = !job.isUnblocked(id), .attempts = {}, .suspects = {}, .wait = std::nullopt };
         for (std::uint32_t i = 0; i < step.tasks.size(); ++i) {
             if (step.tasks[i].suspectedCrashes() > 0)
-                report.suspects.push_back({ .task = i, .workersLost = step.tasks[i].suspectedCrashes(), .confirmedCrashes = step.tasks[i].crashes.confirmed, .givenUp = step.tasks[i].givenUp });
+                report.suspects.push_back({ .task = i, .workersLost = step.tasks[i].suspectedCrashes(), .confirmedCrashes = step.tasks[i].crashes.confirmed, .failedPermanently = step.tasks[i].failedPermanently });
             if (const std::optional<LiveAttempt>& live = step.tasks[i].live)
                 report.attempts.push_back({ .task = i, .attempt = live->number, .worker = live->worker, .phase = std::string(nameOf(live->phase)) });
         }
--- a/src/jobs/owner/owner_state.cpp
+++ b/src/jobs/owner/owner_state.cpp
@@ -46,7 +46,7 @@
     const JobRecord& record = job.state.record();
     if (!options.admission.enabled || !mayWaitInGroup(job, configuration()->queue(record.queue)))
         return false;
-    WaitingJob waiting { .job = &job, .milliCpu = {}, .needs = {}, .largest = {}, .hopelessFrom = hopelessFrom(job) };
+    WaitingJob waiting { .job = &job, .milliCpu = {}, .needs = {}, .largest = {}, .infeasibleFrom = infeasibleFrom(job) };
     for (const StepSpec& step : record.spec.steps) {
         if (step.dependsOn.empty())
             addStep(*this, step, waiting);
@@ -160,20 +160,20 @@
 /// Under overload with oldest-first order, every job would end slightly late; jobs that can still meet their objective come before
 /// those that cannot. Jobs that have started are exempt: placing them last once they missed their objective discards half-done work, and
 /// lowered the score of a run by 0.036.
-bool OwnerState::isHopeless(const OwnerJob& job, MonotonicInstant now) const
+bool OwnerState::isInfeasible(const OwnerJob& job, MonotonicInstant now) const
 {
-    return now >= hopelessFrom(job);
+    return now >= infeasibleFrom(job);
 }
 
-MonotonicInstant OwnerState::hopelessFrom(const OwnerJob& job) const
+MonotonicInstant OwnerState::infeasibleFrom(const OwnerJob& job) const
 {
     const PlacementOptions& weights = options.placement;
     const JobSpec& spec = job.state.record().spec;
     const bool hasLongRunningStep = std::any_of(spec.steps.begin(), spec.steps.end(), [](const StepSpec& step) { return step.longRunning; });
-    if (!weights.hopelessLast || job.state.status() != JobStatus::Queued || spec.occurrences > 0 || hasLongRunningStep)
+    if (!weights.infeasibleLast || job.state.status() != JobStatus::Queued || spec.occurrences > 0 || hasLongRunningStep)
         return MonotonicInstant::max();
     constexpr MonotonicInstant::duration minLateness { 1 };
-    const double share = weights.hopelessShare * forecast.ratio(job.state.record().queue);
+    const double share = weights.infeasibleShare * forecast.ratio(job.state.record().queue);
     return job.objective - std::chrono::duration_cast<Millis>(job.criticalPath * share) + minLateness;
 }
 
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -128,10 +128,10 @@
     [[nodiscard]] std::uint32_t maxAttemptsOf(const JobState& job) const;
 
     /// \returns Whether the job can't meet its objective any more, so that it is placed after the others.
-    [[nodiscard]] bool isHopeless(const OwnerJob& job, MonotonicInstant now) const;
+    [[nodiscard]] bool isInfeasible(const OwnerJob& job, MonotonicInstant now) const;
 
     /// \returns When the job becomes hopeless if none of its tasks starts before; the max time point for a job that never does.
-    [[nodiscard]] MonotonicInstant hopelessFrom(const OwnerJob& job) const;
+    [[nodiscard]] MonotonicInstant infeasibleFrom(const OwnerJob& job) const;
 
     /// \returns The expected end of an attempt of the task that starts now.
     [[nodiscard]] MonotonicInstant expectedEnd(const OwnerJob& job, const TaskId& task) const;
--- a/src/jobs/owner/placement_candidate.h
+++ b/src/jobs/owner/placement_candidate.h
@@ -12,7 +12,7 @@
 /// Tasks of one step that could start now, with their sort keys for the placement order.
 struct PlacementCandidate {
     std::uint32_t priority = 0;
-    bool hopeless = false; ///< The job has not started and can no longer meet its objective.
+    bool infeasible = false; ///< The job has not started and can no longer meet its objective.
     bool beyondRate = false; ///< The job exceeded its organisation's rate.
     MonotonicInstant objective;
     OwnerJob* job = nullptr;
@@ -25,7 +25,7 @@
     [[nodiscard]] bool isCountedByGroup() const noexcept { return fromGroup && job->state.status() == JobStatus::Queued; }
 
     /// \returns The sort key of placement in pools without organisation shares.
-    [[nodiscard]] auto order() const noexcept { return std::tie(priority, hopeless, beyondRate, objective); }
+    [[nodiscard]] auto order() const noexcept { return std::tie(priority, infeasible, beyondRate, objective); }
 };
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -40,7 +40,7 @@
     m_state.organisations.startPass();
     if (!settled)
         m_state.endInheritedWaits();
-    m_state.waitingJobs.moveHopeless(m_now);
+    m_state.waitingJobs.moveInfeasible(m_now);
     for (auto next = m_state.individualJobs.begin(); next != m_state.individualJobs.end();) {
         OwnerJob& job = *(next++)->second;
         if (isFinal(job.state.status()))
@@ -137,7 +137,7 @@
 void PlacementPass::collect(OwnerJob& job, const ServiceConfiguration& configuration)
 {
     const QueueSettings* queue = nullptr;
-    std::optional<bool> hopeless; // Determined when the first step of the job can start.
+    std::optional<bool> infeasible; // Determined when the first step of the job can start.
     const MonotonicInstant now = m_now;
     bool startsByTime = job.state.nextDue().has_value();
     for (const auto& [id, step] : job.state.steps()) {
@@ -154,14 +154,14 @@
         }
         if (tasks.empty())
             continue;
-        if (!hopeless) {
+        if (!infeasible) {
             queue = configuration.queue(job.state.record().queue);
-            hopeless = m_state.isHopeless(job, now);
+            infeasible = m_state.isInfeasible(job, now);
         }
         m_candidates[queue ? queue->pool : job.state.record().pool].push_back(
-            { .priority = queue ? queue->priority : 0, .hopeless = *hopeless, .beyondRate = job.beyondRate && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks) });
+            { .priority = queue ? queue->priority : 0, .infeasible = *infeasible, .beyondRate = job.beyondRate && m_state.options.placement.beyondRateLast, .objective = job.objective, .job = &job, .step = id, .queue = queue, .tasks = std::move(tasks) });
     }
-    if (!hopeless && !startsByTime)
+    if (!infeasible && !startsByTime)
         job.blockedAtChange = job.state.changes();
     else
         job.blockedAtChange.reset();
@@ -427,7 +427,7 @@
         return;
     for (const Requirement& requirement : requirementsOf(step)) {
         WaitingTasks& waiting = m_waiting[pool][requirement];
-        std::int64_t& demand = candidate.hopeless ? waiting.backlogMilliCpu : waiting.milliCpu;
+        std::int64_t& demand = candidate.infeasible ? waiting.backlogMilliCpu : waiting.milliCpu;
         demand += *milliCpu * static_cast<std::int64_t>(tasks);
         waiting.largest.milliCpu = std::max(waiting.largest.milliCpu, needs.milliCpu);
         waiting.largest.memoryMb = std::max(waiting.largest.memoryMb, needs.memoryMb);
--- a/src/jobs/owner/waiting_jobs.cpp
+++ b/src/jobs/owner/waiting_jobs.cpp
@@ -22,15 +22,15 @@
 
 void WaitingGroup::add(WaitingJob job, MonotonicInstant now)
 {
-    const bool hopeless = job.hopelessFrom <= now;
+    const bool infeasible = job.infeasibleFrom <= now;
     const OwnerJob& owned = *job.job;
-    Key key { hopeless, owned.beyondRate, owned.objective, owned.state.id() };
+    Key key { infeasible, owned.beyondRate, owned.objective, owned.state.id() };
     if (m_jobs.empty())
         m_largest = {};
     m_largest = larger(m_largest, job.largest);
-    if (!hopeless && job.hopelessFrom < MonotonicInstant::max())
-        m_hopelessFrom.emplace(job.hopelessFrom, owned.state.id());
-    updateSums(job, hopeless, 1);
+    if (!infeasible && job.infeasibleFrom < MonotonicInstant::max())
+        m_infeasibleFrom.emplace(job.infeasibleFrom, owned.state.id());
+    updateSums(job, infeasible, 1);
     m_keys.insert_or_assign(owned.state.id(), key);
     m_jobs.insert_or_assign(std::move(key), std::move(job));
 }
@@ -47,11 +47,11 @@
     return true;
 }
 
-void WaitingGroup::moveHopeless(MonotonicInstant now)
+void WaitingGroup::moveInfeasible(MonotonicInstant now)
 {
-    while (!m_hopelessFrom.empty() && m_hopelessFrom.begin()->first <= now) {
-        const std::string id = m_hopelessFrom.begin()->second;
-        m_hopelessFrom.erase(m_hopelessFrom.begin());
+    while (!m_infeasibleFrom.empty() && m_infeasibleFrom.begin()->first <= now) {
+        const std::string id = m_infeasibleFrom.begin()->second;
+        m_infeasibleFrom.erase(m_infeasibleFrom.begin());
         const auto key = m_keys.find(id);
         if (key == m_keys.end() || std::get<0>(key->second))
             continue;
@@ -64,9 +64,9 @@
     }
 }
 
-void WaitingGroup::updateSums(const WaitingJob& job, bool hopeless, int sign)
+void WaitingGroup::updateSums(const WaitingJob& job, bool infeasible, int sign)
 {
-    Sums& sums = hopeless ? m_hopeless : m_timely;
+    Sums& sums = infeasible ? m_infeasible : m_timely;
     for (const auto& [requirement, milliCpu] : job.milliCpu) {
         std::int64_t& sum = sums.milliCpu[requirement];
         sum += sign * milliCpu;
@@ -98,10 +98,10 @@
     return true;
 }
 
-void WaitingJobs::moveHopeless(MonotonicInstant now)
+void WaitingJobs::moveInfeasible(MonotonicInstant now)
 {
     for (auto& [name, group] : m_groups)
-        group.moveHopeless(now);
+        group.moveInfeasible(now);
 }
 
 } // namespace lanemoor::jobs
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -25,7 +25,7 @@
     Resources largest; ///< Per resource, the largest need of any startable task.
     std::uint32_t tasks = 0; ///< Startable tasks.
     std::int64_t work = 0; ///< Declared work of the whole job, in thousandths of a core times ms.
-    MonotonicInstant hopelessFrom; ///< Time from which the job can no longer meet its objective.
+    MonotonicInstant infeasibleFrom; ///< Time from which the job can no longer meet its objective.
 };
 
 /// \brief Waiting jobs of one organisation and queue, in the order in which they start.
@@ -53,28 +53,28 @@
     bool remove(const OwnerJob& job);
 
     /// \brief Moves jobs that can no longer meet their objective behind the others.
-    void moveHopeless(MonotonicInstant now);
+    void moveInfeasible(MonotonicInstant now);
 
     [[nodiscard]] bool empty() const noexcept { return m_jobs.empty(); }
     [[nodiscard]] const Jobs& jobs() const noexcept { return m_jobs; }
 
     /// \returns The begin of the range of hopeless or other jobs.
-    [[nodiscard]] Jobs::const_iterator begin(bool hopeless) const { return m_jobs.lower_bound(Key { hopeless, false, MonotonicInstant::min(), {} }); }
-    [[nodiscard]] Jobs::const_iterator end(bool hopeless) const { return hopeless ? m_jobs.end() : begin(true); }
+    [[nodiscard]] Jobs::const_iterator begin(bool infeasible) const { return m_jobs.lower_bound(Key { infeasible, false, MonotonicInstant::min(), {} }); }
+    [[nodiscard]] Jobs::const_iterator end(bool infeasible) const { return infeasible ? m_jobs.end() : begin(true); }
 
-    [[nodiscard]] const Sums& sums(bool hopeless) const noexcept { return hopeless ? m_hopeless : m_timely; }
+    [[nodiscard]] const Sums& sums(bool infeasible) const noexcept { return infeasible ? m_infeasible : m_timely; }
 
     /// \returns Per resource, the largest need of all jobs added since the group was last empty.
     [[nodiscard]] const Resources& largest() const noexcept { return m_largest; }
 
 private:
-    void updateSums(const WaitingJob& job, bool hopeless, int sign);
+    void updateSums(const WaitingJob& job, bool infeasible, int sign);
 
     Jobs m_jobs;
     std::map<std::string, Key> m_keys; ///< By job id.
-    std::multimap<MonotonicInstant, std::string> m_hopelessFrom; ///< Jobs that are not hopeless yet; may contain jobs that have been removed.
+    std::multimap<MonotonicInstant, std::string> m_infeasibleFrom; ///< Jobs that are not hopeless yet; may contain jobs that have been removed.
     Sums m_timely;
-    Sums m_hopeless;
+    Sums m_infeasible;
     Resources m_largest;
 };
 
@@ -88,7 +88,7 @@
     /// \returns Whether any group contained the job.
     bool remove(const OwnerJob& job);
 
-    void moveHopeless(MonotonicInstant now);
+    void moveInfeasible(MonotonicInstant now);
 
     [[nodiscard]] const Groups& groups() const noexcept { return m_groups; }
 
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -371,7 +371,7 @@
                     continue;
                 if (!each.isAny())
                     ++shortPools[each.requirement.label];
-                const std::pair<bool, double> lack { each.requirement.preferred, m_options.leastFirst ? each.supply.milliCpu : -pool.shortage(each) };
+                const std::pair<bool, double> lack { each.requirement.preferred, m_options.servesLeastCapacityFirst ? each.supply.milliCpu : -pool.shortage(each) };
                 if (lacking && lack >= worst)
                     continue;
                 worst = lack;
--- a/src/jobs/policy/ejection_bound.cpp
+++ b/src/jobs/policy/ejection_bound.cpp
@@ -78,11 +78,11 @@
     if (member.outOfService)
         return true;
     const Group& pool = m_pools.at(worker.pool);
-    if (pool.outOfService >= maxOutOfService(pool.workers, m_options.mostOfPool) || pool.outOfService + 1 >= pool.workers)
+    if (pool.outOfService >= maxOutOfService(pool.workers, m_options.maxShareOfPool) || pool.outOfService + 1 >= pool.workers)
         return false;
     const bool isDomainFull = std::any_of(domains.begin(), domains.end(), [&](const Domain& domain) {
         const Group& group = m_domains.at(domain);
-        return group.outOfService >= maxOutOfService(group.workers, m_options.mostOfDomain);
+        return group.outOfService >= maxOutOfService(group.workers, m_options.maxShareOfDomain);
     });
     return !isDomainFull && leavesMinInstances(member);
 }
--- a/src/jobs/policy/failure_domains.cpp
+++ b/src/jobs/policy/failure_domains.cpp
@@ -161,7 +161,7 @@
 bool HallLossDetector::isMajority(const Hall& hall, const RecentStops& stops) const
 {
     const double workers = static_cast<double>(hall.answering) + stops.count;
-    return stops.count >= m_options.leastStopped && static_cast<double>(stops.count) > m_options.lostShare * workers;
+    return stops.count >= m_options.minStopped && static_cast<double>(stops.count) > m_options.lostShare * workers;
 }
 
 /// If no other data hall answers either, this process has lost its own connection to the workers.
--- a/src/jobs/policy/load_forecast.cpp
+++ b/src/jobs/policy/load_forecast.cpp
@@ -100,7 +100,7 @@
     const std::deque<Arrival>& arrivals = found->second.arrivals;
     const auto countSince = [&](Seconds window) { return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& arrival) { return now - arrival.at <= window; })); };
     const std::size_t newer = countSince(arrivalWindow / 2);
-    const double growth = m_seesRises ? growthOf(countSince(arrivalWindow) - newer, newer) : 1.0;
+    const double growth = m_extrapolatesRises ? growthOf(countSince(arrivalWindow) - newer, newer) : 1.0;
     const double factor = found->second.ratio * growth;
     const auto note = [&](const std::map<Requirement, double>& sums, Seconds window) {
         for (const auto& [requirement, work] : sums)
@@ -111,7 +111,7 @@
     for (auto arrival = arrivals.rbegin(); arrival != arrivals.rend() && now - arrival->at <= arrivalWindow; ++arrival) {
         for (const auto& [requirement, work] : arrival->work)
             sums[requirement] += work;
-        if (++count == sufficientArrivals && m_seesRises)
+        if (++count == sufficientArrivals && m_extrapolatesRises)
             note(sums, std::max(Seconds(now - arrival->at), minWindow));
     }
     note(sums, arrivalWindow);
--- a/src/jobs/policy/reachability.cpp
+++ b/src/jobs/policy/reachability.cpp
@@ -127,7 +127,7 @@
         cell->evidenceSince = expectedAt;
     }
     cell->evidence.insert(worker);
-    if (cell->evidence.size() < m_options.workersToDoubt)
+    if (cell->evidence.size() < m_options.unansweredWorkersThreshold)
         return std::nullopt;
     ++m_changes;
     cell->state = PathState::Unreachable;
@@ -214,7 +214,7 @@
             if (isBlocked && (!oldest || path.second.cells[hall].retriedAt < oldest->second.cells[hall].retriedAt))
                 oldest = &path;
         }
-        origin.retryAt = now + std::min(m_options.firstRetry * (1U << std::min(origin.retries++, maxDoublings)), m_options.longestRetry);
+        origin.retryAt = now + std::min(m_options.firstRetry * (1U << std::min(origin.retries++, maxDoublings)), m_options.maxRetryDelay);
         if (!oldest)
             continue;
         oldest->second.cells[hall].retriedAt = now;
--- a/src/jobs/policy/worker_health.cpp
+++ b/src/jobs/policy/worker_health.cpp
@@ -181,7 +181,7 @@
 {
     if (now - m_backoff.until() >= calmTime)
         m_backoff.reset();
-    const auto ratio = static_cast<std::uint64_t>(options.longestBackoff / std::max(options.firstBackoff, Millis(1)));
+    const auto ratio = static_cast<std::uint64_t>(options.maxBackoff / std::max(options.firstBackoff, Millis(1)));
     const auto doublings = static_cast<std::uint32_t>(std::bit_width(std::max<std::uint64_t>(ratio, 1)) - 1);
     m_ejectionScore = { .fault = fault, .score = score(now), .evidence = evidence(now), .failures = m_failures };
     m_backoff.begin(now, options.firstBackoff, doublings);
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -52,7 +52,7 @@
     families.push_back(counter("lanemoor_task_start_doubts_total", "Starts without a usable answer", counts.unknownStarts));
     families.push_back(counter("lanemoor_task_start_refusals_total", "Starts that a worker refused", counts.refusals));
     families.push_back(counter("lanemoor_task_suspicions_total", "Losses of a worker that were counted against a task", counts.suspicions));
-    families.push_back(counter("lanemoor_tasks_given_up_total", "Tasks that ended worker after worker", counts.givenUp));
+    families.push_back(counter("lanemoor_tasks_given_up_total", "Tasks that ended worker after worker", counts.permanentFailures));
     families.push_back(counter("lanemoor_jobs_succeeded_total", "Jobs that succeeded", counts.jobsSucceeded));
     families.push_back(counter("lanemoor_jobs_failed_total", "Jobs that failed", counts.jobsFailed));
     families.push_back(counter("lanemoor_jobs_cancelled_total", "Jobs that callers cancelled", counts.jobsCancelled));
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -428,7 +428,7 @@
 
     [[nodiscard]] std::vector<ShardReport> shards() const
     {
-        return { { .shard = shardName, .owner = m_ownership.holder(), .term = m_ownership.lastTerm(), .ownedHere = m_ownership.isHeld(), .copyAgeMillis = replicaAge() } };
+        return { { .shard = shardName, .owner = m_ownership.holder(), .term = m_ownership.lastTerm(), .ownedHere = m_ownership.isHeld(), .replicaAgeMillis = replicaAge() } };
     }
 
     [[nodiscard]] OrganisationsReport organisations() const
@@ -565,7 +565,7 @@
             .health = m_settings.policies.workerHealth,
             .failureDomains = m_settings.policies.failureDomains,
             .admission = m_settings.policies.admission,
-            .seesRises = m_settings.policies.capacity.seesRises };
+            .extrapolatesRises = m_settings.policies.capacity.extrapolatesRises };
     }
 
     FleetControllerOptions fleetOptions()
--- a/src/jobs/service/job_service_settings.cpp
+++ b/src/jobs/service/job_service_settings.cpp
@@ -77,12 +77,12 @@
     constexpr double minLateFactor = 1.5; // Run times vary by half.
     constexpr double maxLateFactor = 1'000;
     readSwitch(reader, "enabled", options.enabled);
-    readNumber(reader, "mostOfPool", 0, 1, options.mostOfPool);
-    readNumber(reader, "mostOfDomain", 0, 1, options.mostOfDomain);
+    readNumber(reader, "mostOfPool", 0, 1, options.maxShareOfPool);
+    readNumber(reader, "mostOfDomain", 0, 1, options.maxShareOfDomain);
     readMillis(reader, "firstBackoffMs", minBackoff, options.firstBackoff);
-    readMillis(reader, "longestBackoffMs", minBackoff, options.longestBackoff);
+    readMillis(reader, "longestBackoffMs", minBackoff, options.maxBackoff);
     readNumber(reader, "lateFactor", minLateFactor, maxLateFactor, options.lateFactor);
-    if (options.longestBackoff < options.firstBackoff)
+    if (options.maxBackoff < options.firstBackoff)
         reader.fault(DocumentFaultCode::BadValue, "longestBackoffMs", "not below firstBackoffMs");
 }
 
@@ -96,9 +96,9 @@
     readMillis(capacity, "idleBeforeOffMs", 0, options.idleBeforeOff);
     readSwitch(capacity, "sharesFairly", options.sharesFairly);
     readNumber(capacity, "fairnessGap", 0, maxFairnessGap, options.fairnessGap);
-    readSwitch(capacity, "backlogApart", options.backlogApart);
-    readSwitch(capacity, "seesRises", options.seesRises);
-    readSwitch(capacity, "leastFirst", options.leastFirst);
+    readSwitch(capacity, "backlogApart", options.separatesBacklog);
+    readSwitch(capacity, "seesRises", options.extrapolatesRises);
+    readSwitch(capacity, "leastFirst", options.servesLeastCapacityFirst);
 }
 
 void readAdmission(ObjectReader& admission, AdmissionOptions& options)
@@ -122,11 +122,11 @@
     constexpr std::int64_t minPause = 10; // Each retry is a call.
     readSwitch(reachability, "enabled", options.enabled);
     if (const std::optional<std::int64_t> count = reachability.integer("workersToDoubt", minWorkers, maxWorkers))
-        options.workersToDoubt = static_cast<std::uint32_t>(*count);
+        options.unansweredWorkersThreshold = static_cast<std::uint32_t>(*count);
     readMillis(reachability, "evidenceLastsMs", minPause, options.evidenceLasts);
     readMillis(reachability, "answerLastsMs", minPause, options.answerLasts);
     readMillis(reachability, "firstRetryMs", minPause, options.firstRetry);
-    readMillis(reachability, "longestRetryMs", minPause, options.longestRetry);
+    readMillis(reachability, "longestRetryMs", minPause, options.maxRetryDelay);
 }
 
 void readFailureDomains(ObjectReader& domains, FailureDomainOptions& options)
@@ -135,7 +135,7 @@
     readSwitch(domains, "enabled", options.enabled);
     readMillis(domains, "lossWindowMs", 1, options.lossWindow);
     if (const std::optional<std::int64_t> count = domains.integer("leastStopped", 1, maxWorkers))
-        options.leastStopped = static_cast<std::uint32_t>(*count);
+        options.minStopped = static_cast<std::uint32_t>(*count);
     readNumber(domains, "lostShare", 0, 1, options.lostShare);
     readMillis(domains, "returnStepMs", 0, options.returnStep);
     readNumber(domains, "returnShare", 0, 1, options.returnShare);
@@ -155,8 +155,8 @@
     reader.object("lookup", [&](ObjectReader& lookup) { readSwitch(lookup, "readsThrough", policies.lookup.readsThrough); });
     reader.object("placement", [&](ObjectReader& placement) {
         readSwitch(placement, "waitsForRack", policies.placement.waitsForRack);
-        readSwitch(placement, "hopelessLast", policies.placement.hopelessLast);
-        readNumber(placement, "hopelessShare", 0, maxMargin, policies.placement.hopelessShare);
+        readSwitch(placement, "hopelessLast", policies.placement.infeasibleLast);
+        readNumber(placement, "hopelessShare", 0, maxMargin, policies.placement.infeasibleShare);
         readSwitch(placement, "beyondRateLast", policies.placement.beyondRateLast);
     });
     reader.object("storeOutages", [&](ObjectReader& outages) {
--- a/src/serve/process/background.cpp
+++ b/src/serve/process/background.cpp
@@ -87,7 +87,7 @@
         else
             acquireAnyShard();
         if (m_number && currentInstant() >= m_usableFrom)
-            m_state.setShard({ .number = *m_number, .shardCount = m_state.settings().seats });
+            m_state.setShard({ .number = *m_number, .shardCount = m_state.settings().shardCount });
     } while (m_state.pause(m_number && currentInstant() >= m_usableFrom ? interval : interval / renewalsPerLease));
     m_state.setShard({});
     if (m_number)
@@ -96,7 +96,7 @@
 
 void ShardLeaseManager::acquireAnyShard()
 {
-    const std::uint32_t shardCount = m_state.settings().seats;
+    const std::uint32_t shardCount = m_state.settings().shardCount;
     for (std::uint32_t number = 0; number < shardCount; ++number) {
         m_state.metrics().count(EventCounter::StoreCalls);
         const std::optional<Lease> lease = m_store->acquire(shardLeaseName(number), m_state.holder(), m_state.settings().leaseTime);
--- a/src/serve/process/daemon.cpp
+++ b/src/serve/process/daemon.cpp
@@ -113,7 +113,7 @@
         threads.start(list);
         threads.start(shardLease);
         threads.start(control);
-        const HttpServer frontServer(serverOptions(settings.front, settings.mostThreads), front);
+        const HttpServer frontServer(serverOptions(settings.front, settings.maxThreads), front);
         const HttpServer operatorServer(serverOptions(settings.operators, operatorThreads), operators);
         log.change("listening", { { "front", std::int64_t { frontServer.port() } }, { "operators", std::int64_t { operatorServer.port() } }, { "peer", peers.address() } });
         int signal = 0;
--- a/src/serve/request/front_handler.cpp
+++ b/src/serve/request/front_handler.cpp
@@ -246,7 +246,7 @@
 
     void serveListener(HttpExchange& exchange, const RequestContext& context, const PoolRoutes& routes, RequestMeasure& measure)
     {
-        if (m_listeners.fetch_add(1) >= m_state.settings().mostListeners) {
+        if (m_listeners.fetch_add(1) >= m_state.settings().maxListeners) {
             --m_listeners;
             finish(exchange, context, measure, { .refusal = RequestRefusal::QueueFull }, currentInstant() + defaultRetryDelay);
             return;
@@ -292,7 +292,7 @@
         const std::lock_guard lock(m_gatesMutex);
         std::unique_ptr<PoolGate>& gate = m_gates[pool];
         if (!gate)
-            gate = std::make_unique<PoolGate>(m_state.settings().mostWaiting);
+            gate = std::make_unique<PoolGate>(m_state.settings().maxWaiting);
         return *gate;
     }
 
--- a/src/state/settings.cpp
+++ b/src/state/settings.cpp
@@ -84,15 +84,15 @@
 
 void readLimits(ObjectReader& reader, Settings& settings)
 {
-    readNumber(reader, "seats", 1, maxCount, settings.seats);
-    readNumber(reader, "mostListeners", 0, maxCount, settings.mostListeners);
-    readNumber(reader, "mostThreads", 8, maxCount, settings.mostThreads);
-    readNumber(reader, "mostWaiting", 1, maxCount, settings.mostWaiting);
+    readNumber(reader, "seats", 1, maxCount, settings.shardCount);
+    readNumber(reader, "mostListeners", 0, maxCount, settings.maxListeners);
+    readNumber(reader, "mostThreads", 8, maxCount, settings.maxThreads);
+    readNumber(reader, "mostWaiting", 1, maxCount, settings.maxWaiting);
     readNumber(reader, "claimsPerSecond", 1, maxCount, settings.claimsPerSecond);
     readMillis(reader, "defaultDeadlineMs", 1, settings.defaultDeadline);
     readMillis(reader, "unreadyBeforeStopMs", 0, settings.unreadyBeforeStop);
     readMillis(reader, "leaseMs", 500, settings.leaseTime);
-    if (settings.mostThreads <= settings.mostListeners)
+    if (settings.maxThreads <= settings.maxListeners)
         reader.fault(DocumentFaultCode::OutOfRange, "mostThreads", "more than mostListeners");
 }
 
--- a/standins/job_platform/control_service.cpp
+++ b/standins/job_platform/control_service.cpp
@@ -10,7 +10,7 @@
 
 StoreFaults readStoreFaults(const json& body)
 {
-    StoreFaults faults { .refusing = body.value("refusing", false), .silent = body.value("silent", false), .lostAnswers = body.value("lost_answers", 0.0), .lateWrites = body.value("late_writes", 0.0) };
+    StoreFaults faults { .refusing = body.value("refusing", false), .unresponsive = body.value("silent", false), .lostAnswers = body.value("lost_answers", 0.0), .lateWrites = body.value("late_writes", 0.0) };
     if (body.contains("answer_ms"))
         faults.answerTime = Millis(integerIn(body, "answer_ms"));
     return faults;
@@ -51,7 +51,7 @@
     if (path == "/kill")
         return answerFound(m_fleet.kill(textIn(body, "instance"), Millis(integerIn(body, "back_ms")), body.value("keeps_id", false)));
     if (path == "/worker-faults")
-        return answerFound(m_fleet.setFaults(textIn(body, "instance"), { .mute = body.value("mute", false), .answerTime = Millis(integerIn(body, "answer_ms")) }));
+        return answerFound(m_fleet.setFaults(textIn(body, "instance"), { .unresponsive = body.value("mute", false), .answerTime = Millis(integerIn(body, "answer_ms")) }));
     return answerFound(false);
 }
 
--- a/standins/job_platform/fleet.cpp
+++ b/standins/job_platform/fleet.cpp
@@ -117,7 +117,7 @@
     // Dropping the responder closes the connection without a response.
     if (!instance.worker)
         return;
-    if (instance.faults.mute) {
+    if (instance.faults.unresponsive) {
         instance.unanswered.push_back(respond);
         return;
     }
--- a/standins/job_platform/fleet.h
+++ b/standins/job_platform/fleet.h
@@ -31,7 +31,7 @@
 
 /// Faults of a running worker.
 struct WorkerFaults {
-    bool mute = false; ///< Calls are read, but have no effect and get no response.
+    bool unresponsive = false; ///< Calls are read, but have no effect and get no response.
     Millis answerTime { 0 }; ///< Delay before a call is handled.
 
     [[nodiscard]] bool operator==(const WorkerFaults&) const = default;
--- a/standins/job_platform/store_service.cpp
+++ b/standins/job_platform/store_service.cpp
@@ -127,7 +127,7 @@
 
 void StoreService::serve(const HttpRequest& request, const aio::HttpResponder& respond)
 {
-    if (m_faults.silent)
+    if (m_faults.unresponsive)
         m_unanswered.push_back(respond);
     else if (m_faults.refusing)
         answer(respond, answerJson(status::unavailable, json::object()));
@@ -186,7 +186,7 @@
     const Watch watch = found->second;
     m_watches.erase(found);
     m_loop.cancel(watch.timeout);
-    if (m_faults.silent)
+    if (m_faults.unresponsive)
         m_unanswered.push_back(watch.respond);
     else
         answer(watch.respond, formatEvents(m_core.eventsAfter(watch.prefix, watch.after)));
@@ -194,7 +194,7 @@
 
 void StoreService::wakeWatches()
 {
-    if (m_faults.silent)
+    if (m_faults.unresponsive)
         return;
     std::vector<std::uint64_t> due;
     for (const auto& [id, watch] : m_watches) {
--- a/standins/job_platform/store_service.h
+++ b/standins/job_platform/store_service.h
@@ -18,7 +18,7 @@
 /// Faults of the store. Shares are probabilities per write.
 struct StoreFaults {
     bool refusing = false; ///< Calls get status 503 and have no effect.
-    bool silent = false; ///< Calls have no effect and get no response.
+    bool unresponsive = false; ///< Calls have no effect and get no response.
     double lostAnswers = 0; ///< Share of writes that take effect without a response.
     double lateWrites = 0; ///< Share of writes that take effect seconds later, if their conditions still hold, without a response.
     Millis answerTime { 2 };
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -278,9 +278,9 @@
     if (last != m_lastAction.end()) {
         const auto& [epoch, at] = last->second;
         if (holder.epoch < epoch)
-            reportBreach("ONE", instance + " accepts an act of an older holder");
+            reportBreach("ONE", instance + " accepts a call of an older holder");
         else if (holder.epoch > epoch && m_clock.now() - at < minHolderInterval)
-            reportBreach("ONE", instance + " accepts acts of two holders within the min time");
+            reportBreach("ONE", instance + " accepts calls of two holders within the minimum interval");
     }
     m_lastAction[instance] = { holder.epoch, m_clock.now() };
 }
--- a/tests/jobs/codec_test.cpp
+++ b/tests/jobs/codec_test.cpp
@@ -118,7 +118,7 @@
     JobServiceSettingsReader reader;
     const auto settings = reader.read(with(R"("policies":{"failureDomains":{"enabled":false,"lossWindowMs":900,"leastStopped":5,"lostShare":0.6,"returnStepMs":100,"returnShare":0.5}})"));
     REQUIRE(settings);
-    const FailureDomainOptions expected { .enabled = false, .lossWindow = Millis(900), .leastStopped = 5, .lostShare = 0.6, .returnStep = Millis(100), .returnShare = 0.5 };
+    const FailureDomainOptions expected { .enabled = false, .lossWindow = Millis(900), .minStopped = 5, .lostShare = 0.6, .returnStep = Millis(100), .returnShare = 0.5 };
     CHECK(settings->policies.failureDomains == expected);
     CHECK_FALSE(settings->policies.placement.spreadsOverHalls);
     CHECK_FALSE(reader.read(with(R"("policies":{"failureDomains":{"lostShare":1.5}})")).has_value());
@@ -135,7 +135,7 @@
     JobServiceSettingsReader reader;
     const auto settings = reader.read(with(R"({"enabled":false,"mostOfPool":0.1,"mostOfDomain":0.4,"firstBackoffMs":1000,"longestBackoffMs":8000,"lateFactor":6})"));
     REQUIRE(settings);
-    CHECK(settings->policies.workerHealth == WorkerHealthOptions { .enabled = false, .mostOfPool = 0.1, .mostOfDomain = 0.4, .firstBackoff = Millis(1'000), .longestBackoff = Millis(8'000), .lateFactor = 6 });
+    CHECK(settings->policies.workerHealth == WorkerHealthOptions { .enabled = false, .maxShareOfPool = 0.1, .maxShareOfDomain = 0.4, .firstBackoff = Millis(1'000), .maxBackoff = Millis(8'000), .lateFactor = 6 });
     CHECK_FALSE(reader.read(with(R"({"mostOfPool":1.5})")).has_value());
     CHECK_FALSE(reader.read(with(R"({"firstBackoffMs":3000,"longestBackoffMs":2000})")).has_value());
     REQUIRE(reader.faults().size() == 1);
@@ -150,7 +150,7 @@
     JobServiceSettingsReader reader;
     const auto settings = reader.read(with(R"({"enabled":false,"workersToDoubt":3,"firstRetryMs":100})"));
     REQUIRE(settings);
-    CHECK(settings->policies.reachability == ReachabilityOptions { .enabled = false, .workersToDoubt = 3, .firstRetry = Millis(100) });
+    CHECK(settings->policies.reachability == ReachabilityOptions { .enabled = false, .unansweredWorkersThreshold = 3, .firstRetry = Millis(100) });
     CHECK_FALSE(reader.read(with(R"({"workersToDoubt":1})")).has_value());
     CHECK_FALSE(reader.read(with(R"({"enabled":"no"})")).has_value());
     REQUIRE(reader.faults().size() == 1);
--- a/tests/jobs/organisation_pressure_test.cpp
+++ b/tests/jobs/organisation_pressure_test.cpp
@@ -133,11 +133,11 @@
         return static_cast<std::size_t>(std::count_if(m_refused.begin(), m_refused.end(), [this](const std::string& id) { return !accepted.contains(id) && checker.job(id) && checker.hasSucceeded(id); }));
     }
 
-    /// \returns The summed results of all organisations except the first `hot`.
-    [[nodiscard]] Outcome others(std::size_t hot) const
+    /// \returns The summed results of all organisations except the first `hotCount`.
+    [[nodiscard]] Outcome others(std::size_t hotCount) const
     {
         Outcome sum;
-        for (std::size_t i = hot; i < outcomes.size(); ++i) {
+        for (std::size_t i = hotCount; i < outcomes.size(); ++i) {
             sum.submitted += outcomes[i].submitted;
             sum.accepted += outcomes[i].accepted;
             sum.inTime += outcomes[i].inTime;
@@ -146,13 +146,13 @@
         return sum;
     }
 
-    void print(const char* name, std::size_t hot) const
+    void print(const char* name, std::size_t hotCount) const
     {
         if (std::getenv("LANEMOOR_SHOW") == nullptr)
             return;
-        for (std::size_t i = 0; i < hot; ++i)
+        for (std::size_t i = 0; i < hotCount; ++i)
             std::printf("%s hot %zu: submitted %zu accepted %zu in time %zu late %zu\n", name, i, outcomes[i].submitted, outcomes[i].accepted, outcomes[i].inTime, outcomes[i].late);
-        const Outcome rest = others(hot);
+        const Outcome rest = others(hotCount);
         std::printf("%s others: submitted %zu accepted %zu in time %zu late %zu, refused outcomes %llu\n", name, rest.submitted, rest.accepted, rest.inTime, rest.late, static_cast<unsigned long long>(refusals));
     }
 
@@ -208,13 +208,13 @@
     return std::vector<double>(count, 16.0 / static_cast<double>(count));
 }
 
-void burst(PressureCluster& cluster, std::vector<double> rates, std::size_t hot, double times)
+void burst(PressureCluster& cluster, std::vector<double> rates, std::size_t hotCount, double times)
 {
     cluster.runWithRates(Millis(2'000), rates);
-    for (std::size_t i = 0; i < hot; ++i)
+    for (std::size_t i = 0; i < hotCount; ++i)
         rates[i] *= times;
     cluster.runWithRates(Millis(5'000), rates);
-    for (std::size_t i = 0; i < hot; ++i)
+    for (std::size_t i = 0; i < hotCount; ++i)
         rates[i] /= times;
     cluster.runWithRates(Millis(2'000), rates);
     cluster.runWithRates(Millis(5'000), std::vector<double>(rates.size(), 0));
@@ -227,13 +227,13 @@
     std::vector<double> rates = usualRates(20);
     rates[0] = 8;
     Outcome others[2];
-    Outcome hot[2];
+    Outcome hotOutcomes[2];
     for (const bool enabled : { false, true }) {
         PressureCluster cluster(1, rates.size(), enabled);
         burst(cluster, rates, 1, 20);
         cluster.print(enabled ? "large, with" : "large, without", 1);
         others[enabled] = cluster.others(1);
-        hot[enabled] = cluster.outcomes[0];
+        hotOutcomes[enabled] = cluster.outcomes[0];
         CHECK(cluster.ranThoughRefused() == 0);
         CHECK(cluster.checker.breaches().empty());
         if (!enabled)
@@ -244,8 +244,8 @@
     CHECK(others[false].served() < 0.5);
     CHECK(others[true].served() > 0.98);
     CHECK(others[true].late == 0);
-    CHECK(hot[true].late * 5 < hot[false].late);
-    CHECK(hot[true].inTime >= hot[false].inTime);
+    CHECK(hotOutcomes[true].late * 5 < hotOutcomes[false].late);
+    CHECK(hotOutcomes[true].inTime >= hotOutcomes[false].inTime);
 }
 
 TEST_CASE("Nearly all accepted jobs of a burst end within three times their objective")
@@ -259,12 +259,12 @@
 
 TEST_CASE("Bursts of a small organisation, and of two at once, leave other organisations their share")
 {
-    for (const std::size_t hot : { std::size_t { 1 }, std::size_t { 2 } }) {
+    for (const std::size_t hotCount : { std::size_t { 1 }, std::size_t { 2 } }) {
         PressureCluster cluster(2, 20, true);
-        burst(cluster, usualRates(20), hot, 100);
-        cluster.print("small, with", hot);
+        burst(cluster, usualRates(20), hotCount, 100);
+        cluster.print("small, with", hotCount);
         CHECK(cluster.refusals > 0);
-        CHECK(cluster.others(hot).served() > 0.95);
+        CHECK(cluster.others(hotCount).served() > 0.95);
         CHECK(cluster.ranThoughRefused() == 0);
         CHECK(cluster.checker.breaches().empty());
         REQUIRE(cluster.waitFor(Millis(30'000), [&] { return cluster.unserved() == 0; }));
--- a/tests/jobs/store_outage_test.cpp
+++ b/tests/jobs/store_outage_test.cpp
@@ -178,7 +178,7 @@
     cluster.store.faults = {};
     cluster.clock.runFor(Millis(300));
     CHECK(cluster.entry(owner).shards().front().ownedHere);
-    CHECK(cluster.entry(owner).shards().front().copyAgeMillis <= 300);
+    CHECK(cluster.entry(owner).shards().front().replicaAgeMillis <= 300);
 }
 
 // Guards against hedging calls that are answered in time: all entry instances share the store's rate limits.
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -28,10 +28,10 @@
     static const std::vector<Series> series {
         { { FaultKind::PauseProcess, FaultKind::KillProcess, FaultKind::StopProcess }, Millis(500), Millis(2'500), Millis(300), Millis(4'000), false },
         { { FaultKind::PauseProcess, FaultKind::KillProcess }, Millis(2'000), Millis(6'000), Millis(300), Millis(2'500), false },
-        { { FaultKind::RefuseStore, FaultKind::SilenceStore, FaultKind::SlowStore, FaultKind::LoseStoreAnswers, FaultKind::DelayStoreWrites }, Millis(2'000), Millis(6'000), Millis(500), Millis(3'500), false },
-        { { FaultKind::CutProcessFromStore, FaultKind::ResetProcessFromStore, FaultKind::SilenceProcessFromStore }, Millis(1'000), Millis(4'000), Millis(300), Millis(3'000), false },
+        { { FaultKind::RefuseStore, FaultKind::HangStore, FaultKind::SlowStore, FaultKind::LoseStoreAnswers, FaultKind::DelayStoreWrites }, Millis(2'000), Millis(6'000), Millis(500), Millis(3'500), false },
+        { { FaultKind::CutProcessFromStore, FaultKind::ResetProcessFromStore, FaultKind::StallProcessFromStore }, Millis(1'000), Millis(4'000), Millis(300), Millis(3'000), false },
         { { FaultKind::CutHallForward, FaultKind::CutHallBackward, FaultKind::CutGroups, FaultKind::DelayHall }, Millis(1'000), Millis(4'000), Millis(500), Millis(5'000), false },
-        { { FaultKind::KillWorker, FaultKind::RestartWorker, FaultKind::MuteWorker, FaultKind::SlowWorker }, Millis(1'000), Millis(3'000), Millis(300), Millis(7'000), true },
+        { { FaultKind::KillWorker, FaultKind::RestartWorker, FaultKind::HangWorker, FaultKind::SlowWorker }, Millis(1'000), Millis(3'000), Millis(300), Millis(7'000), true },
         { { FaultKind::ChangeConfiguration }, Millis(2'000), Millis(5'000), Millis(0), Millis(0), true },
     };
     return series;
@@ -76,7 +76,7 @@
         return "stop-process";
     case FaultKind::RefuseStore:
         return "refuse-store";
-    case FaultKind::SilenceStore:
+    case FaultKind::HangStore:
         return "silence-store";
     case FaultKind::SlowStore:
         return "slow-store";
@@ -88,7 +88,7 @@
         return "cut-process-from-store";
     case FaultKind::ResetProcessFromStore:
         return "reset-process-from-store";
-    case FaultKind::SilenceProcessFromStore:
+    case FaultKind::StallProcessFromStore:
         return "silence-process-from-store";
     case FaultKind::CutHallForward:
         return "cut-hall-forward";
@@ -102,7 +102,7 @@
         return "kill-worker";
     case FaultKind::RestartWorker:
         return "restart-worker";
-    case FaultKind::MuteWorker:
+    case FaultKind::HangWorker:
         return "mute-worker";
     case FaultKind::SlowWorker:
         return "slow-worker";
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -16,20 +16,20 @@
     KillProcess, ///< SIGKILL, and a restart at the end.
     StopProcess, ///< SIGTERM, and a restart once the process has ended and the duration has passed.
     RefuseStore,
-    SilenceStore,
+    HangStore,
     SlowStore,
     LoseStoreAnswers,
     DelayStoreWrites,
     CutProcessFromStore,
     ResetProcessFromStore,
-    SilenceProcessFromStore, ///< Open connections carry no more data; new ones work.
+    StallProcessFromStore, ///< Open connections carry no more data; new ones work.
     CutHallForward, ///< Calls from a process to the workers of a data hall arrive late.
     CutHallBackward, ///< The responses to these calls arrive late.
     CutGroups, ///< A group of processes is partitioned from a data hall.
     DelayHall,
     KillWorker,
     RestartWorker, ///< The worker restarts under the same id.
-    MuteWorker,
+    HangWorker,
     SlowWorker,
     ChangeConfiguration,
     EvacuateHall,
--- a/tests/soak/fault_runner.cpp
+++ b/tests/soak/fault_runner.cpp
@@ -62,7 +62,7 @@
         beginOnProcess(fault);
         return;
     case FaultKind::RefuseStore:
-    case FaultKind::SilenceStore:
+    case FaultKind::HangStore:
     case FaultKind::SlowStore:
     case FaultKind::LoseStoreAnswers:
     case FaultKind::DelayStoreWrites:
@@ -70,7 +70,7 @@
         return;
     case FaultKind::CutProcessFromStore:
     case FaultKind::ResetProcessFromStore:
-    case FaultKind::SilenceProcessFromStore:
+    case FaultKind::StallProcessFromStore:
     case FaultKind::CutHallForward:
     case FaultKind::CutHallBackward:
     case FaultKind::CutGroups:
@@ -79,7 +79,7 @@
         return;
     case FaultKind::KillWorker:
     case FaultKind::RestartWorker:
-    case FaultKind::MuteWorker:
+    case FaultKind::HangWorker:
     case FaultKind::SlowWorker:
         beginOnWorker(fault);
         return;
@@ -175,7 +175,7 @@
     json faults = json::object();
     if (fault.kind == FaultKind::RefuseStore)
         faults["refusing"] = true;
-    else if (fault.kind == FaultKind::SilenceStore)
+    else if (fault.kind == FaultKind::HangStore)
         faults["silent"] = true;
     else if (fault.kind == FaultKind::SlowStore)
         faults["answer_ms"] = slowAnswer.count();
@@ -205,7 +205,7 @@
         entry.toStore->reset();
         cut(entry.toStore, { .refusing = true }, fault.duration);
         return;
-    case FaultKind::SilenceProcessFromStore:
+    case FaultKind::StallProcessFromStore:
         entry.toStore->stall();
         return;
     case FaultKind::CutHallForward:
@@ -239,8 +239,8 @@
         m_cluster.control("/kill", { { "instance", instance }, { "back_ms", fault.duration.count() }, { "keeps_id", fault.kind == FaultKind::RestartWorker } });
         return;
     }
-    const bool isMute = fault.kind == FaultKind::MuteWorker;
-    m_cluster.control("/worker-faults", { { "instance", instance }, { "mute", isMute }, { "answer_ms", isMute ? 0 : slowWorker.count() } });
+    const bool isUnresponsive = fault.kind == FaultKind::HangWorker;
+    m_cluster.control("/worker-faults", { { "instance", instance }, { "mute", isUnresponsive }, { "answer_ms", isUnresponsive ? 0 : slowWorker.count() } });
     after(fault.duration, [this, instance] { m_cluster.control("/worker-faults", { { "instance", instance } }); });
 }
 
--- a/tests/support/cluster.cpp
+++ b/tests/support/cluster.cpp
@@ -116,7 +116,7 @@
         { "dataHall", "hall0" },
         { "platform", { { "ip", loopback }, { "port", m_platformAddress.port } } },
         { "peers", peers },
-        { "limits", { { "seats", m_options.seats }, { "leaseMs", m_options.leaseMs }, { "unreadyBeforeStopMs", 200 }, { "mostThreads", 128 }, { "mostListeners", 64 }, { "claimsPerSecond", 1000 } } },
+        { "limits", { { "seats", m_options.shardCount }, { "leaseMs", m_options.leaseMs }, { "unreadyBeforeStopMs", 200 }, { "mostThreads", 128 }, { "mostListeners", 64 }, { "claimsPerSecond", 1000 } } },
     };
     if (m_options.secure)
         settings["peer"] = { { "keyFile", keyFile() } };
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -38,7 +38,7 @@
     std::string buildFolder;
     unsigned listLagMs = 100;
     unsigned rebootMs = 300;
-    unsigned seats = 3;
+    unsigned shardCount = 3;
     unsigned leaseMs = 1500;
     bool secure = false; ///< Whether the peer link uses keys.
 };
