--- a/include/lanemoor/jobs/policy/placement_options.h
+++ b/include/lanemoor/jobs/policy/placement_options.h
@@ -10,7 +10,7 @@
     bool waitsForRack = true;
     /// Whether a job that has not started and cannot meet its objective comes after those that can.
     bool infeasibleLast = true;
-    /// A job is hopeless if this share of its declared work time, corrected by observed run times, exceeds the remaining time:
+    /// A job is infeasible if this share of its declared work time, corrected by observed run times, exceeds the remaining time:
     /// declared times are off by half and more.
     double infeasibleShare = 0.8;
     /// Whether jobs beyond their organisation's rate come after all others.
--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -26,7 +26,7 @@
     std::function<void(const PlacementCandidate&)> hold; ///< Counts tasks that wait although there may be room.
 };
 
-/// \brief Places candidates of one pool, ordered by priority, hopeless, beyond its organisation's share, beyond its rate, objective.
+/// \brief Places candidates of one pool, ordered by priority, infeasible, beyond its organisation's share, beyond its rate, objective.
 ///
 /// Within one priority, each organisation starts tasks up to its weighted max-min share. The remaining capacity then goes to the
 /// deferred candidates in their order. After a few misses, the rest of a group of waiting jobs is not inspected.
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -79,7 +79,7 @@
     }
 }
 
-/// Adds the usage of the attempts on a worker. \param hopeless Jobs that can no longer meet their objective.
+/// Adds the usage of the attempts on a worker. \param infeasibleJobs Jobs that can no longer meet their objective.
 void noteRunning(const WorkerRecord& record, const std::unordered_set<std::string_view>& infeasibleJobs, PoolDemand& demand)
 {
     std::map<Requirement, Resources> used;
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -130,7 +130,7 @@
     /// \returns Whether the job can't meet its objective any more, so that it is placed after the others.
     [[nodiscard]] bool isInfeasible(const OwnerJob& job, MonotonicInstant now) const;
 
-    /// \returns When the job becomes hopeless if none of its tasks starts before; the max time point for a job that never does.
+    /// \returns When the job becomes infeasible if none of its tasks starts before; the max time point for a job that never does.
     [[nodiscard]] MonotonicInstant infeasibleFrom(const OwnerJob& job) const;
 
     /// \returns The expected end of an attempt of the task that starts now.
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -34,11 +34,11 @@
 /// The sums are maintained incrementally, so that reading them is independent of the number of jobs.
 class WaitingGroup {
 public:
-    /// Sort key: hopeless, beyond the rate, objective, id.
+    /// Sort key: infeasible, beyond the rate, objective, id.
     using Key = std::tuple<bool, bool, MonotonicInstant, std::string>;
     using Jobs = std::map<Key, WaitingJob>;
 
-    /// Total demand of the hopeless jobs, or of the others.
+    /// Total demand of the infeasible jobs, or of the others.
     struct Sums {
         std::map<Requirement, std::int64_t> milliCpu;
         Resources needs;
@@ -58,7 +58,7 @@
     [[nodiscard]] bool empty() const noexcept { return m_jobs.empty(); }
     [[nodiscard]] const Jobs& jobs() const noexcept { return m_jobs; }
 
-    /// \returns The begin of the range of hopeless or other jobs.
+    /// \returns The begin of the range of infeasible or other jobs.
     [[nodiscard]] Jobs::const_iterator begin(bool infeasible) const { return m_jobs.lower_bound(Key { infeasible, false, MonotonicInstant::min(), {} }); }
     [[nodiscard]] Jobs::const_iterator end(bool infeasible) const { return infeasible ? m_jobs.end() : begin(true); }
 
@@ -72,7 +72,7 @@
 
     Jobs m_jobs;
     std::map<std::string, Key> m_keys; ///< By job id.
-    std::multimap<MonotonicInstant, std::string> m_infeasibleFrom; ///< Jobs that are not hopeless yet; may contain jobs that have been removed.
+    std::multimap<MonotonicInstant, std::string> m_infeasibleFrom; ///< Jobs that are still feasible; may contain jobs that have been removed.
     Sums m_timely;
     Sums m_infeasible;
     Resources m_largest;
