--- a/src/jobs/owner/fair_placement.h
+++ b/src/jobs/owner/fair_placement.h
@@ -26,7 +26,7 @@
     std::function<void(const PlacementCandidate&)> hold; ///< Counts tasks that wait although there may be room.
 };
 
-/// \brief Places candidates of one pool, ordered by priority, hopeless, beyond its organisation's share, beyond its rate, objective.
+/// \brief Places candidates of one pool, ordered by priority, infeasible, beyond its organisation's share, beyond its rate, objective.
 ///
 /// Within one priority, each organisation starts tasks up to its weighted max-min share. The remaining capacity then goes to the
 /// deferred candidates in their order. After a few misses, the rest of a group of waiting jobs is not inspected.
@@ -79,7 +79,7 @@
 
     void findGroups();
     [[nodiscard]] std::vector<OrganisationDemand> demandsOf(const PoolRoom& room, const std::vector<PlacementCandidate>& candidates) const;
-    void placeLevel(std::uint32_t priority, bool hopeless, std::vector<PlacementCandidate> candidates);
+    void placeLevel(std::uint32_t priority, bool infeasible, std::vector<PlacementCandidate> candidates);
     void placeAll(std::vector<Source> sources);
     void placeHead(Source& source);
     [[nodiscard]] bool advance(Source& source) const;
