--- a/include/lanemoor/jobs/owner/evacuation_report.h
+++ b/include/lanemoor/jobs/owner/evacuation_report.h
@@ -14,7 +14,7 @@
 /// Attempts that remain in one pool of a data hall, by reason.
 struct HallPoolReport {
     std::string pool;
-    std::uint32_t workers = 0; ///< Of instances that have not left the pool.
+    std::uint32_t workers = 0; ///< Workers whose incarnation has not ended or that still have attempts.
     std::uint32_t batchTasks = 0; ///< Attempts of batch tasks.
     std::uint32_t longTasks = 0; ///< Attempts of long-running tasks, which must be moved.
     std::uint32_t heldByBudget = 0; ///< Long-running attempts that the disruption budget of their step currently protects.
--- a/include/lanemoor/jobs/owner/job_report.h
+++ b/include/lanemoor/jobs/owner/job_report.h
@@ -39,10 +39,10 @@
     [[nodiscard]] bool operator==(const AttemptReport&) const = default;
 };
 
-/// A task with worker crashes attributed to it.
+/// A task that may have crashed workers.
 struct SuspectReport {
     std::uint32_t task = 0; ///< Index within the step.
-    std::uint32_t workersLost = 0; ///< Consecutive worker crashes attributed to the task.
+    std::uint32_t workersLost = 0; ///< Consecutive worker crashes attributed to the task, plus its unsettled probations.
     std::uint32_t confirmedCrashes = 0; ///< Attributed crashes whose worker had acknowledged the start.
     bool failedPermanently = false; ///< The task failed permanently and does not start again.
 
@@ -136,7 +136,7 @@
     std::string rack;
     std::uint32_t attempts = 0; ///< Unfinished attempts.
     bool open = false; ///< The worker accepts new tasks now.
-    bool unresponsive = false; ///< The worker is unresponsive.
+    bool unresponsive = false; ///< Its last renewal got no response.
     bool distrusted = false; ///< The worker left its latest starts or a probe unanswered.
     WorkerHealthScore health;
     Millis ejectedFor { 0 }; ///< Time until the ejected worker is probed.
--- a/include/lanemoor/jobs/owner/job_scheduler.h
+++ b/include/lanemoor/jobs/owner/job_scheduler.h
@@ -75,7 +75,7 @@
     std::uint32_t pinned = 0; ///< Long-running attempts that require a label.
     MonotonicInstant expectedEmptyAt; ///< Expected end of all other attempts, from declared and observed run times.
     bool known = false; ///< The running attempts are known: the worker reported in this term, or every lease on it has expired.
-    bool healthy = false; ///< Healthy: listed, responsive, not draining, not ejected.
+    bool healthy = false; ///< Listed, responsive, not draining, not ejected, in a data hall that accepts new tasks.
     bool evacuating = false;
     MonotonicInstant evacuatingSince; ///< Valid while `evacuating`.
 };
--- a/include/lanemoor/jobs/owner/ownership_manager.h
+++ b/include/lanemoor/jobs/owner/ownership_manager.h
@@ -20,7 +20,7 @@
     std::string holder; ///< Unique per process, not only per instance: see `holderOf`.
     std::string peer; ///< Address for other entry instances; empty: none.
     Millis leaseTime { 1'500 }; ///< Short, since the pools of a crashed owner are stalled until it expires.
-    Millis renewEvery { 400 }; ///< Three renewals may fail before the lease expires.
+    Millis renewEvery { 400 }; ///< Three renewals are due before the lease expires, so two may fail.
     Millis retryPause { 150 };
     /// Delay before claiming a free ownership, so that better suited processes claim it first.
     Millis claimDelay { 0 };
@@ -76,7 +76,7 @@
     /// its expiry. If the owner is alive after all, its writes fail, and it stops when its renewal fails.
     void revokeCrashedOwner(const std::string& peer);
 
-    /// \brief Notes that another owner exists: stops acting at once.
+    /// \brief Notes that another owner exists: gives up the ownership at once.
     void noteSuperseded();
 
     /// \brief Releases the ownership and does not claim it for `pause`.
--- a/include/lanemoor/jobs/policy/capacity_plan.h
+++ b/include/lanemoor/jobs/policy/capacity_plan.h
@@ -51,7 +51,7 @@
     double margin = 1.3;
     /// Share of an instance's processor time that tasks of several cores can be packed into.
     double packing = 0.85;
-    Millis demandMemory { 2'000 }; ///< An instance is powered off against the highest demand within this time.
+    Millis demandMemory { 2'000 }; ///< No instance is powered off that the highest demand within this time needs.
     /// Min observation of load before any instance is powered off; longer than `demandMemory`.
     Millis observation { 3'000 };
     Millis maxIdleStart { 60'000 }; ///< Without any load, pools keep their initial instances for this time.
--- a/include/lanemoor/jobs/policy/evacuation_moves.h
+++ b/include/lanemoor/jobs/policy/evacuation_moves.h
@@ -30,14 +30,14 @@
     [[nodiscard]] bool operator==(const EvacuationMovesOptions&) const = default;
 };
 
-/// \brief Tracks how long instances are empty, and powers them off within the calls that the moves of the pools leave.
+/// \brief Tracks how long instances are empty, and powers them off with the calls that capacity planning leaves.
 class EvacuationMoves {
 public:
     explicit EvacuationMoves(EvacuationMovesOptions options = {});
 
     /// \param emptied All instances that are empty and not being moved now.
     /// \param reserve The pool of instances that are off.
-    /// \param maxMoves Moves that the platform accepts beside those of the instances that replace these.
+    /// \param maxMoves Moves that the platform accepts in addition to those that bring in replacements.
     [[nodiscard]] std::vector<CapacityMove> next(const std::vector<EmptiedInstance>& emptied, const std::string& reserve, std::size_t maxMoves, MonotonicInstant now);
 
 private:
--- a/include/lanemoor/jobs/policy/expected_service.h
+++ b/include/lanemoor/jobs/policy/expected_service.h
@@ -51,8 +51,9 @@
 
     /// Share of the pool's processor time in demand below which there is no pressure.
     static constexpr double pressureThreshold = 0.5;
-    /// Share of the allowed time: an organisation whose work takes less of it at its share gets no budget entry. A burst needs a
-    /// budget before the first grant that counts it: at twenty times the usual rate, jobs are late within a quarter of a second.
+    /// Share of the allowed time: an organisation gets no budget entry if its share of the pool serves its accepted work in less
+    /// than this. A burst needs a budget before the first grant that counts it: at twenty times the usual rate, jobs are late
+    /// within a quarter of a second.
     static constexpr double budgetThreshold = 0.25;
     /// Share of the allowed time to aim at: a job that is expected to end at the last moment is late half of the time.
     static constexpr double aimShare = 0.8;
--- a/include/lanemoor/jobs/policy/failure_domains.h
+++ b/include/lanemoor/jobs/policy/failure_domains.h
@@ -96,7 +96,7 @@
 /// window has passed are admitted in batches, so that a data hall with unstable power does not attract all tasks.
 ///
 /// \code
-/// detector.noteStop("i-17", now);
+/// detector.noteStop("i-17", false, now);
 /// const HallFindings found = detector.update(now);
 /// if (detector.admits("i-18"))
 ///     place(task, "i-18");
--- a/include/lanemoor/jobs/policy/maintenance_plan.h
+++ b/include/lanemoor/jobs/policy/maintenance_plan.h
@@ -19,7 +19,7 @@
     std::string instance;
     std::string pool;
     std::string worker; ///< Id of its worker incarnation; empty: unknown.
-    bool reserve = false; ///< Its pool is off.
+    bool reserve = false; ///< Its pool is the reserve, whose instances are off.
     bool up = true; ///< According to the instance list; other instances cannot be maintained.
     bool evacuating = false;
     std::uint32_t attempts = 0; ///< Unfinished attempts at its worker.
--- a/include/lanemoor/jobs/policy/peak_reservation.h
+++ b/include/lanemoor/jobs/policy/peak_reservation.h
@@ -35,9 +35,9 @@
 /// \brief Tracks the peak need of each pool.
 ///
 /// On a fleet with ample room, instances that follow an alternating load move twice a cycle, are missing while they move, and
-/// save little. Each pool therefore keeps its peak need. A pool without a peak yet keeps the largest share of its largest size
-/// that the peak of any other pool takes. While load has been observed for less than the window, a pool also keeps the unobserved
-/// share of the window of its largest size.
+/// save little. Each pool therefore keeps its peak need. Since a pool may not have had a peak yet, it keeps at least the same share of
+/// its largest size as the pool whose peak takes the largest share. While load has been observed for less than the window, a pool
+/// also keeps at least as large a share of its largest size as the part of the window that is not observed yet.
 ///
 /// \code
 /// peaks.update({ { .pool = "a", .needed = 900, .size = 10'000 } }, 20'000, now, now - Millis(27'000));
--- a/include/lanemoor/jobs/policy/placement.h
+++ b/include/lanemoor/jobs/policy/placement.h
@@ -33,7 +33,7 @@
     std::string reservedForLabel; ///< Only tasks that require this label are placed here; empty: all tasks.
     std::uint32_t labelDemand = 0; ///< Demand of tasks that require its labels, relative to the capacity of the sites with them; see `labelDemandLevel`.
     std::vector<SiteSuspect> suspects;
-    bool distrusted = false; ///< It has not answered its latest starts: only used if no other site has room.
+    bool distrusted = false; ///< It left its latest starts or a probe unanswered: only used if no other site has room.
     bool probing = false; ///< The result of its next task shows whether the worker is healthy again.
     std::uint32_t startsLeft = std::numeric_limits<std::uint32_t>::max(); ///< Number of tasks that may still be started there.
     bool hasRecentStarts = false; ///< An attempt started there less than one probation ago.
@@ -66,8 +66,8 @@
 ///
 /// Sites are sorted by free processor time, so that a choice inspects only the few nearly full ones. Requests that found no room
 /// are cached, so that waiting work costs one lookup per pass and not one per site. Steps that are spread over data halls inspect
-/// the sites of one data hall at a time, the one with the fewest of their tasks first. Without both, placement took half of the
-/// owner's time at 275 sites and thousands of tasks per second.
+/// the sites of one data hall at a time, the one with the fewest of their tasks first. Without the order and the
+/// cache, placement took half of the owner's time at 275 sites and thousands of tasks per second.
 class Placer {
 public:
     /// \param sites Sites of one pool.
--- a/include/lanemoor/jobs/policy/reachability.h
+++ b/include/lanemoor/jobs/policy/reachability.h
@@ -25,7 +25,7 @@
     std::uint32_t unansweredWorkersThreshold = 2;
     Millis evidenceLasts { 3'000 }; ///< Lifetime of the evidence of an unanswered call.
     Millis answerLasts { 5'000 }; ///< A reachable path becomes unknown after this time without an answer.
-    Millis firstRetry { 250 }; ///< From the change of state to the first retry. The pause doubles with each retry.
+    Millis firstRetry { 250 }; ///< From the change of state to the first retry, and to the second one; the pause then doubles with each retry.
     Millis maxRetryDelay { 1'000 }; ///< Max pause between two retries.
 
     [[nodiscard]] bool operator==(const ReachabilityOptions&) const = default;
@@ -88,7 +88,7 @@
 /// \brief Tracks the state of each path to each data hall from the outcomes of calls.
 ///
 /// An answered call makes a path reachable for the worker's data hall. Unanswered calls to at least two workers of the data hall
-/// make it unreachable, unless a call that was due after the first of them was answered. A worker that does not answer over
+/// make it unreachable, unless an answer has come over the path since the first of theirs was due. A worker that does not answer over
 /// several paths is no evidence, since it may have crashed. Unreachable paths are retried one at a time for each pair of data
 /// halls.
 ///
@@ -181,7 +181,7 @@
     std::vector<Hall> m_halls { Hall {} };
     std::map<std::string, std::size_t> m_hallNumbers { { std::string(), 0 } };
     std::map<std::string, Path> m_paths;
-    std::unordered_map<std::string, std::set<std::string>> m_unansweredOver; ///< Paths by worker, with no answer since.
+    std::unordered_map<std::string, std::set<std::string>> m_unansweredOver; ///< By worker: paths over which it left a call unanswered since its last answer.
     std::uint64_t m_changes = 0;
 };
 
--- a/include/lanemoor/jobs/policy/reservations.h
+++ b/include/lanemoor/jobs/policy/reservations.h
@@ -77,7 +77,7 @@
 
     [[nodiscard]] std::uint32_t bestEffortTasks() const noexcept { return m_bestEffortTasks; }
 
-    /// \returns Suspect attempts whose start the worker has not survived yet, with their suspicion.
+    /// \returns Suspect attempts whose start the worker has not survived yet, with the crashes that their tasks may have caused.
     [[nodiscard]] const std::map<Attempt, std::uint32_t>& suspects() const noexcept { return m_suspects; }
     ///@}
 
--- a/include/lanemoor/jobs/policy/unacknowledged_starts.h
+++ b/include/lanemoor/jobs/policy/unacknowledged_starts.h
@@ -39,7 +39,7 @@
     /// \brief Records an answer of the worker to any call.
     void noteResponse() noexcept { m_probeOverdue = false; }
 
-    /// \returns Whether the worker has an overdue start and no answer to any start since, or an overdue probe.
+    /// \returns Whether a start became overdue recently and the worker has answered none since, or a probe is overdue.
     [[nodiscard]] bool isDistrusted(MonotonicInstant now) const noexcept { return m_probeOverdue || now < m_distrustedUntil; }
 
     /// \returns Whether a start that no report has shown cannot take effect any longer: the worker refuses a start whose lease
--- a/include/lanemoor/jobs/policy/worker_health.h
+++ b/include/lanemoor/jobs/policy/worker_health.h
@@ -65,8 +65,9 @@
 ///
 /// \code
 /// health.noteUnanswered(now);
-/// if (health.fault(now) != HealthFault::None && bound.admits(worker))
-///     health.eject(health.fault(now), options, now);
+/// const HealthFault fault = health.fault(now);
+/// if (fault != HealthFault::None && !bound.choose({ { .member = member, .fault = fault, .score = health.score(now) } }).empty())
+///     health.eject(fault, options, now);
 /// \endcode
 class WorkerHealth {
 public:
--- a/src/jobs/owner/command_dispatcher.cpp
+++ b/src/jobs/owner/command_dispatcher.cpp
@@ -192,8 +192,8 @@
     });
 }
 
-/// An answer does not identify the incarnation that sent it: after a restart it gives no clock reading, and the outcome of the
-/// start stays unknown.
+/// An answer does not identify the incarnation that sent it. If its clock reading went back, the worker may have restarted: the
+/// answer does not confirm the start, and an unknown outcome stays unknown.
 void CommandDispatcher::onStartAnswered(const Attempt& attempt, const std::string& worker, const WorkerSession* session, const CommandResult& result)
 {
     WorkerRecord* record = recordOfSession(worker, session);
--- a/src/jobs/owner/health_monitor.cpp
+++ b/src/jobs/owner/health_monitor.cpp
@@ -242,7 +242,7 @@
         const WorkerRecord* record = m_state.worker(id);
         if (record && record->health.isOutOfService(now))
             return false;
-        // A new incarnation has no record: it was not readmitted but starts afresh.
+        // A new incarnation was never ejected: it was not readmitted but starts afresh.
         if (record && record->health.ejectedUntil() != MonotonicInstant {})
             m_state.options.log->change("worker-readmitted", { { "worker", id }, { "pool", record->entry.pool }, { "probed", std::int64_t { record->health.wasReadmitted() } } });
         return true;
--- a/src/jobs/owner/job_scheduler.cpp
+++ b/src/jobs/owner/job_scheduler.cpp
@@ -572,7 +572,7 @@
     /// unrelated process.
     [[nodiscard]] bool isPoolConfigured(const DirectoryEntry& entry) const { return m_options.configuration()->pool(entry.worker.pool) != nullptr; }
 
-    /// An incarnation that the platform lists is a worker in any pool, and may run tasks of an earlier owner.
+    /// An incarnation that the platform lists is a worker even if its pool is not configured, and may run tasks of an earlier owner.
     void addListedWorkers(const std::vector<FleetInstance>& instances)
     {
         for (const FleetInstance& instance : instances) {
@@ -653,8 +653,8 @@
         const MonotonicInstant begin = m_options.loop->now();
         m_earliestPassAt = begin + minPassInterval;
         HallWatch(term->state).run();
-        // Cancellations take effect within 3 s, so no task starts on an older replica of the jobs. An idle watch is answered
-        // every second.
+        // Cancellations must take effect within 3 s, so no task starts on a replica of the jobs older than
+        // `maxReplicaAgeForStarts`. An idle watch is answered every second.
         const bool areCancelsCurrent = term->state.areCancelsCurrent();
         noteReplica(areCancelsCurrent);
         if (!m_options.ownership->isHeld() || !areCancelsCurrent || !m_options.evacuations->isConfirmed()) {
@@ -710,7 +710,7 @@
         return found != m_term->state.workers.end() && !found->second.session->hasAnswered() && !found->second.session->hasIncarnationEnded();
     }
 
-    /// An incarnation that a complete list does not name runs nowhere, if it was known before the time of the list.
+    /// An incarnation that a complete list does not name runs nowhere, if it was known for longer than lists lag.
     void noteReportedIncarnations(const std::vector<FleetInstance>& instances, MonotonicInstant requestedAt, const ServiceConfiguration& configuration)
     {
         ReportedIncarnations& incarnations = m_term->reportedIncarnations;
--- a/src/jobs/owner/owner_state.h
+++ b/src/jobs/owner/owner_state.h
@@ -59,7 +59,7 @@
     OrganisationUse organisations; ///< Outlives the reservations, which point into it.
     std::map<std::string, OwnerJob> jobs;
     std::map<std::string, OwnerJob*> individualJobs; ///< Jobs that a pass evaluates one by one; the others wait in groups.
-    WaitingJobs waitingJobs; ///< Waiting jobs in groups by organisation.
+    WaitingJobs waitingJobs; ///< In groups by queue and organisation.
     ShareDeficits deficits { options.admission.deficitMemory };
     std::map<std::string, WorkerRecord> workers; ///< By worker id.
     std::unique_ptr<ProgressWriter> writer;
@@ -98,7 +98,7 @@
     [[nodiscard]] MonotonicInstant now() const { return options.loop->now(); }
     [[nodiscard]] std::shared_ptr<const ServiceConfiguration> configuration() const { return options.configuration(); }
 
-    /// \brief Adds a job to the waiting group of its organisation, if it qualifies.
+    /// \brief Adds a job to the waiting group of its queue and organisation, if it qualifies.
     /// \returns Whether the job was added.
     bool beginWait(OwnerJob& job, MonotonicInstant now);
 
--- a/src/jobs/owner/ownership_manager.cpp
+++ b/src/jobs/owner/ownership_manager.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Reserve before the lease expires, for commands that were decided just before to leave this process.
+/// Commands are allowed until this long before the lease expires: those decided last must still leave this process in time.
 constexpr Millis leaseMargin { 100 };
 
 /// Between two revocations: a process that wrongly takes owners for crashed must not revoke one lease after another.
@@ -85,7 +85,7 @@
         m_holder = owner ? owner->holder : std::string();
         m_holderPeer = owner ? owner->peer : std::string();
         m_holderLease = owner ? item.lease : 0;
-        // Both run on one instance, and this process started after the owner's process had exited.
+        // The owner's process ran on this instance, and had exited before this process started.
         if (owner && !m_held && isPreviousProcess(m_holder, m_options.holder))
             revokeHolderLease();
         if (m_held && item.revision > m_ownership.epoch)
--- a/src/jobs/owner/placement_candidate.h
+++ b/src/jobs/owner/placement_candidate.h
@@ -24,7 +24,8 @@
     /// \returns Whether the job still waits in its group.
     [[nodiscard]] bool isCountedByGroup() const noexcept { return fromGroup && job->state.status() == JobStatus::Queued; }
 
-    /// \returns The sort key of placement in pools without organisation shares.
+    /// \returns The sort key of placement. In pools with organisation shares, candidates beyond their organisation's share come last within
+    /// one priority and feasibility.
     [[nodiscard]] auto order() const noexcept { return std::tie(priority, infeasible, beyondRate, objective); }
 };
 
--- a/src/jobs/owner/placement_pass.cpp
+++ b/src/jobs/owner/placement_pass.cpp
@@ -220,7 +220,8 @@
     return sites;
 }
 
-/// Fails a task permanently if a previous owner failed during the task's last probation.
+/// Fails a task permanently if its crashes and unsettled probations reach the limit, as after a previous owner failed during the
+/// task's last probation.
 bool PlacementPass::failExhausted(const Candidate& candidate)
 {
     const auto exhausted = std::find_if(candidate.tasks.begin(), candidate.tasks.end(), [&](const TaskId& id) {
@@ -402,7 +403,7 @@
     }
 }
 
-/// \returns Crashes attributed to the task; 0 if placement does not isolate suspects.
+/// \returns Crashes that the task may have caused; 0 if placement does not isolate suspects.
 std::uint32_t PlacementPass::suspectedCrashesOf(const Candidate& candidate, const TaskId& task) const
 {
     return m_state.options.crashes.isolatesSuspects ? candidate.job->state.find(task)->suspectedCrashes() : 0;
--- a/src/jobs/owner/waiting_jobs.h
+++ b/src/jobs/owner/waiting_jobs.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Jobs of organisations that have not started. A pass inspects the first ones of each organisation and queue.
+/// Jobs that have not started, in groups by queue and organisation. A pass inspects the first ones of each group.
 
 #include "lanemoor/jobs/model/event_loop.h"
 #include "lanemoor/jobs/model/requirement.h"
--- a/src/jobs/policy/capacity_plan.cpp
+++ b/src/jobs/policy/capacity_plan.cpp
@@ -327,7 +327,7 @@
     return groups;
 }
 
-/// Pools with ample room keep their peak capacity.
+/// On a fleet with ample room, pools keep their peak capacity.
 void CapacityPlan::reservePeaks(std::vector<Balance>& pools, MonotonicInstant now)
 {
     std::vector<PoolNeed> needs;
--- a/src/jobs/policy/crash_attribution.cpp
+++ b/src/jobs/policy/crash_attribution.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 /// Crashes and the restarts after them are correlated, since both follow the updates of the platform's instance list: a start may
-/// meet the next independent crash far more often than its probation alone suggests. One crash within this time is assumed.
+/// meet the next independent crash far more often than its probation alone suggests. The chance of a coincidence is computed for this
+/// time instead.
 constexpr double correlationSeconds = 1.0;
 /// Max share of starts on probation whose worker may crash independently meanwhile.
 constexpr double maxChanceOfLoss = 0.005;
--- a/src/jobs/policy/placement.cpp
+++ b/src/jobs/policy/placement.cpp
@@ -36,7 +36,7 @@
     return std::any_of(site.suspects.begin(), site.suspects.end(), [&](const SiteSuspect& suspect) { return suspect.quarantineKey != query.quarantineKey && suspect.suspectedCrashes >= suspectedCrashes; });
 }
 
-/// \returns Whether the task must not share the site, because of its own suspicion or that of a task there.
+/// \returns Whether the task must not share the site, because it or a task there may have caused too many crashes.
 bool isIsolated(const PlacementSite& site, const PlacementQuery& query)
 {
     return !site.suspects.empty() && hasSuspect(site, query, query.suspectedCrashes >= crashesToIsolate ? 1 : crashesToIsolate);
