--- a/include/lanemoor/jobs/intake/admission_gate.h
+++ b/include/lanemoor/jobs/intake/admission_gate.h
@@ -19,9 +19,11 @@
 
 /// The rule behind an admission decision.
 enum class AdmissionBasis {
-    NoPressure, ///< No limit applies: the queue and organisation have no budget, or the job has no objective.
+    /// No limit applies: the queue and organisation have no budget, the job has no objective, or the latest grant expired more than
+    /// `safeShareDuration` ago.
+    NoPressure,
     Budget, ///< The budget of the latest grant.
-    SafeShare, ///< The latest grant has expired: the instance's part of the organisation's configured rate applies.
+    SafeShare, ///< The latest grant has expired: the instance's part of the organisation's configured rate applies, at least one job a second.
 };
 
 /// \returns A short name of `basis`, for logs and metrics.
--- a/include/lanemoor/jobs/model/response_time.h
+++ b/include/lanemoor/jobs/model/response_time.h
@@ -24,7 +24,7 @@
     static constexpr Millis minOverdue { 100 };
     static constexpr Millis maxOverdue { 800 }; ///< Upper bound of `overdueAfter`, and its value before the first answer.
 
-    /// \brief Adds the response time of an answered command.
+    /// \brief Adds the response time of an answered call.
     void note(Millis elapsed) noexcept
     {
         const auto sample = static_cast<double>(elapsed.count());
@@ -37,7 +37,7 @@
         m_mean = *m_mean + (sample - *m_mean) / 8;
     }
 
-    /// \returns The time after which an unanswered command is overdue.
+    /// \returns The time after which an unanswered call is overdue.
     [[nodiscard]] Millis overdueAfter() const noexcept
     {
         if (!m_mean)
--- a/include/lanemoor/jobs/operator/operator_api.h
+++ b/include/lanemoor/jobs/operator/operator_api.h
@@ -20,7 +20,7 @@
 /// | `GET /v1/instances` | workers and their health; only at the shard's owner |
 /// | `GET /v1/organisations` | usage and quota of each organisation; only at the shard's owner |
 /// | `GET /v1/shards` | shards and their owners |
-/// | `GET /v1/evacuations` | data halls that are evacuated or lost; the owner adds the remaining tasks |
+/// | `GET /v1/evacuations` | data halls that are evacuated or lost, with their remaining tasks; only at the shard's owner |
 /// | `GET /metrics` | metrics in the Prometheus text format |
 ///
 /// Other paths get 404 and other methods 405, both as `application/problem+json`.
--- a/include/lanemoor/jobs/service/job_service.h
+++ b/include/lanemoor/jobs/service/job_service.h
@@ -80,7 +80,7 @@
     /// \returns Delay after which a refused caller should retry.
     [[nodiscard]] Millis retryAfter() const noexcept;
 
-    /// \returns Delay in whole seconds after which the caller should retry a submission that the store rejected or did not answer.
+    /// \returns Delay, a whole number of seconds, after which the caller should retry a submission that the store rejected or did not answer.
     [[nodiscard]] Millis retryAfter(const std::string& submission);
 
     /// \returns Delay after which the caller should retry a job that was refused because its organisation's share is used up.
@@ -91,7 +91,7 @@
     /// \brief Finds the queue of a request and checks its key, both by the same configuration.
     ///
     /// Calls are deferred while the configuration may have been replaced longer than `configurationApplyTime` ago.
-    /// Refused and deferred calls are counted and logged.
+    /// Refused calls, and calls deferred for this reason, are counted and logged.
     /// \param host Without port.
     /// \param key As sent by the caller, if any.
     [[nodiscard]] AdmissionResult admit(std::string_view host, std::string_view path, std::optional<std::string_view> key);
--- a/include/lanemoor/jobs/store/store_mirror.h
+++ b/include/lanemoor/jobs/store/store_mirror.h
@@ -19,7 +19,7 @@
     Millis watchTime { 2'000 }; ///< How long a watch waits for a change before it is renewed.
     Millis retryPause { 200 }; ///< After a failed call.
     Millis minWatchGap { 0 }; ///< Minimum time between two watches: each call has a cost, so changes are batched.
-    bool resumesImmediately = false; ///< Polls again without delay after a truncated batch; false: a lag is accepted.
+    bool resumesImmediately = false; ///< Watches again without delay after a partial batch; false: a lag is accepted.
 };
 
 /// Counts of a mirror, for logs and metrics.
@@ -34,7 +34,7 @@
 /// Called with each change of a key. `removed` items carry the key only.
 using ItemObserver = std::function<void(const StoreItem&)>;
 
-/// \brief Lists a prefix, then watches it. Lists again after a pause, or when the store's history no longer reaches back far enough.
+/// \brief Lists a prefix, then watches it. Lists again on `resume`, or when the store's history no longer reaches back far enough.
 ///
 /// The observer is notified of each change once, in the order of revisions, including changes found by a second
 /// listing. Writes of this process can be applied ahead of the watch by `noteWritten`.
@@ -60,7 +60,7 @@
     void resume(std::function<void()> done);
 
     /// \brief Sets the minimum time between two watches, how long a watch waits for a change, and whether the next one follows a
-    /// truncated batch without delay. Ends a current wait between two watches.
+    /// partial batch without delay. Ends a current wait between two watches.
     void setWatchOptions(Millis minWatchGap, Millis watchTime, bool resumesImmediately);
 
     /// \brief Resends the current call, or the one that waits for its retry, at once if it was sent before `sentBefore`. For use
--- a/src/jobs/intake/job_lookup.cpp
+++ b/src/jobs/intake/job_lookup.cpp
@@ -56,7 +56,7 @@
     std::size_t inFlight = 0;
 
 private:
-    /// Reads a job that is missing in the local copy.
+    /// Reads a job that is missing in the catalog.
     void readJob(const std::string& id, const StatusCallback& done)
     {
         ++inFlight;
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Answers the callers that wait for a read of the job from the current copy.
+    /// Answers the callers that wait for a read of the job, with the status in the catalog.
     void answer(const std::string& id)
     {
         const auto found = m_reads.find(id);
--- a/src/jobs/relay/command_relay.cpp
+++ b/src/jobs/relay/command_relay.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr Millis minReconnectPause { 300 };
-/// An owner accepts a bounded number of links, and instances beyond it reconnect at growing intervals. The bound is low since a
-/// partitioned path can't be told from a refused link.
+/// An owner accepts a bounded number of links, and instances beyond it reconnect at growing intervals. This maximum is low
+/// since a partitioned path can't be told from a refused link.
 constexpr Millis maxReconnectPause { 3'000 };
 /// A refused connection proves the end of the owner's process only within this time after its link broke: later, the break may have
 /// had another cause.
--- a/src/jobs/relay/relay_plan.cpp
+++ b/src/jobs/relay/relay_plan.cpp
@@ -318,7 +318,7 @@
     m_fairShare = capacityInUse > 0 ? static_cast<double>(m_plannedWorkers) / capacityInUse : 0;
 }
 
-/// \returns Whether the owner has capacity to call further workers directly whose data hall no relay reaches.
+/// \returns Whether the owner can directly call further workers, in data halls that no relay reaches.
 bool RelayPlan::hasDirectCapacity() const
 {
     std::size_t relayed = 0;
--- a/src/jobs/service/job_metrics.cpp
+++ b/src/jobs/service/job_metrics.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// From the usual latency of the store (4 ms) to the timeout of calls to it.
+/// Seconds, from the usual latency of the store (4 ms) to twice the timeout of calls to it (1 s).
 const prometheus::Histogram::BucketBoundaries latencyBounds { 0.004, 0.008, 0.016, 0.032, 0.064, 0.125, 0.25, 0.5, 1, 2 };
 
 prometheus::MetricFamily single(const std::string& name, const std::string& help, prometheus::MetricType type, double value)
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -514,7 +514,7 @@
     bool m_replicaLags = false; ///< Whether the replica of the jobs lags although the store answers.
 
 private:
-    /// \returns Whether the job is known and belongs to another caller, which is logged.
+    /// \returns Whether the job is known and belongs to another organisation, which is logged.
     bool isForeign(const Caller& caller, const std::string& id)
     {
         const CatalogEntry* entry = m_catalog.find(id);
--- a/src/jobs/store/document_replica.cpp
+++ b/src/jobs/store/document_replica.cpp
@@ -11,8 +11,8 @@
 
 /// A document whose answer does not begin in this time is requested again. Links of small machines may carry other answers first.
 constexpr Millis answerStartTimeout { 1'000 };
-/// Smaller documents are read, not compared: a comparison counts against the store's rate limit of writes, and a read transfers
-/// little more than its some hundred bytes.
+/// Smaller documents are read, not compared: a comparison transfers only some hundred bytes, but counts against the store's rate
+/// limit of writes, and a read of a small document costs little more.
 constexpr std::size_t minComparedBytes = 64 * 1024;
 constexpr std::size_t maxPendingChecks = 2;
 
--- a/src/jobs/store/hedged_store.cpp
+++ b/src/jobs/store/hedged_store.cpp
@@ -93,7 +93,7 @@
     MonotonicInstant startedAt;
     MonotonicInstant sentAt; ///< Of the last try.
     unsigned tries = 0;
-    unsigned outstanding = 0; ///< Tries, and reads of the written keys, without an answer or timeout.
+    unsigned outstanding = 0; ///< Tries, and reads that confirm the call, without an answer or timeout.
     unsigned hedges = 0; ///< Repeats within the budget.
     unsigned tokens = 0; ///< Taken by these repeats.
     bool denied = false;
--- a/src/jobs/store/progress_writer.cpp
+++ b/src/jobs/store/progress_writer.cpp
@@ -94,7 +94,7 @@
         std::uint64_t sequence = 0;
     };
 
-    /// Sends a full write at once, another one `minWriteGap` after the last.
+    /// Sends a full write at once, and a write that is not full no sooner than `minWriteGap` after the last write.
     void sendSoon()
     {
         if (m_stopped || m_writeQueue.empty() || m_writes == maxWrites)
