--- a/include/lanemoor/decisions/configuration.h
+++ b/include/lanemoor/decisions/configuration.h
@@ -53,7 +53,7 @@
     [[nodiscard]] bool operator==(const Team&) const = default;
 };
 
-/// Relative cost of moves and of roll-out time; 0 ignores that cost.
+/// Relative cost of moves and of roll-out time; 0 is the lowest. Decisions only compare the two.
 struct Weights {
     std::uint32_t moves = 1;
     std::uint32_t rollOut = 1;
--- a/include/lanemoor/decisions/disruption_guard.h
+++ b/include/lanemoor/decisions/disruption_guard.h
@@ -39,9 +39,9 @@
 
 /// \brief Decides whether an instance may be taken out of service.
 ///
-/// Counts the instances that the latest observation shows in service: not failed, under no
-/// grant and not failing their requests. `markOutOfService` subtracts the instances that were
-/// granted in the same step.
+/// Counts the instances that the latest observation shows in service: not failed, not drained,
+/// under no grant and not failing their requests. `markOutOfService` subtracts the instances
+/// that were granted in the same step.
 ///
 /// \code
 /// DisruptionGuard guard(view, index);
--- a/include/lanemoor/decisions/instance.h
+++ b/include/lanemoor/decisions/instance.h
@@ -38,7 +38,7 @@
     LabelSet labels;
     InstanceState state = InstanceState::Live;
     std::uint64_t bootId = 0; ///< Changes with each reboot.
-    bool failing = false; ///< Ejected by entry instances or quarantined, because it fails its requests.
+    bool failing = false; ///< Reported by entry instances because it fails its requests.
     std::optional<Instant> unhealthySince; ///< Since when it has been observed unhealthy; nothing while healthy.
     bool drained = false; ///< The platform reports it drained and idle.
     std::uint32_t slots = 8; ///< Max concurrent requests of all entry instances together.
--- a/include/lanemoor/decisions/membership.h
+++ b/include/lanemoor/decisions/membership.h
@@ -40,7 +40,7 @@
     [[nodiscard]] bool operator==(const PoolCondition&) const = default;
 };
 
-/// Extra members requested for a pool, taken only from instances that no pool needs.
+/// Extra members requested for a pool, taken only from instances that no other pool's budget needs.
 struct PoolBoost {
     std::string pool;
     std::uint32_t instances = 0;
--- a/include/lanemoor/net/http_connection.h
+++ b/include/lanemoor/net/http_connection.h
@@ -17,8 +17,8 @@
     None, ///< The answer is complete.
     ConnectFailed, ///< No connection was established; nothing was sent.
     SendFailed, ///< The connection broke while sending.
-    ClosedBeforeAnswer, ///< The peer closed the connection before its answer began.
-    AnswerCut, ///< The peer closed the connection within its answer.
+    ClosedBeforeAnswer, ///< The connection ended before the head of the answer was complete.
+    AnswerCut, ///< The connection ended after the head but before the end of the answer.
     AnswerMalformed, ///< The received bytes are not a valid HTTP answer.
     DeadlinePassed,
     Abandoned, ///< The watched socket was closed, or the sink stopped the exchange.
--- a/include/lanemoor/serve/process/pool_gate.h
+++ b/include/lanemoor/serve/process/pool_gate.h
@@ -36,7 +36,7 @@
 
     /// \brief Waits until a request is admitted.
     /// \param descriptor The caller's socket.
-    /// \returns The ticket number, or the reason for the refusal.
+    /// \returns The ticket number, the refusal, or CallerDisconnected.
     [[nodiscard]] std::variant<std::uint64_t, AdmissionRefusal, CallerDisconnected> enter(const RequestContext& context, const PoolRoutes& routes, std::uint32_t teamQuota, int descriptor);
 
     /// \brief Acquires an endpoint slot for an admitted request.
--- a/include/lanemoor/state/json_document.h
+++ b/include/lanemoor/state/json_document.h
@@ -83,7 +83,7 @@
 
 /// \brief Reads one object of a document field by field and records every fault.
 ///
-/// `finish` records all fields that were not read as unknown.
+/// `finish` records an UnknownField fault for each field that was not requested.
 class ObjectReader {
 public:
     /// \param field JSON pointer of the object; empty for the root.
@@ -105,7 +105,7 @@
     /// \brief Records a fault of field `name`, or of the object itself if `name` is empty.
     void fault(DocumentFaultCode code, const char* name, std::string detail);
 
-    /// \brief Records every field that was not read as unknown.
+    /// \brief Records an UnknownField fault for each field that was not requested.
     void finish();
 
 private:
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -34,7 +34,7 @@
     PoolSize size;
     const DomainIndex* domains = nullptr;
     std::vector<std::uint32_t> members; ///< By domain: members that match and are in service or expected back.
-    std::vector<std::uint32_t> absent; ///< By domain: failed members that match and may come back.
+    std::vector<std::uint32_t> absent; ///< By domain: failed or drained members that match and may come back.
     std::uint32_t effective = 0; ///< Members that count towards the target.
     std::int64_t slack = 0; ///< Members in service that the budget does not need.
 
--- a/src/serve/process/readiness.cpp
+++ b/src/serve/process/readiness.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// A configuration change must be in force everywhere within this time.
+/// A configuration change must be in force everywhere within this time, so an entry instance
+/// whose last contact with the store is older may have missed one.
 constexpr Millis maxStoreContactAge = std::chrono::seconds(5);
 
 } // namespace
--- a/tests/support/random_run.cpp
+++ b/tests/support/random_run.cpp
@@ -113,7 +113,7 @@
     void replaceHolder()
     {
         if (randomBelow(3) == 0 && m_holders.size() < 3) {
-            startHolder(); // Two holders consider themselves in control.
+            startHolder(); // Several holders consider themselves in control.
             return;
         }
         std::unique_ptr<FakeHolder> old = std::move(m_holders.front());
