--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -74,7 +74,7 @@
 
 void measureWave(const FleetCase& fleetCase, Report& report)
 {
-    // Steps of 2 s: the daemon decides twice a second.
+    // Steps of 2 s, coarser than those of the daemon, which decides twice a second.
     FakeFleetOptions options { .step = std::chrono::seconds(2) };
     const Millis timePerInstance = options.drainTime + options.rebootTime;
     FilledFleet filled(fleetCase, options);
--- a/bench/restarted_workers.cpp
+++ b/bench/restarted_workers.cpp
@@ -42,7 +42,7 @@
     TaskId task;
     std::string instance;
     std::uint64_t incarnation = 0; ///< Incarnation of the failed worker.
-    std::optional<MonotonicInstant> backAt; ///< Time of the first report of the instance's next worker.
+    std::optional<MonotonicInstant> backAt; ///< Time from which the instance's next worker is up, taken as its first report.
     std::optional<MonotonicInstant> restartedAt;
 };
 
--- a/standins/fleet_standin.h
+++ b/standins/fleet_standin.h
@@ -57,7 +57,7 @@
     std::chrono::milliseconds m_lag;
     mutable std::mutex m_mutex;
     std::map<std::string, Worker> m_workers;
-    std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance; late acts of an older holder are refused.
+    std::map<std::string, std::uint64_t> m_newestEpoch; ///< By instance; late actions of an older holder are refused.
     std::set<std::pair<std::string, std::uint64_t>> m_rebooted; ///< Reboots that were requested, by instance and grant.
     std::deque<Listing> m_listings;
     bool m_listUnavailable = false;
--- a/standins/job_platform/fleet.h
+++ b/standins/job_platform/fleet.h
@@ -74,7 +74,7 @@
         std::unique_ptr<Worker> worker;
         WorkerFaults faults;
         std::vector<aio::HttpResponder> unanswered;
-        std::int64_t fence = 0; ///< Highest fencing token of an act.
+        std::int64_t fence = 0; ///< Highest fencing token of an action.
     };
 
     void beginWorker(const std::string& instance, const std::string& previousId);
--- a/standins/model/job_cluster.cpp
+++ b/standins/model/job_cluster.cpp
@@ -16,7 +16,7 @@
 constexpr Millis evacuationBound { 5'000 }; // From an evacuation request to the last start in the data hall.
 constexpr Millis readyDelay { 500 }; // From the start of a long-running task until the task is ready.
 constexpr Millis absenceThreshold { 4'500 }; // Time without a worker after which a task counts against the disruption budget, whatever the cause.
-constexpr Millis minHolderInterval { 3'000 }; // Between acts of two holders on one instance.
+constexpr Millis minHolderInterval { 3'000 }; // Between actions of two holders on one instance.
 constexpr Millis previousQuotaTime { 3'000 }; // Time for which the previous quota still applies after a change.
 constexpr double quotaSlack = 0.1; // Permitted excess as a share of a quota, beside one task: a new owner may not know all attempts of previous owners yet.
 constexpr std::uint32_t minCrashesToFail = 2; // Worker crashes under a task from which the task may fail permanently.
--- a/standins/model/job_cluster.h
+++ b/standins/model/job_cluster.h
@@ -123,7 +123,7 @@
     std::map<Task, std::uint32_t> m_crashesCaused; ///< Workers crashed by the task.
     std::map<Task, std::uint32_t> m_crashesUnder; ///< Workers that crashed under the task for any reason.
     MonotonicInstant m_connectedFrom;
-    std::map<Task, std::uint32_t> m_excessStarts; ///< Starts of tasks that had already crashed as many workers as permitted.
+    std::map<Task, std::uint32_t> m_excessStarts; ///< Counted starts of tasks that had already crashed three workers.
     std::map<Task, MonotonicInstant> m_takenDownUntil; ///< Time until which a command accounts for the task's absence.
     std::map<std::string, std::pair<std::uint64_t, MonotonicInstant>> m_lastAction; ///< Epoch and time, by instance.
     std::map<std::uint64_t, std::uint32_t> m_maxConcurrent; ///< By wave.
--- a/standins/model/workers_model.h
+++ b/standins/model/workers_model.h
@@ -35,8 +35,8 @@
 
 /// Faults of the fleet interface.
 struct FleetFaults {
-    double lostAnswers = 0; ///< Share of acts that take effect without a response.
-    double dropped = 0; ///< Share of acts without effect and response.
+    double lostAnswers = 0; ///< Share of actions that take effect without a response.
+    double dropped = 0; ///< Share of actions without effect and response.
 };
 
 /// Run time of an attempt without faults.
@@ -149,7 +149,7 @@
     /// \param announced The entry shows the drain; otherwise the entry is removed at once.
     void leave(const std::string& worker, bool announced, Millis serving);
 
-    /// \returns The number of acts on instances without effect and response.
+    /// \returns The number of actions on instances without effect and response.
     [[nodiscard]] std::uint64_t dropped() const noexcept { return m_dropped; }
 
     [[nodiscard]] const std::map<std::string, jobs::FleetInstance>& instances() const noexcept { return m_instances; }
@@ -230,7 +230,7 @@
     void advise(const std::string& job, std::uint32_t occurrence, std::uint32_t step, const std::vector<std::string>& workers, std::function<void(jobs::Advice)> done) override;
 
 private:
-    /// Sends an act and delivers the response, subject to the faults.
+    /// Sends an action and delivers the response, subject to the faults.
     void send(const std::function<jobs::FleetOutcome()>& operation, std::function<void(jobs::FleetOutcome)> done);
 
     WorkersModel& m_workers;
--- a/tests/jobs/configuration_age_test.cpp
+++ b/tests/jobs/configuration_age_test.cpp
@@ -1,5 +1,5 @@
-/// An instance answers requests by a configuration only for a limited time after that was confirmed to be the latest version; then it
-/// rejects them. Large documents must not prevent the confirmation.
+/// An instance answers requests by a configuration only for a limited time after the last confirmation that it is the latest version;
+/// after that it rejects them. Large documents must not prevent the confirmation.
 
 #include "lanemoor/jobs/intake/job_catalog.h"
 #include "lanemoor/jobs/store/store_mirror.h"
--- a/tests/jobs/crash_accounting_test.cpp
+++ b/tests/jobs/crash_accounting_test.cpp
@@ -64,7 +64,8 @@
 
     [[nodiscard]] std::uint32_t crashes() const { return checker.workersCrashedBy(poison, task); }
 
-    /// \returns Whether the poison task's worker runs another task that it acknowledges within the maximum probation.
+    /// \returns Whether the poison task's worker also runs another task that started less than the maximum probation ago, with a
+    /// margin of 100 ms.
     [[nodiscard]] bool isBesideRecentStart()
     {
         for (const auto& [attempt, run] : workers.find(worker)->running) {
--- a/tests/jobs/failing_workers_test.cpp
+++ b/tests/jobs/failing_workers_test.cpp
@@ -137,7 +137,7 @@
     }
 }
 
-/// Guards against a burst that fills idle workers without a response for a second.
+/// Guards against a burst that fills idle workers that have not answered for a second.
 TEST_CASE("A burst avoids idle workers that have stopped answering")
 {
     BusyPool pool;
--- a/tests/jobs/large_fleet_test.cpp
+++ b/tests/jobs/large_fleet_test.cpp
@@ -114,7 +114,7 @@
     cluster.store.faults.maxEvents = 100;
     const std::size_t standby = *cluster.owner() == 1 ? 2 : 1;
     std::uint64_t number = 0;
-    std::size_t acceptedBefore = 0; // Two thirds of a second ago.
+    std::size_t acceptedBefore = 0; // As of the start of the last round, 700 ms ago.
     for (int round = 0; round < 6; ++round) {
         acceptedBefore = cluster.accepted().size();
         for (int i = 0; i < 100; ++i) {
--- a/tests/jobs/peer_sockets_test.cpp
+++ b/tests/jobs/peer_sockets_test.cpp
@@ -43,7 +43,7 @@
         return link;
     }
 
-    /// \returns Whether `holds` became true before the timeout.
+    /// \returns Whether `condition` became true before the timeout.
     bool waitFor(const std::function<bool()>& condition)
     {
         const jobs::MonotonicInstant until = loop.now() + timeout;
--- a/tests/jobs/placement_test.cpp
+++ b/tests/jobs/placement_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t unit = 400; // Granularity of processor time and memory, for tasks and sites.
+constexpr std::int64_t unit = 400; // Granularity of processor time in milli-cores and of memory in MB, for tasks and sites.
 
 int anyOf(int below)
 {
@@ -128,7 +128,7 @@
     }));
 }
 
-/// Guards against inspecting the empty sites of workers that do not answer for each task that is placed elsewhere.
+/// Guards against inspecting, for each task that is placed elsewhere, the empty sites of workers that do not answer.
 TEST_CASE("Distrusted sites come last, are not inspected while others have room, and take only as many tasks as allowed")
 {
     constexpr std::size_t count = 100;
--- a/tests/jobs/random_test.cpp
+++ b/tests/jobs/random_test.cpp
@@ -529,10 +529,10 @@
         785, // A stuck task was stopped without regard to the disruption budget of its step.
         1'094, // A late success was dropped, and a third attempt began after the success had been stored.
         7'315, // The same with the newer start in transit; the lease had expired.
-        218, // The second owner's record of calls omitted the first owner's; later, a delayed record undid a newer one.
+        218, // The second owner's record of actions omitted the first owner's; later, a delayed record undid a newer one.
         244, // An instance whose worker had not responded yet appeared empty and was maintained.
         4'564, // A new owner stopped a task while a previous owner's stop of another one was in progress.
-        10'873, // A delayed write of the record of calls undid a newer one.
+        10'873, // A delayed write of the record of actions undid a newer one.
         8'163, // A member of a failed gang kept running while the gang restarted.
         20'243, // A worker whose entry reappeared after the takeover was not asked for its tasks before inherited tasks started.
     };
@@ -637,7 +637,7 @@
         RandomRun(seed, Faults::UnreportedFaults).execute();
 }
 
-/// Seeds of this kind that failed are kept in the next test.
+/// Seeds of this kind that failed are kept in the first test and in the next one.
 TEST_CASE("No guarantee is violated in random runs with workers that restart under their ids")
 {
     const std::uint64_t first = numberFrom("LANEMOOR_SEED", 10'000);
--- a/tests/jobs/service_test.cpp
+++ b/tests/jobs/service_test.cpp
@@ -491,7 +491,7 @@
 
 TEST_CASE("A worker that answers is not treated as ended although its instance has left the list")
 {
-    // Guards against applying the rule that ends incarnations which no list names to all workers of the term.
+    // Guards against applying to all workers of a term the rule that incarnations which no list names have ended.
     SmallCluster cluster(1, 3, 3, 0);
     cluster.workers.runTimes = [](const Attempt&) { return Millis(30'000); };
     cluster.kill(cluster.owner().value());
--- a/tests/jobs/small_entry_test.cpp
+++ b/tests/jobs/small_entry_test.cpp
@@ -1,4 +1,4 @@
-/// Entry instances on machines that are too small to claim a free ownership at once; they keep no copy of the jobs.
+/// Entry instances on machines that are too small to claim a free ownership at once; they keep no replica of the jobs.
 ///
 /// Guards against replication to all entry instances: with 588 of them each change of a job was read 588 times, which saturated the
 /// store's link, and writes that accept a job took 300 to 870 ms instead of 13 ms.
--- a/tests/jobs/turns_test.cpp
+++ b/tests/jobs/turns_test.cpp
@@ -84,7 +84,7 @@
     const RequirementLoad late { .demandMilliCpu = 20'000, .backlogMilliCpu = 900'000, .backlogWaits = true };
     const RequirementLoad timely { .demandMilliCpu = 60'000, .hasWaiting = true };
     const CapacityStep step = plan.next({ busyPool("late", 10, late), busyPool("timely", 4, timely) }, start);
-    // Two more are needed for processor time, and one because tasks wait.
+    // Two more are needed for processor time; one of them would be needed for the waiting tasks alone.
     CHECK(step.drains.size() == 2);
     REQUIRE_FALSE(step.drains.empty());
     CHECK(step.drains.front().to == "timely");
--- a/tests/soak/fault_runner.cpp
+++ b/tests/soak/fault_runner.cpp
@@ -15,7 +15,7 @@
 constexpr Millis burstLeadTime { 2 }; // Shorter than the store's response time, so that the burst is still in flight at SIGTERM.
 constexpr Millis stopPollInterval { 20 };
 constexpr Millis stopLimit { 12'000 }; // Twice the grace period in the settings.
-constexpr Millis slowAnswer { 240 }; // 60 times the store's usual response time.
+constexpr Millis slowAnswer { 240 }; // 60 times the 4 ms of the store model; the default of the stand-in is 2 ms.
 constexpr double lostShare = 0.35;
 constexpr Millis hallDelay { 40 };
 constexpr Millis slowWorker { 400 };
--- a/tests/soak/guarantee_monitor.cpp
+++ b/tests/soak/guarantee_monitor.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::int64_t reconnectTime = 4'000; // ms after a fault, by then a process is connected again.
+constexpr std::int64_t reconnectTime = 4'000; // ms after the end of a fault until processes count as connected again.
 constexpr std::int64_t evacuationBound = 5'000; // ms from the acknowledgement of an evacuation to the last start.
 constexpr std::int64_t cancelBound = 4'000; // ms from the acknowledgement of a cancel to the last start.
-constexpr std::int64_t minOwnerInterval = 3'000; // ms between acts of two owners on one instance.
+constexpr std::int64_t minOwnerInterval = 3'000; // ms between actions of two owners on one instance.
 constexpr std::uint32_t minCrashesToFail = 2; // Worker crashes under a task from which its job may be reported as failed.
 
 bool isFinal(const std::string& status)
--- a/tests/soak/guarantee_monitor.h
+++ b/tests/soak/guarantee_monitor.h
@@ -28,7 +28,7 @@
 constexpr const char* plannedStopsCutNothing = "planned-stops-cut-nothing"; ///< A process closes no connection before the response unless it was killed.
 constexpr const char* plannedStopsEnd = "planned-stops-end"; ///< A process ends within its grace period after SIGTERM.
 constexpr const char* configurationNeverReverts = "configuration-never-reverts"; ///< No process applies an older configuration than before.
-constexpr const char* ownersApart = "owners-apart"; ///< Acts of two owners on one instance are separated by a minimum time.
+constexpr const char* ownersApart = "owners-apart"; ///< Actions of two owners on one instance are separated by a minimum time.
 constexpr const char* servesAgain = "serves-again"; ///< After the last fault all processes serve with the latest configuration.
 } // namespace guarantee
 ///@}
