--- a/include/lanemoor/jobs/intake/job_lookup.h
+++ b/include/lanemoor/jobs/intake/job_lookup.h
@@ -21,7 +21,7 @@
     bool readsThrough = true;
     Millis maxReadAge { 50 }; ///< A job is not read again within this time; callers poll a few times a second.
     Millis readTimeout { 400 }; ///< After this the catalog answers. A slow store takes 240 ms, callers wait 3 s.
-    bool hasFullCopy = true; ///< Whether the catalog holds all jobs; false: only those read or written by this instance.
+    bool holdsAllJobs = true; ///< Whether the catalog holds all jobs; false: only those read or written by this instance.
     double readsPerSecond = 60; ///< Per instance with a full catalog; 32 of them use a third of the store's 6,000 reads a second.
 
     [[nodiscard]] bool operator==(const JobLookupOptions&) const = default;
--- a/src/jobs/intake/job_lookup.cpp
+++ b/src/jobs/intake/job_lookup.cpp
@@ -47,7 +47,7 @@
         const bool isUpToDate = isFinal(known->status()) || !m_options.readsThrough || m_isCurrent() || isFresh(id);
         if (pendingRead != m_reads.end())
             pendingRead->second.callers.push_back(done);
-        else if (isUpToDate || (m_options.hasFullCopy && !tryConsumeReadToken()))
+        else if (isUpToDate || (m_options.holdsAllJobs && !tryConsumeReadToken()))
             done(LookupOutcome::Done, known->status());
         else
             readProgress(id, done);
@@ -71,7 +71,7 @@
                 return;
             }
             self->m_mirror.noteWritten(result.item);
-            if (self->m_options.hasFullCopy)
+            if (self->m_options.holdsAllJobs)
                 done(LookupOutcome::Done, self->knownStatus(id));
             else
                 self->readProgress(id, done);
--- a/src/jobs/service/job_service.cpp
+++ b/src/jobs/service/job_service.cpp
@@ -98,7 +98,7 @@
 JobLookupOptions lookupOptions(const JobServiceSettings& settings)
 {
     JobLookupOptions options = settings.policies.lookup;
-    options.hasFullCopy = isStandbyMachine(settings);
+    options.holdsAllJobs = isStandbyMachine(settings);
     return options;
 }
 
--- a/tests/soak/guarantee_monitor.cpp
+++ b/tests/soak/guarantee_monitor.cpp
@@ -83,7 +83,7 @@
         return;
     }
     if (kind == "act") {
-        noteAct(event);
+        noteAction(event);
         return;
     }
     if (!event.contains("task"))
@@ -152,7 +152,7 @@
     reportBreach(guarantee::evacuatedHallsRest, "task " + name + " starts in " + evacuated->first + ' ' + std::to_string(at - evacuated->second) + " ms after its evacuation was acknowledged", { parse(name).job, evacuated->first }, at);
 }
 
-void GuaranteeMonitor::noteAct(const nlohmann::json& event)
+void GuaranteeMonitor::noteAction(const nlohmann::json& event)
 {
     const std::string instance = event.value("instance", "");
     const std::int64_t fence = event.value("fence", std::int64_t { 0 });
--- a/tests/soak/guarantee_monitor.h
+++ b/tests/soak/guarantee_monitor.h
@@ -140,7 +140,7 @@
     void checkOrder(const Job& job, const TaskName& name, std::int64_t at);
     void checkCancelled(const Job& job, const std::string& task, std::int64_t at);
     void checkEvacuation(const nlohmann::json& event, std::int64_t at);
-    void noteAct(const nlohmann::json& event);
+    void noteAction(const nlohmann::json& event);
     void checkStatus(const std::string& id, const Job& job, std::int64_t at);
     [[nodiscard]] bool isConnected(std::int64_t at) const noexcept;
     void reportBreach(const char* guarantee, std::string detail, std::vector<std::string> ids, std::int64_t at);
